--- a/core/raft/bootstrap.go
+++ b/core/raft/bootstrap.go
@@ -24,26 +24,26 @@
 // stored the same identities, so a disk that is wiped at any time after that is recognised even if the settings still
 // ask for a bootstrap.
 type Bootstrap struct {
-	self    Peer
-	wanted  []Member // from the settings, without identities; empty unless a bootstrap is asked for
-	initial []Member
-	started bool
-	foreign bool // another instance has stored an initial membership without this identity
-	known   map[core.ControlID]Identity
-	centres map[core.ControlID]core.DataCentre // as the instances say, for settings that do not name them
-	agreed  map[core.ControlID]bool
+	self        Peer
+	configured  []Member // from the settings, without identities; empty unless a bootstrap is asked for
+	initial     []Member
+	started     bool
+	foreign     bool // another instance has stored an initial membership without this identity
+	identities  map[core.ControlID]Identity
+	dataCentres map[core.ControlID]core.DataCentre // as the instances say, for settings that do not name them
+	agreed      map[core.ControlID]bool
 }
 
 // NewBootstrap returns the decision for a folder that has stored initial (or nothing) and has or has not started.
 func NewBootstrap(self Peer, wanted, initial []Member, started bool) *Bootstrap {
 	return &Bootstrap{
-		self:    self,
-		wanted:  wanted,
-		initial: initial,
-		started: started,
-		known:   map[core.ControlID]Identity{self.ID: self.Identity},
-		centres: make(map[core.ControlID]core.DataCentre),
-		agreed:  map[core.ControlID]bool{self.ID: true},
+		self:        self,
+		configured:  wanted,
+		initial:     initial,
+		started:     started,
+		identities:  map[core.ControlID]Identity{self.ID: self.Identity},
+		dataCentres: make(map[core.ControlID]core.DataCentre),
+		agreed:      map[core.ControlID]bool{self.ID: true},
 	}
 }
 
@@ -55,32 +55,32 @@
 	}
 	had := len(b.initial)
 	if hello != nil {
-		b.hear(*hello)
+		b.receive(*hello)
 	}
 	if len(b.initial) == 0 && !b.foreign {
-		b.complete()
+		b.assembleInitial()
 	}
 	if had == 0 {
-		return b.initial, b.finish(hello)
+		return b.initial, b.updateStarted(hello)
 	}
-	return nil, b.finish(hello)
+	return nil, b.updateStarted(hello)
 }
 
-func (b *Bootstrap) hear(hello Hello) {
+func (b *Bootstrap) receive(hello Hello) {
 	if hello.Started && len(hello.Initial) == 0 {
 		b.foreign = true // a learner of a deployment that has started
 		return
 	}
 	if len(hello.Initial) == 0 {
-		b.known[hello.From.ID] = hello.From.Identity
-		b.centres[hello.From.ID] = hello.DataCentre
+		b.identities[hello.From.ID] = hello.From.Identity
+		b.dataCentres[hello.From.ID] = hello.DataCentre
 		return
 	}
 	if !lo.ContainsBy(hello.Initial, func(m Member) bool { return m.Peer == b.self }) {
 		b.foreign = true
 		return
 	}
-	if len(b.initial) == 0 && slices.Equal(names(hello.Initial), names(b.wanted)) {
+	if len(b.initial) == 0 && slices.Equal(names(hello.Initial), names(b.configured)) {
 		b.initial = hello.Initial
 	}
 	if slices.Equal(peers(hello.Initial), peers(b.initial)) {
@@ -88,19 +88,19 @@
 	}
 }
 
-func (b *Bootstrap) complete() {
-	if !lo.EveryBy(b.wanted, func(m Member) bool { return b.known[m.Peer.ID] != "" }) {
+func (b *Bootstrap) assembleInitial() {
+	if !lo.EveryBy(b.configured, func(m Member) bool { return b.identities[m.Peer.ID] != "" }) {
 		return
 	}
-	b.initial = sortMembers(lo.Map(b.wanted, func(m Member, _ int) Member {
-		m.Peer.Identity = b.known[m.Peer.ID]
+	b.initial = sortMembers(lo.Map(b.configured, func(m Member, _ int) Member {
+		m.Peer.Identity = b.identities[m.Peer.ID]
 		m.Voter = true
-		m.DataCentre = lo.CoalesceOrEmpty(m.DataCentre, b.centres[m.Peer.ID])
+		m.DataCentre = lo.CoalesceOrEmpty(m.DataCentre, b.dataCentres[m.Peer.ID])
 		return m
 	}))
 }
 
-func (b *Bootstrap) finish(hello *Hello) bool {
+func (b *Bootstrap) updateStarted(hello *Hello) bool {
 	told := hello != nil && hello.Started && b.agreed[hello.From.ID]
 	all := lo.EveryBy(b.initial, func(m Member) bool { return b.agreed[m.Peer.ID] })
 	b.started = len(b.initial) > 0 && (all || told)
@@ -120,7 +120,7 @@
 // Pending reports that the agreement is under way. Until it ends, the instance must not vote or store entries, since
 // it will start with the initial state.
 func (b *Bootstrap) Pending() bool {
-	return !b.started && !b.foreign && (len(b.wanted) > 0 || len(b.initial) > 0)
+	return !b.started && !b.foreign && (len(b.configured) > 0 || len(b.initial) > 0)
 }
 
 // Foreign reports that the deployment has started without this identity, as after the loss of a disk.
--- a/core/raft/handover.go
+++ b/core/raft/handover.go
@@ -17,8 +17,8 @@
 
 // handover is a transfer of the leadership that is under way.
 type handover struct {
-	to    Peer
-	until time.Time
+	successor Peer
+	deadline  time.Time
 }
 
 // handOver stops the proposals, so that the successor can hold the whole log, and brings it up to date.
@@ -31,11 +31,11 @@
 		return
 	}
 	n.handover = &handover{
-		to:    to,
-		until: n.now.Add(HandoverTimeout),
+		successor: to,
+		deadline:  n.now.Add(HandoverTimeout),
 	}
 	n.replicate(to, true)
-	n.tryHandover()
+	n.continueHandover()
 }
 
 // successor returns the voter that holds the most of the log. One that has not answered for two heartbeats is not chosen,
@@ -44,34 +44,34 @@
 	var to Peer
 	var most core.LogIndex
 	var newest time.Time
-	for _, member := range n.current().voters() {
+	for _, member := range n.currentMembership().voters() {
 		p := n.progress[member.Peer]
-		if member.Peer == n.self || p == nil || p.contact.Add(2*HeartbeatInterval).Before(n.now) {
+		if member.Peer == n.self || p == nil || p.lastContact.Add(2*HeartbeatInterval).Before(n.now) {
 			continue
 		}
-		if to == (Peer{}) || p.match > most || p.match == most && p.contact.After(newest) {
-			to, most, newest = member.Peer, p.match, p.contact
+		if to == (Peer{}) || p.match > most || p.match == most && p.lastContact.After(newest) {
+			to, most, newest = member.Peer, p.match, p.lastContact
 		}
 	}
 	return to, to != Peer{}
 }
 
-// tryHandover tells the successor to start an election once it holds the whole log.
-func (n *Node) tryHandover() {
+// continueHandover tells the successor to start an election once it holds the whole log.
+func (n *Node) continueHandover() {
 	if n.handover == nil {
 		return
 	}
-	if p := n.progress[n.handover.to]; p != nil && p.match == n.log.last() {
-		n.send(n.handover.to, Message{
-			Kind: KindElect,
+	if p := n.progress[n.handover.successor]; p != nil && p.match == n.log.last() {
+		n.send(n.handover.successor, Message{
+			Kind: KindTimeoutNow,
 		})
 	}
 }
 
-// receiveElect starts an election at once: its leader has asked for it, so no pre-vote has to protect that leader.
-func (n *Node) receiveElect(m Message) {
-	if n.role != Follower || m.From != n.leader || m.Term != n.hard.Term {
+// receiveTimeoutNow starts an election at once: its leader has asked for it, so no pre-vote has to protect that leader.
+func (n *Node) receiveTimeoutNow(m Message) {
+	if n.role != Follower || m.From != n.leader || m.Term != n.hardState.Term {
 		return
 	}
-	n.startVote(onHandover, true)
+	n.startElection(onHandover, true)
 }
--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -37,7 +37,7 @@
 }
 
 // between returns the entries from first to last, both included.
-func (l *entryLog) between(first, last core.LogIndex) []Entry {
+func (l *entryLog) slice(first, last core.LogIndex) []Entry {
 	if first <= l.base {
 		first = l.base + 1
 	}
@@ -48,8 +48,8 @@
 }
 
 // page returns entries from first on, within the limits of one message.
-func (l *entryLog) page(first core.LogIndex) []Entry {
-	entries := l.between(first, min(l.last(), first+maxAppendEntries-1))
+func (l *entryLog) batchFrom(first core.LogIndex) []Entry {
+	entries := l.slice(first, min(l.last(), first+maxAppendEntries-1))
 	size := 0
 	for i := range entries {
 		size += len(entries[i].Command)
@@ -76,7 +76,7 @@
 		return
 	}
 	term, _ := l.term(index)
-	kept := append([]Entry(nil), l.between(index+1, l.last())...)
+	kept := append([]Entry(nil), l.slice(index+1, l.last())...)
 	l.base, l.baseTerm, l.entries = index, term, kept
 }
 
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -19,7 +19,7 @@
 	return lo.Find(m.members, func(member Member) bool { return member.Peer == peer })
 }
 
-func (m membership) named(id core.ControlID) (Member, bool) {
+func (m membership) findID(id core.ControlID) (Member, bool) {
 	return lo.Find(m.members, func(member Member) bool { return member.Peer.ID == id })
 }
 
@@ -40,8 +40,8 @@
 }
 
 // after returns the members after a change, or why the change is not possible.
-func (m membership) after(change Change) ([]Member, error) {
-	old, exists := m.named(change.Peer.ID)
+func (m membership) apply(change Change) ([]Member, error) {
+	old, exists := m.findID(change.Peer.ID)
 	rest := lo.Reject(m.members, func(member Member, _ int) bool { return member.Peer.ID == change.Peer.ID })
 	member := Member{
 		Peer:       change.Peer,
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -12,9 +12,9 @@
 )
 
 //go:embed roles.jsonc
-var rolesFile []byte
+var rolesSource []byte
 
-var roles = statechart.MustLoad(rolesFile)
+var roles = statechart.MustLoad(rolesSource)
 
 // Roles of an instance, as in the chart file.
 const (
@@ -46,53 +46,53 @@
 
 // Node decides for one control instance; it is not safe for concurrent use.
 type Node struct {
-	self     Peer
-	random   *rand.Rand
-	trailing core.LogIndex
-	now      time.Time
-	out      Output
-
-	role    statechart.State
-	hard    HardState
-	leader  Peer
-	contact time.Time // of the last message from the leader
-	timeout time.Time // when an election begins, or the next heartbeat of a leader
-
-	log         entryLog
-	unwritten   core.LogIndex // first entry that no Output has asked to write
-	hardWritten HardState
-	stable      core.LogIndex // last entry that the local disk has reported as synced
-	commit      core.LogIndex
-	emitted     core.LogIndex // last entry that an Output gave out as committed
-	snapshot    Snapshot
-	memberships []membership // never empty; the last one is in force
+	self            Peer
+	random          *rand.Rand
+	trailingEntries core.LogIndex
+	now             time.Time
+	out             Output
+
+	role          statechart.State
+	hardState     HardState
+	leader        Peer
+	leaderContact time.Time // of the last message from the leader
+	nextTimeout   time.Time // when an election begins, or the next heartbeat of a leader
+
+	log              entryLog
+	firstUnwritten   core.LogIndex // first entry that no Output has asked to write
+	writtenHardState HardState
+	lastSynced       core.LogIndex // last entry that the local disk has reported as synced
+	commit           core.LogIndex
+	lastDelivered    core.LogIndex // last entry that an Output gave out as committed
+	snapshot         Snapshot
+	memberships      []membership // never empty; the last one is in force
 
 	votes map[Peer]bool // grants of the running pre-vote or vote
 
-	progress map[Peer]*progress // leader only
-	round    uint64
-	reads    []pendingRead
-	promote  *promotion
-	handover *handover
+	progress      map[Peer]*progress // leader only
+	round         uint64
+	reads         []pendingRead
+	pendingChange *membershipChange
+	handover      *handover
 
-	incoming  *Snapshot // chunks received so far
-	installed *Snapshot // complete, being stored
+	incoming   *Snapshot // chunks received so far
+	installing *Snapshot // complete, being stored
 }
 
 // NewNode returns a node with the state that its data folder held. It keeps trailing entries in memory behind a snapshot
 // (see TrailingEntries) and uses random for election timeouts only.
 func NewNode(now time.Time, self Peer, restored Restored, trailing core.LogIndex, random *rand.Rand) *Node {
 	n := &Node{
-		self:        self,
-		random:      random,
-		trailing:    trailing,
-		now:         now,
-		role:        roles.Initial(),
-		hard:        restored.HardState,
-		hardWritten: restored.HardState,
-		snapshot:    restored.Snapshot,
-		commit:      restored.Snapshot.Index,
-		emitted:     restored.Snapshot.Index,
+		self:             self,
+		random:           random,
+		trailingEntries:  trailing,
+		now:              now,
+		role:             roles.Initial(),
+		hardState:        restored.HardState,
+		writtenHardState: restored.HardState,
+		snapshot:         restored.Snapshot,
+		commit:           restored.Snapshot.Index,
+		lastDelivered:    restored.Snapshot.Index,
 		log: entryLog{
 			base:     restored.Snapshot.Index,
 			baseTerm: restored.Snapshot.Term,
@@ -103,9 +103,9 @@
 			members: restored.Snapshot.Members,
 		}},
 	}
-	n.unwritten = n.log.last() + 1
-	n.stable = n.log.last()
-	n.noteMemberships(restored.Entries)
+	n.firstUnwritten = n.log.last() + 1
+	n.lastSynced = n.log.last()
+	n.adoptMemberships(restored.Entries)
 	n.resetTimeout()
 	return n
 }
@@ -116,11 +116,11 @@
 		n.now = now
 	}
 	for _, event := range events {
-		n.expire()
-		n.handle(event)
+		n.checkTimeouts()
+		n.handleEvent(event)
 	}
-	n.expire()
-	n.flush()
+	n.checkTimeouts()
+	n.completeOutput()
 	out := n.out
 	n.out = Output{}
 	return out
@@ -129,45 +129,45 @@
 // NextDeadline returns when Step must be called at the latest.
 func (n *Node) NextDeadline() time.Time {
 	if n.role == Leader {
-		if lost := n.quorumContact().Add(ElectionTimeout); lost.Before(n.timeout) {
+		if lost := n.quorumContact().Add(ElectionTimeout); lost.Before(n.nextTimeout) {
 			return lost
 		}
 	}
-	return n.timeout
+	return n.nextTimeout
 }
 
-func (n *Node) handle(event Event) {
+func (n *Node) handleEvent(event Event) {
 	switch e := event.(type) {
 	case Received:
 		n.receive(e.Message)
 	case Proposed:
-		n.proposed(e, n.self)
+		n.propose(e, n.self)
 	case ReadRequested:
-		n.readRequested(e.Request, n.self)
+		n.requestRead(e.Request, n.self)
 	case Synced:
-		n.synced(e.Token)
+		n.recordSync(e.Token)
 	case SnapshotStored:
-		n.snapshotStored(e.Snapshot)
+		n.receiveSnapshotStored(e.Snapshot)
 	case HandOverRequested:
 		n.handOver()
 	}
 }
 
 // expire acts on the time before any event is looked at, so that a process that was frozen does not act on a role that it has lost.
-func (n *Node) expire() {
+func (n *Node) checkTimeouts() {
 	switch {
 	case n.role == Leader && !n.now.Before(n.quorumContact().Add(ElectionTimeout)):
 		n.announceStepDown()
-		n.fire(onQuorumLost)
-		n.leave()
-	case n.now.Before(n.timeout):
+		n.changeRole(onQuorumLost)
+		n.resetLeadership()
+	case n.now.Before(n.nextTimeout):
 	case n.role == Leader:
-		n.timeout = n.now.Add(HeartbeatInterval)
-		if n.handover != nil && !n.now.Before(n.handover.until) {
+		n.nextTimeout = n.now.Add(HeartbeatInterval)
+		if n.handover != nil && !n.now.Before(n.handover.deadline) {
 			n.handover = nil
 		}
 		n.broadcast()
-		n.tryHandover()
+		n.continueHandover()
 	case n.role == Learner:
 		n.leader = Peer{}
 		n.resetTimeout()
@@ -178,23 +178,23 @@
 
 // announceStepDown lets the members on this side of a partition know at once that they have no leader.
 func (n *Node) announceStepDown() {
-	for _, member := range n.current().members {
+	for _, member := range n.currentMembership().members {
 		if member.Peer != n.self {
 			n.send(member.Peer, Message{
 				Kind: KindStepDown,
-				Term: n.hard.Term,
+				Term: n.hardState.Term,
 			})
 		}
 	}
 }
 
 func (n *Node) receiveStepDown(m Message) {
-	if m.Term == n.hard.Term && m.From == n.leader {
+	if m.Term == n.hardState.Term && m.From == n.leader {
 		n.leader = Peer{}
 	}
 }
 
-func (n *Node) fire(event statechart.Event) {
+func (n *Node) changeRole(event statechart.Event) {
 	next, err := roles.Next(n.role, event)
 	if err != nil {
 		panic(errors.Annotatef(err, "raft instance %q", n.self.ID)) // the code and its chart disagree
@@ -203,19 +203,19 @@
 }
 
 // leave ends what belongs to the role and the term that the instance had.
-func (n *Node) leave() {
+func (n *Node) resetLeadership() {
 	n.failReads()
 	n.leader = Peer{}
-	if n.promote != nil {
-		n.refuse(n.promote.origin, n.promote.request, reasonSteppedDown)
+	if n.pendingChange != nil {
+		n.refuse(n.pendingChange.origin, n.pendingChange.request, reasonSteppedDown)
 	}
-	n.progress, n.votes, n.promote, n.handover = nil, nil, nil, nil
+	n.progress, n.votes, n.pendingChange, n.handover = nil, nil, nil, nil
 	n.resetTimeout()
-	n.followMembership()
+	n.updateVoterRole()
 }
 
 func (n *Node) resetTimeout() {
-	n.timeout = n.now.Add(ElectionTimeout + time.Duration(n.random.Int64N(int64(ElectionJitter))))
+	n.nextTimeout = n.now.Add(ElectionTimeout + time.Duration(n.random.Int64N(int64(ElectionJitter))))
 }
 
 func (n *Node) receive(m Message) {
@@ -225,10 +225,10 @@
 		}
 		return
 	}
-	if n.ignoresVote(m) {
+	if n.ignoresVoteRequest(m) {
 		return
 	}
-	if m.Term > n.hard.Term && m.Kind != KindPreVote && !(m.Kind == KindPreVoteAnswer && !m.Reject) {
+	if m.Term > n.hardState.Term && m.Kind != KindPreVote && !(m.Kind == KindPreVoteAnswer && !m.Reject) {
 		n.adoptTerm(m.Term)
 	}
 	switch m.Kind {
@@ -246,8 +246,8 @@
 		n.receiveChunk(m)
 	case KindSnapshotChunkAnswer:
 		n.receiveChunkAnswer(m)
-	case KindElect:
-		n.receiveElect(m)
+	case KindTimeoutNow:
+		n.receiveTimeoutNow(m)
 	case KindStepDown:
 		n.receiveStepDown(m)
 	default:
@@ -258,13 +258,13 @@
 func (n *Node) receiveRequest(m Message) {
 	switch m.Kind {
 	case KindPropose:
-		n.proposed(Proposed{
+		n.propose(Proposed{
 			Request: m.Request,
 			Command: m.Command,
 			Change:  m.Change,
 		}, m.From)
 	case KindRead:
-		n.readRequested(m.Request, m.From)
+		n.requestRead(m.Request, m.From)
 	case KindReadAnswer:
 		n.out.Reads = append(n.out.Reads, ReadResult{
 			Request: m.Request,
@@ -276,27 +276,27 @@
 }
 
 func (n *Node) adoptTerm(term core.Term) {
-	n.hard = HardState{
+	n.hardState = HardState{
 		Term: term,
 	}
-	n.fire(onHigherTerm)
-	n.leave()
+	n.changeRole(onHigherTerm)
+	n.resetLeadership()
 }
 
 // send fills in what all messages of a term share.
 func (n *Node) send(to Peer, m Message) {
-	n.out.Messages = append(n.out.Messages, n.fill(to, m))
+	n.out.Messages = append(n.out.Messages, n.addressed(to, m))
 }
 
 // sendSynced sends a message that vouches for the local disk.
 func (n *Node) sendSynced(to Peer, m Message) {
-	n.out.AfterSync = append(n.out.AfterSync, n.fill(to, m))
+	n.out.AfterSync = append(n.out.AfterSync, n.addressed(to, m))
 }
 
-func (n *Node) fill(to Peer, m Message) Message {
+func (n *Node) addressed(to Peer, m Message) Message {
 	m.From, m.To = n.self, to
 	if m.Term == 0 {
-		m.Term = n.hard.Term
+		m.Term = n.hardState.Term
 	}
 	return m
 }
@@ -318,47 +318,47 @@
 }
 
 // flush completes an output with what the events of the step have left to write, send and apply.
-func (n *Node) flush() {
+func (n *Node) completeOutput() {
 	n.startReads()
 	if n.role == Leader {
-		for _, member := range n.current().members {
+		for _, member := range n.currentMembership().members {
 			n.replicate(member.Peer, false)
 		}
 	}
-	if n.unwritten <= n.log.last() {
-		n.out.Entries = n.log.between(n.unwritten, n.log.last())
-		n.unwritten = n.log.last() + 1
+	if n.firstUnwritten <= n.log.last() {
+		n.out.Entries = n.log.slice(n.firstUnwritten, n.log.last())
+		n.firstUnwritten = n.log.last() + 1
 	}
-	if n.hard != n.hardWritten {
-		hard := n.hard
-		n.out.HardState, n.hardWritten = &hard, hard
+	if n.hardState != n.writtenHardState {
+		hard := n.hardState
+		n.out.HardState, n.writtenHardState = &hard, hard
 	}
 	n.out.Token = SyncToken{
-		HardState: n.hard,
+		HardState: n.hardState,
 		Index:     n.log.last(),
 		Term:      n.log.lastTerm(),
 	}
-	n.out.Committed = n.log.between(n.emitted+1, n.commit)
-	n.emitted = max(n.emitted, n.commit)
+	n.out.Committed = n.log.slice(n.lastDelivered+1, n.commit)
+	n.lastDelivered = max(n.lastDelivered, n.commit)
 }
 
 // synced counts the entries and the vote that the disk holds now.
-func (n *Node) synced(token SyncToken) {
+func (n *Node) recordSync(token SyncToken) {
 	if n.log.matches(token.Index, token.Term) {
-		n.stable = max(n.stable, token.Index)
+		n.lastSynced = max(n.lastSynced, token.Index)
 	}
-	if token.HardState.Term == n.hard.Term && token.HardState.Vote == n.self && n.role == Candidate {
+	if token.HardState.Term == n.hardState.Term && token.HardState.Vote == n.self && n.role == Candidate {
 		n.countVote(n.self)
 	}
 	n.advanceCommit()
 }
 
-func (n *Node) current() membership {
+func (n *Node) currentMembership() membership {
 	return n.memberships[len(n.memberships)-1]
 }
 
-// noteMemberships puts the memberships of appended entries in force.
-func (n *Node) noteMemberships(entries []Entry) {
+// adoptMemberships puts the memberships of appended entries in force.
+func (n *Node) adoptMemberships(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind == EntryMembers {
 			n.memberships = append(n.memberships, membership{
@@ -367,26 +367,26 @@
 			})
 		}
 	}
-	n.followMembership()
+	n.updateVoterRole()
 }
 
 // dropMemberships forgets the memberships of truncated entries.
 func (n *Node) dropMemberships(from core.LogIndex) {
-	for len(n.memberships) > 1 && n.current().index >= from {
+	for len(n.memberships) > 1 && n.currentMembership().index >= from {
 		n.memberships = n.memberships[:len(n.memberships)-1]
 	}
 }
 
-func (n *Node) followMembership() {
-	voter := n.current().isVoter(n.self)
+func (n *Node) updateVoterRole() {
+	voter := n.currentMembership().isVoter(n.self)
 	switch {
 	case voter && n.role == Learner:
-		n.fire(onBecameVoter)
+		n.changeRole(onBecameVoter)
 	case !voter && n.role != Learner && n.role != Leader: // a leader that loses its vote leads until that is committed
-		n.fire(onLostVote)
+		n.changeRole(onLostVote)
 	}
 	if n.role == Leader {
-		n.trackMembers()
+		n.updateProgress()
 	}
 }
 
@@ -402,15 +402,15 @@
 }
 
 // Describe returns the local replica's status, without Applied.
-func (n *Node) Describe() core.ReplicatorStatus {
+func (n *Node) Status() core.ReplicatorStatus {
 	status := core.ReplicatorStatus{
 		Self:   n.self.ID,
 		Role:   string(n.role),
-		Term:   n.hard.Term,
+		Term:   n.hardState.Term,
 		Leader: n.leader.ID,
 		Commit: n.commit,
 	}
-	for _, member := range n.current().members {
+	for _, member := range n.currentMembership().members {
 		if member.Voter {
 			status.Voters = append(status.Voters, member.Peer.ID)
 		} else {
@@ -422,5 +422,5 @@
 
 // Members returns the newest membership; the slice must not be changed.
 func (n *Node) Members() []Member {
-	return n.current().members
+	return n.currentMembership().members
 }
--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -50,7 +50,7 @@
 	out := node.Step(now, answer("b", raft.KindPreVoteAnswer, hard.Term+1, 0))
 	c.Assert(out.HardState, qt.Not(qt.IsNil))
 	out = node.Step(now, raft.Synced{Token: out.Token}, answer("b", raft.KindVoteAnswer, hard.Term+1, 0))
-	c.Assert(node.Describe().Role, qt.Equals, string(raft.Leader))
+	c.Assert(node.Status().Role, qt.Equals, string(raft.Leader))
 	return node, out
 }
 
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -10,23 +10,23 @@
 
 // progress is what a leader knows about one member.
 type progress struct {
-	match   core.LogIndex // last entry that the member has reported as synced
-	next    core.LogIndex
-	contact time.Time     // of the last answer
-	commit  core.LogIndex // last commit index that was sent
-	round   uint64        // last heartbeat round that was answered
-	chunk   uint64        // offset of the snapshot chunk to send
-	sending *Snapshot     // nil unless the member needs a snapshot
+	match         core.LogIndex // last entry that the member has reported as synced
+	next          core.LogIndex
+	lastContact   time.Time     // of the last answer
+	sentCommit    core.LogIndex // last commit index that was sent
+	answeredRound uint64        // last heartbeat round that was answered
+	chunkOffset   uint64        // offset of the snapshot chunk to send
+	snapshot      *Snapshot     // nil unless the member needs a snapshot
 }
 
-func (n *Node) trackMembers() {
-	tracked := make(map[Peer]*progress, len(n.current().members))
-	for _, member := range n.current().members {
+func (n *Node) updateProgress() {
+	tracked := make(map[Peer]*progress, len(n.currentMembership().members))
+	for _, member := range n.currentMembership().members {
 		p, exists := n.progress[member.Peer]
 		if !exists {
 			p = &progress{
-				next:    n.log.last() + 1,
-				contact: n.now,
+				next:        n.log.last() + 1,
+				lastContact: n.now,
 			}
 		}
 		tracked[member.Peer] = p
@@ -36,28 +36,28 @@
 
 // quorumContact returns the newest time by which a majority had answered; the leader answers itself.
 func (n *Node) quorumContact() time.Time {
-	voters := n.current().voters()
+	voters := n.currentMembership().voters()
 	contacts := make([]time.Time, 0, len(voters))
 	for _, member := range voters {
 		if member.Peer == n.self {
 			contacts = append(contacts, n.now)
 		} else if p := n.progress[member.Peer]; p != nil {
-			contacts = append(contacts, p.contact)
+			contacts = append(contacts, p.lastContact)
 		}
 	}
 	slices.SortFunc(contacts, func(a, b time.Time) int { return b.Compare(a) })
 	return contacts[len(contacts)/2]
 }
 
-func (n *Node) appendOwn(entry Entry) {
+func (n *Node) appendEntry(entry Entry) {
 	entry.Index = n.log.last() + 1
-	entry.Term = n.hard.Term
+	entry.Term = n.hardState.Term
 	n.log.append(entry)
-	n.noteMemberships([]Entry{entry})
+	n.adoptMemberships([]Entry{entry})
 }
 
 func (n *Node) broadcast() {
-	for _, member := range n.current().members {
+	for _, member := range n.currentMembership().members {
 		n.replicate(member.Peer, true)
 	}
 }
@@ -69,12 +69,12 @@
 	if to == n.self || p == nil {
 		return
 	}
-	if p.sending == nil && p.next <= n.log.base {
+	if p.snapshot == nil && p.next <= n.log.base {
 		snapshot := n.snapshot
-		p.sending, p.chunk = &snapshot, 0
+		p.snapshot, p.chunkOffset = &snapshot, 0
 		heartbeat = true
 	}
-	if p.sending != nil {
+	if p.snapshot != nil {
 		if heartbeat {
 			n.sendChunk(to, p)
 		}
@@ -82,12 +82,12 @@
 	}
 	var entries []Entry
 	if p.next <= p.match+maxInFlight {
-		entries = n.log.page(p.next)
+		entries = n.log.batchFrom(p.next)
 	}
-	if len(entries) == 0 && !heartbeat && p.commit >= n.commit {
+	if len(entries) == 0 && !heartbeat && p.sentCommit >= n.commit {
 		return
 	}
-	p.commit = n.commit
+	p.sentCommit = n.commit
 	previous := p.next - 1
 	term, _ := n.log.term(previous)
 	n.send(to, Message{
@@ -102,14 +102,14 @@
 }
 
 func (n *Node) sendChunk(to Peer, p *progress) {
-	data := p.sending.Data
-	from := min(p.chunk, uint64(len(data)))
+	data := p.snapshot.Data
+	from := min(p.chunkOffset, uint64(len(data)))
 	n.send(to, Message{
 		Kind: KindSnapshotChunk,
 		Snapshot: &Snapshot{
-			Index:   p.sending.Index,
-			Term:    p.sending.Term,
-			Members: p.sending.Members,
+			Index:   p.snapshot.Index,
+			Term:    p.snapshot.Term,
+			Members: p.snapshot.Members,
 			Data:    data[from:min(from+chunkBytes, uint64(len(data)))],
 		},
 		Offset: from,
@@ -120,7 +120,7 @@
 
 // followLeader accepts the sender as the leader of its term, or tells it of a newer term.
 func (n *Node) followLeader(m Message, answer Kind) bool {
-	if m.Term < n.hard.Term {
+	if m.Term < n.hardState.Term {
 		n.sendSynced(m.From, Message{
 			Kind:   answer,
 			Reject: true,
@@ -130,10 +130,10 @@
 	if n.role == Leader {
 		panic(fmt.Sprintf("raft instance %q: %q also leads in term %d", n.self.ID, m.From.ID, m.Term))
 	}
-	n.fire(onLeaderSeen)
+	n.changeRole(onLeaderSeen)
 	n.votes = nil
 	n.leader = m.From
-	n.contact = n.now
+	n.leaderContact = n.now
 	n.resetTimeout()
 	return true
 }
@@ -147,14 +147,14 @@
 		Round: m.Round,
 	}
 	switch {
-	case n.installed != nil: // the log is about to be replaced; the leader must not resend entries until then
+	case n.installing != nil: // the log is about to be replaced; the leader must not resend entries until then
 		answer.Index = n.commit
 	case m.Index > n.log.last():
 		answer.Reject, answer.Index = true, n.log.last()
 	case m.Index >= n.log.base && !n.log.matches(m.Index, m.LogTerm):
 		answer.Reject, answer.Index = true, max(n.log.firstOfTerm(m.Index)-1, n.commit)
 	default:
-		answer.Index = n.store(m)
+		answer.Index = n.appendNew(m)
 	}
 	n.sendSynced(m.From, answer)
 }
@@ -170,14 +170,14 @@
 }
 
 // store appends the entries that are new and returns the last index at which the log matches the leader's.
-func (n *Node) store(m Message) core.LogIndex {
+func (n *Node) appendNew(m Message) core.LogIndex {
 	for i, entry := range m.Entries {
 		if entry.Index <= n.log.base || n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
 		n.truncate(entry.Index)
 		n.log.append(m.Entries[i:]...)
-		n.noteMemberships(m.Entries[i:])
+		n.adoptMemberships(m.Entries[i:])
 		break
 	}
 	matching := m.Index + core.LogIndex(len(m.Entries))
@@ -194,30 +194,30 @@
 	}
 	n.log.truncate(from)
 	n.dropMemberships(from)
-	n.unwritten = min(n.unwritten, from)
-	n.stable = min(n.stable, from-1)
-	n.followMembership()
+	n.firstUnwritten = min(n.firstUnwritten, from)
+	n.lastSynced = min(n.lastSynced, from-1)
+	n.updateVoterRole()
 }
 
 // answered notes that a member has answered in the current term; it returns nil for answers that do not count.
-func (n *Node) answered(m Message) *progress {
+func (n *Node) recordAnswer(m Message) *progress {
 	p := n.progress[m.From]
-	if n.role != Leader || m.Term != n.hard.Term || p == nil {
+	if n.role != Leader || m.Term != n.hardState.Term || p == nil {
 		return nil
 	}
-	p.contact = n.now
-	p.round = max(p.round, m.Round)
+	p.lastContact = n.now
+	p.answeredRound = max(p.answeredRound, m.Round)
 	n.finishReads()
 	return p
 }
 
 func (n *Node) receiveAppendAnswer(m Message) {
-	p := n.answered(m)
+	p := n.recordAnswer(m)
 	if p == nil {
 		return
 	}
 	if m.Reject {
-		if p.sending == nil {
+		if p.snapshot == nil {
 			p.next = max(p.match+1, min(p.next, m.Index+1))
 			n.replicate(m.From, false)
 		}
@@ -225,13 +225,13 @@
 	}
 	p.match = max(p.match, m.Index)
 	p.next = max(p.next, p.match+1)
-	if p.sending != nil && p.match >= p.sending.Index {
-		p.sending = nil
+	if p.snapshot != nil && p.match >= p.snapshot.Index {
+		p.snapshot = nil
 	}
 	n.advanceCommit()
-	n.tryPromotion()
-	if n.handover != nil && m.From == n.handover.to {
-		n.tryHandover()
+	n.tryPendingChange()
+	if n.handover != nil && m.From == n.handover.successor {
+		n.continueHandover()
 	}
 }
 
@@ -241,19 +241,19 @@
 		return
 	}
 	index := n.quorumMatch()
-	if term, _ := n.log.term(index); index <= n.commit || term != n.hard.Term {
+	if term, _ := n.log.term(index); index <= n.commit || term != n.hardState.Term {
 		return
 	}
 	n.commit = index
-	n.afterCommit()
+	n.stepDownIfRemoved()
 }
 
 func (n *Node) quorumMatch() core.LogIndex {
-	voters := n.current().voters()
+	voters := n.currentMembership().voters()
 	matches := make([]core.LogIndex, 0, len(voters))
 	for _, member := range voters {
 		if member.Peer == n.self {
-			matches = append(matches, n.stable)
+			matches = append(matches, n.lastSynced)
 		} else {
 			matches = append(matches, n.progress[member.Peer].match)
 		}
@@ -262,11 +262,11 @@
 	return matches[(len(matches)-1)/2]
 }
 
-// afterCommit ends a leadership whose instance lost its vote with a committed entry.
-func (n *Node) afterCommit() {
-	if n.current().index <= n.commit && !n.current().isVoter(n.self) {
+// stepDownIfRemoved ends a leadership whose instance lost its vote with a committed entry.
+func (n *Node) stepDownIfRemoved() {
+	if n.currentMembership().index <= n.commit && !n.currentMembership().isVoter(n.self) {
 		n.broadcast() // tells the others of the commit
-		n.fire(onLostVote)
-		n.leave()
+		n.changeRole(onLostVote)
+		n.resetLeadership()
 	}
 }
--- a/core/raft/requests.go
+++ b/core/raft/requests.go
@@ -16,21 +16,21 @@
 }
 
 // promotion waits for a learner to hold all that was committed when it was asked for.
-type promotion struct {
-	request RequestID
-	origin  Peer
-	change  Change
-	target  core.LogIndex
+type membershipChange struct {
+	request      RequestID
+	origin       Peer
+	change       Change
+	catchUpIndex core.LogIndex
 }
 
 // Reasons of refusals that more than one place gives.
 const (
-	reasonNoLeader    = "no leader is known"
-	reasonNotLeader   = "not the leader"
-	reasonBusy        = "too many requests are outstanding"
-	reasonSteppedDown = "the leader has stepped down"
-	reasonHandingOver = "the leader hands over"
-	reasonUnderWay    = "another membership change is under way"
+	reasonNoLeader      = "no leader is known"
+	reasonNotLeader     = "not the leader"
+	reasonBusy          = "too many requests are outstanding"
+	reasonSteppedDown   = "the leader has stepped down"
+	reasonHandingOver   = "the leader hands over"
+	reasonChangePending = "another membership change is under way"
 )
 
 // ErrTransient means that a request was not appended and that the same request may succeed later.
@@ -39,13 +39,13 @@
 // RefusalError returns the reason of a Refusal as an error, ErrTransient if it does not lie in the request.
 func RefusalError(reason string) error {
 	switch reason {
-	case reasonNoLeader, reasonNotLeader, reasonBusy, reasonSteppedDown, reasonUnderWay, reasonHandingOver:
+	case reasonNoLeader, reasonNotLeader, reasonBusy, reasonSteppedDown, reasonChangePending, reasonHandingOver:
 		return errors.Annotate(ErrTransient, reason)
 	}
 	return errors.New(reason)
 }
 
-func (n *Node) proposed(p Proposed, origin Peer) {
+func (n *Node) propose(p Proposed, origin Peer) {
 	switch {
 	case n.role != Leader && origin != n.self:
 		n.refuse(origin, p.Request, reasonNotLeader)
@@ -65,7 +65,7 @@
 	case p.Change != nil:
 		n.changeMembers(p, origin)
 	default:
-		n.appendOwn(Entry{
+		n.appendEntry(Entry{
 			Kind:    EntryCommand,
 			Request: p.Request,
 			Command: p.Command,
@@ -76,45 +76,45 @@
 // changeMembers allows one membership change at a time, and none before an entry of the own term is committed, since a
 // membership of an earlier term that the instance has not seen could otherwise form another majority.
 func (n *Node) changeMembers(p Proposed, origin Peer) {
-	if n.current().index > n.commit || !n.committedInTerm() {
-		n.refuse(origin, p.Request, reasonUnderWay)
+	if n.currentMembership().index > n.commit || !n.committedInTerm() {
+		n.refuse(origin, p.Request, reasonChangePending)
 		return
 	}
-	if n.promote != nil {
-		n.refuse(n.promote.origin, n.promote.request, "replaced by a later membership change")
-		n.promote = nil
+	if n.pendingChange != nil {
+		n.refuse(n.pendingChange.origin, n.pendingChange.request, "replaced by a later membership change")
+		n.pendingChange = nil
 	}
-	if _, err := n.current().after(*p.Change); err != nil {
+	if _, err := n.currentMembership().apply(*p.Change); err != nil {
 		n.refuse(origin, p.Request, err.Error())
 		return
 	}
-	n.promote = &promotion{
+	n.pendingChange = &membershipChange{
 		request: p.Request,
 		origin:  origin,
 		change:  *p.Change,
 	}
 	if p.Change.Kind == ChangePromote {
-		n.promote.target = n.commit
+		n.pendingChange.catchUpIndex = n.commit
 	}
-	n.tryPromotion()
+	n.tryPendingChange()
 }
 
-// tryPromotion appends the membership that is asked for once a learner to be promoted has caught up.
-func (n *Node) tryPromotion() {
-	if n.promote == nil {
+// tryPendingChange appends the membership that is asked for once a learner to be promoted has caught up.
+func (n *Node) tryPendingChange() {
+	if n.pendingChange == nil {
 		return
 	}
-	asked := n.promote
-	if p := n.progress[asked.change.Peer]; asked.target > 0 && (p == nil || p.match < asked.target) {
+	asked := n.pendingChange
+	if p := n.progress[asked.change.Peer]; asked.catchUpIndex > 0 && (p == nil || p.match < asked.catchUpIndex) {
 		return
 	}
-	n.promote = nil
-	members, err := n.current().after(asked.change)
+	n.pendingChange = nil
+	members, err := n.currentMembership().apply(asked.change)
 	if err != nil {
 		n.refuse(asked.origin, asked.request, err.Error())
 		return
 	}
-	n.appendOwn(Entry{
+	n.appendEntry(Entry{
 		Kind:    EntryMembers,
 		Request: asked.request,
 		Members: members,
@@ -123,10 +123,10 @@
 
 func (n *Node) committedInTerm() bool {
 	term, _ := n.log.term(n.commit)
-	return term == n.hard.Term
+	return term == n.hardState.Term
 }
 
-func (n *Node) readRequested(request RequestID, origin Peer) {
+func (n *Node) requestRead(request RequestID, origin Peer) {
 	switch {
 	case n.role == Leader && len(n.reads) < maxPendingReads:
 		n.reads = append(n.reads, pendingRead{
@@ -179,8 +179,8 @@
 }
 
 func (n *Node) roundConfirmed(round uint64) bool {
-	return n.current().quorum(func(peer Peer) bool {
-		return peer == n.self || n.progress[peer].round >= round
+	return n.currentMembership().quorum(func(peer Peer) bool {
+		return peer == n.self || n.progress[peer].answeredRound >= round
 	})
 }
 
--- a/core/raft/snapshot.go
+++ b/core/raft/snapshot.go
@@ -22,14 +22,14 @@
 	n.sendSynced(m.From, Message{
 		Kind:   KindSnapshotChunkAnswer,
 		Index:  m.Snapshot.Index,
-		Offset: n.collect(m),
+		Offset: n.addChunk(m),
 		Round:  m.Round,
 	})
 }
 
 // collect adds a chunk to the incoming snapshot and returns the offset that is expected next.
-func (n *Node) collect(m Message) uint64 {
-	if n.installed != nil {
+func (n *Node) addChunk(m Message) uint64 {
+	if n.installing != nil {
 		return m.Size
 	}
 	if n.incoming == nil || n.incoming.Index != m.Snapshot.Index || n.incoming.Term != m.Snapshot.Term {
@@ -44,28 +44,28 @@
 	}
 	received := uint64(len(n.incoming.Data))
 	if received >= m.Size {
-		n.installed, n.incoming = n.incoming, nil
-		n.out.Install = n.installed
+		n.installing, n.incoming = n.incoming, nil
+		n.out.Install = n.installing
 	}
 	return received
 }
 
 func (n *Node) receiveChunkAnswer(m Message) {
-	p := n.answered(m)
-	if p == nil || p.sending == nil || m.Index != p.sending.Index {
+	p := n.recordAnswer(m)
+	if p == nil || p.snapshot == nil || m.Index != p.snapshot.Index {
 		return
 	}
-	advanced := m.Offset > p.chunk
-	p.chunk = m.Offset // goes back if the member has restarted
-	if advanced && p.chunk < uint64(len(p.sending.Data)) {
+	advanced := m.Offset > p.chunkOffset
+	p.chunkOffset = m.Offset // goes back if the member has restarted
+	if advanced && p.chunkOffset < uint64(len(p.snapshot.Data)) {
 		n.sendChunk(m.From, p)
 	}
 }
 
-// snapshotStored compacts the log after an own snapshot, or replaces it after an installed one.
-func (n *Node) snapshotStored(stored Snapshot) {
-	if n.installed != nil && n.installed.Index == stored.Index {
-		n.installed = nil
+// receiveSnapshotStored compacts the log after an own snapshot, or replaces it after an installed one.
+func (n *Node) receiveSnapshotStored(stored Snapshot) {
+	if n.installing != nil && n.installing.Index == stored.Index {
+		n.installing = nil
 		n.install(stored)
 		return
 	}
@@ -73,8 +73,8 @@
 		return
 	}
 	n.snapshot = stored
-	if stored.Index > n.log.base+n.trailing {
-		n.compact(stored.Index - n.trailing)
+	if stored.Index > n.log.base+n.trailingEntries {
+		n.compact(stored.Index - n.trailingEntries)
 	}
 }
 
@@ -94,14 +94,14 @@
 		return
 	}
 	n.snapshot = stored
-	n.commit, n.emitted = stored.Index, stored.Index
+	n.commit, n.lastDelivered = stored.Index, stored.Index
 	if n.log.matches(stored.Index, stored.Term) {
 		n.compact(stored.Index)
-		n.stable = max(n.stable, stored.Index)
+		n.lastSynced = max(n.lastSynced, stored.Index)
 	} else {
 		n.replaceLog(stored)
 	}
-	n.followMembership()
+	n.updateVoterRole()
 	if n.leader != (Peer{}) {
 		n.sendSynced(n.leader, Message{
 			Kind:  KindAppendAnswer,
@@ -119,7 +119,7 @@
 		index:   stored.Index,
 		members: stored.Members,
 	}}
-	n.unwritten, n.stable = stored.Index+1, stored.Index
+	n.firstUnwritten, n.lastSynced = stored.Index+1, stored.Index
 	n.out.Reset = &Reset{
 		Index: stored.Index,
 		Term:  stored.Term,
--- a/core/raft/stepdown_test.go
+++ b/core/raft/stepdown_test.go
@@ -15,9 +15,9 @@
 func TestLeaderWithoutMajoritySaysSo(t *testing.T) {
 	c := qt.New(t)
 	leader, _ := elected(c)
-	term := leader.Describe().Term
+	term := leader.Status().Term
 	out := leader.Step(leader.NextDeadline().Add(2 * raft.ElectionTimeout))
-	c.Assert(leader.Describe().Role, qt.Not(qt.Equals), string(raft.Leader))
+	c.Assert(leader.Status().Role, qt.Not(qt.Equals), string(raft.Leader))
 	told := lo.Filter(out.Messages, func(m raft.Message, _ int) bool { return m.Kind == raft.KindStepDown })
 	c.Assert(told, qt.HasLen, 2)
 	c.Assert(told[0].Term, qt.Equals, term)
@@ -36,15 +36,15 @@
 		{from: "b", old: true, want: "b"},
 	} {
 		node, _ := elected(c)
-		term := node.Describe().Term + 1
+		term := node.Status().Term + 1
 		now := node.NextDeadline()
 		node.Step(now, raft.Received{Message: raft.Message{Kind: raft.KindAppend, From: peer("b"), To: peer("a"), Term: term}})
-		c.Assert(string(node.Describe().Leader), qt.Equals, "b")
+		c.Assert(string(node.Status().Leader), qt.Equals, "b")
 		stated := term
 		if test.old {
 			stated--
 		}
 		node.Step(now, raft.Received{Message: raft.Message{Kind: raft.KindStepDown, From: peer(test.from), To: peer("a"), Term: stated}})
-		c.Assert(string(node.Describe().Leader), qt.Equals, test.want, qt.Commentf("%+v", test))
+		c.Assert(string(node.Status().Leader), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -105,8 +105,8 @@
 	KindRead
 	KindReadAnswer
 	KindRefused
-	KindElect    // from a leader that hands over: start an election at once
-	KindStepDown // from a leader that has lost its majority, to those that still hear it
+	KindTimeoutNow // from a leader that hands over: start an election at once
+	KindStepDown   // from a leader that has lost its majority, to those that still hear it
 )
 
 // Message is one message between control instances; which fields are set depends on its kind.
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -102,11 +102,11 @@
 	w.changeOnce(leader, raft.ChangePromote, rest[0], func(string) { promoted = true })
 	w.advance(5 * time.Second)
 	c.Assert(promoted, qt.IsFalse)
-	c.Assert(leader.engine.node.Describe().Learners, qt.DeepEquals, []core.ControlID{rest[0]})
+	c.Assert(leader.engine.node.Status().Learners, qt.DeepEquals, []core.ControlID{rest[0]})
 	w.write("possible=1") // the two voters still are a majority
 	w.heal()
 	w.until(5*time.Second, "promotion", func() bool { return promoted })
-	c.Assert(leader.engine.node.Describe().Voters, qt.HasLen, 3)
+	c.Assert(leader.engine.node.Status().Voters, qt.HasLen, 3)
 }
 
 // Guards against an added instance that does not count, and a removed one that leads on or disturbs the others.
@@ -132,7 +132,7 @@
 	next := w.leader()
 	w.advance(10 * time.Second)
 	c.Assert(w.leader(), qt.Equals, next)
-	c.Assert(next.engine.node.Describe().Voters, qt.DeepEquals, w.others(leader.options.Self))
+	c.Assert(next.engine.node.Status().Voters, qt.DeepEquals, w.others(leader.options.Self))
 	c.Assert(leader.machine["after"], qt.Equals, "")
 }
 
@@ -207,7 +207,7 @@
 	leader.read(func(refused string) { answered = refused + leader.machine["newer"] })
 	// Only answers that were waiting when it froze reach it, and nothing tells it of the new leader.
 	leader.inbox = lo.Filter(leader.inbox, func(p packet, _ int) bool {
-		return p.message.Kind == raft.KindAppendAnswer && p.message.Term == leader.engine.node.Describe().Term
+		return p.message.Kind == raft.KindAppendAnswer && p.message.Term == leader.engine.node.Status().Term
 	})
 	c.Assert(len(leader.inbox) >= 2, qt.IsTrue)
 	leader.run()
@@ -249,14 +249,14 @@
 			c := qt.New(t)
 			w, leader := startedWorld(t, 3)
 			away := w.others(leader.options.Self)[0]
-			term := leader.engine.node.Describe().Term
+			term := leader.engine.node.Status().Term
 			w.isolate(away, incoming, true)
 			w.advance(30 * time.Second)
 			w.write("away=1")
 			w.heal()
 			w.advance(5 * time.Second)
 			c.Assert(leader.leads(), qt.IsTrue)
-			c.Assert(leader.engine.node.Describe().Term, qt.Equals, term)
+			c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
 			c.Assert(w.instances[away].machine["away"], qt.Equals, "1")
 		})
 	}
@@ -267,12 +267,12 @@
 	c := qt.New(t)
 	w, leader := startedWorld(t, 3)
 	away := w.others(leader.options.Self)[0]
-	term := leader.engine.node.Describe().Term
+	term := leader.engine.node.Status().Term
 	w.cut[[2]core.ControlID{leader.options.Self, away}] = true
 	w.cut[[2]core.ControlID{away, leader.options.Self}] = true
 	w.advance(10 * time.Second)
 	c.Assert(leader.leads(), qt.IsTrue)
-	c.Assert(leader.engine.node.Describe().Term, qt.Equals, term)
+	c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
 }
 
 // Guards against an acknowledgement of an entry whose sync has failed, or a retry of that sync.
--- a/io/raftpeer/handover_test.go
+++ b/io/raftpeer/handover_test.go
@@ -16,7 +16,7 @@
 func TestHandoverNeedsNoElectionTimeout(t *testing.T) {
 	w, leader := startedWorld(t, 5)
 	w.write("x=1")
-	term := leader.engine.node.Describe().Term
+	term := leader.engine.node.Status().Term
 	committed := 0
 	for range 20 {
 		leader.propose("x=2", func(refused string) {
@@ -28,7 +28,7 @@
 	leader.handOver()
 	w.until(100*time.Millisecond, "another instance leads", func() bool {
 		next := w.leader()
-		return next != nil && next != leader && !leader.leads() && next.engine.node.Describe().Term == term+1
+		return next != nil && next != leader && !leader.leads() && next.engine.node.Status().Term == term+1
 	})
 	w.until(100*time.Millisecond, "the proposals are answered", func() bool { return committed == 20 })
 	w.converge()
@@ -38,7 +38,7 @@
 func TestHandoverThatFailsEnds(t *testing.T) {
 	w, leader := startedWorld(t, 3)
 	w.write("x=1")
-	w.lose = func(m raft.Message) bool { return m.Kind == raft.KindElect }
+	w.lose = func(m raft.Message) bool { return m.Kind == raft.KindTimeoutNow }
 	leader.handOver()
 	refusal := ""
 	w.advance(2 * tick)
--- a/io/raftpeer/hello.go
+++ b/io/raftpeer/hello.go
@@ -13,7 +13,7 @@
 // introduce tells the others the identity: often while the initial membership is agreed on, and now and then while this
 // instance is not a member or hears no leader, since it may have been removed while it was away.
 func (r *Replica) introduce() {
-	joined := r.isMember() && r.engine.node.Describe().Leader != ""
+	joined := r.isMember() && r.engine.node.Status().Leader != ""
 	if !r.engine.bootstrap.Pending() && (joined || time.Since(r.introducedAt) < introduceInterval) {
 		return
 	}
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -312,7 +312,7 @@
 
 // publish makes the status readable and logs changes of role, leader and membership.
 func (r *Replica) publish() {
-	status := r.engine.node.Describe()
+	status := r.engine.node.Status()
 	before := r.status.Swap(&status)
 	members := r.engine.node.Members()
 	previous := r.members.Swap(&members)
--- a/io/raftpeer/world_test.go
+++ b/io/raftpeer/world_test.go
@@ -199,7 +199,7 @@
 func (w *world) describe() string {
 	return strings.Join(lo.Map(w.ids, func(id core.ControlID, _ int) string {
 		i := w.instances[id]
-		return fmt.Sprintf("%s up=%v %+v", id, i.up, i.engine.node.Describe())
+		return fmt.Sprintf("%s up=%v %+v", id, i.up, i.engine.node.Status())
 	}), "; ")
 }
 
@@ -297,7 +297,7 @@
 func (w *world) checkLeaders() {
 	for _, id := range w.ids {
 		i := w.instances[id]
-		status := i.engine.node.Describe()
+		status := i.engine.node.Status()
 		if !i.up || status.Role != string(raft.Leader) {
 			continue
 		}
@@ -318,7 +318,7 @@
 }
 
 func (i *instance) leads() bool {
-	return i.up && i.engine.node.Describe().Role == string(raft.Leader)
+	return i.up && i.engine.node.Status().Role == string(raft.Leader)
 }
 
 // request hands an event to an instance; done is called with a refusal or with "" once the request is finished.
