--- a/io/control/control.go
+++ b/io/control/control.go
@@ -88,7 +88,7 @@
 			Replicator: replica,
 			Catalog:    do.MustInvoke[*catalog.Catalog](injector),
 			Source:     do.MustInvoke[*distribution.Source](injector),
-			Meet:       func(members []settings.Member) { replica.Meet(raftMembers(members)) },
+			Meet:       func(members []settings.Member) { replica.IntroduceTo(raftMembers(members)) },
 		})
 		if err != nil {
 			return errors.Annotate(err, "interface")
@@ -167,15 +167,15 @@
 	}
 	folder := do.MustInvoke[disk.Folder](injector)
 	replica, cleanup, err := raftpeer.New(raftpeer.Options{
-		Self:      p.settings.ID,
-		Folder:    folder,
-		Listen:    p.settings.PeerAddress,
-		Members:   raftMembers(p.settings.Members),
-		Bootstrap: p.settings.Bootstrap,
-		Open:      p.settings.MemberAt != nil,
-		Logger:    p.log,
-		Metrics:   p.metrics,
-		Receive:   p.receive,
+		Self:          p.settings.ID,
+		Folder:        folder,
+		Listen:        p.settings.PeerAddress,
+		Members:       raftMembers(p.settings.Members),
+		Bootstrap:     p.settings.Bootstrap,
+		AcceptUnknown: p.settings.MemberAt != nil,
+		Logger:        p.log,
+		Metrics:       p.metrics,
+		Receive:       p.receive,
 	}, records)
 	if err != nil {
 		return nil, err
--- a/io/control/keeper.go
+++ b/io/control/keeper.go
@@ -39,7 +39,7 @@
 		return
 	}
 	views := lo.Map(replica.Members(), func(m raft.Member, _ int) membership.View { return p.view(now, replica, m) })
-	newcomers := lo.Map(replica.Newcomers(now), func(i raftpeer.Introduction, _ int) membership.Newcomer {
+	newcomers := lo.Map(replica.RecentNonMembers(now), func(i raftpeer.Introduction, _ int) membership.Newcomer {
 		return membership.Newcomer{
 			Peer:       i.Peer,
 			Address:    i.Address,
--- a/io/raftpeer/applier.go
+++ b/io/raftpeer/applier.go
@@ -10,24 +10,24 @@
 
 // applier drives the state machine and stores its snapshots.
 type applier struct {
-	store    *disk.Store
-	machine  core.StateMachine
-	applied  core.LogIndex
-	term     core.Term
-	members  []raft.Member
-	snapshot core.LogIndex // index of the newest stored snapshot
-	interval core.LogIndex // entries between two snapshots
-	waiting  []raft.ReadResult
+	store            *disk.Store
+	machine          core.StateMachine
+	applied          core.LogIndex
+	term             core.Term
+	members          []raft.Member
+	snapshotIndex    core.LogIndex // index of the newest stored snapshot
+	snapshotInterval core.LogIndex // entries between two snapshots
+	waitingReads     []raft.ReadResult
 	// done reports the result of a proposal or read of this process.
-	done func(request raft.RequestID, result []byte)
+	finishRequest func(request raft.RequestID, result []byte)
 }
 
 func newApplier(store *disk.Store, machine core.StateMachine, from raft.Snapshot, done func(raft.RequestID, []byte)) (*applier, error) {
 	a := &applier{
-		store:    store,
-		machine:  machine,
-		interval: raft.SnapshotInterval,
-		done:     done,
+		store:            store,
+		machine:          machine,
+		snapshotInterval: raft.SnapshotInterval,
+		finishRequest:    done,
 	}
 	if from.Index == 0 {
 		return a, nil
@@ -39,26 +39,26 @@
 	if err := a.machine.Restore(snapshot.Data); err != nil {
 		return errors.Annotatef(err, "restore snapshot of entry %d", snapshot.Index)
 	}
-	a.applied, a.term, a.members, a.snapshot = snapshot.Index, snapshot.Term, snapshot.Members, snapshot.Index
+	a.applied, a.term, a.members, a.snapshotIndex = snapshot.Index, snapshot.Term, snapshot.Members, snapshot.Index
 	return nil
 }
 
 // apply handles one step's outcome and returns a snapshot that was stored, or nil.
-func (a *applier) apply(o outcome) (*raft.Snapshot, error) {
+func (a *applier) apply(o stepResult) (*raft.Snapshot, error) {
 	for _, entry := range o.committed {
 		if err := a.applyEntry(entry); err != nil {
 			return nil, errors.Annotatef(err, "apply entry %d", entry.Index)
 		}
 	}
-	a.waiting = append(a.waiting, o.reads...)
-	if excess := len(a.waiting) - maxOutstanding; excess > 0 {
-		a.waiting = a.waiting[excess:] // reads that were given up and asked again
+	a.waitingReads = append(a.waitingReads, o.reads...)
+	if excess := len(a.waitingReads) - maxOutstandingRequests; excess > 0 {
+		a.waitingReads = a.waitingReads[excess:] // reads that were given up and asked again
 	}
 	if o.install != nil {
 		return a.install(*o.install)
 	}
 	a.finishReads()
-	if a.applied < a.snapshot+a.interval {
+	if a.applied < a.snapshotIndex+a.snapshotInterval {
 		return nil, nil
 	}
 	return a.takeSnapshot()
@@ -79,20 +79,20 @@
 		a.members = entry.Members
 	}
 	a.applied, a.term = entry.Index, entry.Term
-	a.done(entry.Request, result)
+	a.finishRequest(entry.Request, result)
 	return nil
 }
 
 func (a *applier) finishReads() {
-	kept := a.waiting[:0]
-	for _, read := range a.waiting {
+	kept := a.waitingReads[:0]
+	for _, read := range a.waitingReads {
 		if read.Index > a.applied {
 			kept = append(kept, read)
 			continue
 		}
-		a.done(read.Request, nil)
+		a.finishRequest(read.Request, nil)
 	}
-	a.waiting = kept
+	a.waitingReads = kept
 }
 
 func (a *applier) install(snapshot raft.Snapshot) (*raft.Snapshot, error) {
@@ -120,6 +120,6 @@
 	if err := a.store.SaveSnapshot(snapshot); err != nil {
 		return nil, errors.Trace(err)
 	}
-	a.snapshot = a.applied
+	a.snapshotIndex = a.applied
 	return &snapshot, nil
 }
--- a/io/raftpeer/engine.go
+++ b/io/raftpeer/engine.go
@@ -15,17 +15,17 @@
 // engine joins the decisions with the disk: it writes before it lets go of what vouches for the disk. It has no goroutine
 // and no clock, so that fault schedules can run it.
 type engine struct {
-	store     *disk.Store
-	identity  disk.Identity
-	restored  raft.Restored
-	node      *raft.Node
-	bootstrap *raft.Bootstrap
-	trailing  core.LogIndex
-	send      func(raft.Message)
+	store           *disk.Store
+	identity        disk.Identity
+	restored        raft.Restored
+	node            *raft.Node
+	bootstrap       *raft.Bootstrap
+	trailingEntries core.LogIndex
+	send            func(raft.Message)
 }
 
 // outcome is what a step leaves to be applied and answered.
-type outcome struct {
+type stepResult struct {
 	install   *raft.Snapshot
 	committed []raft.Entry
 	reads     []raft.ReadResult
@@ -40,19 +40,19 @@
 		return nil, errors.Trace(err)
 	}
 	e := &engine{
-		store:     store,
-		identity:  found.Identity,
-		restored:  found.Restored,
-		bootstrap: raft.NewBootstrap(found.Identity.Self, options.wanted(), found.Identity.Initial, found.Used),
-		trailing:  lo.CoalesceOrEmpty(options.trailing, raft.TrailingEntries),
-		send:      send,
+		store:           store,
+		identity:        found.Identity,
+		restored:        found.Restored,
+		bootstrap:       raft.NewBootstrap(found.Identity.Self, options.bootstrapMembers(), found.Identity.Initial, found.Used),
+		trailingEntries: lo.CoalesceOrEmpty(options.trailingEntries, raft.TrailingEntries),
+		send:            send,
 	}
-	e.node = raft.NewNode(now, found.Identity.Self, found.Restored, e.trailing, random)
-	return e, e.hear(now, nil, random)
+	e.node = raft.NewNode(now, found.Identity.Self, found.Restored, e.trailingEntries, random)
+	return e, e.receiveHello(now, nil, random)
 }
 
 // hear takes part in the agreement on the initial membership.
-func (e *engine) hear(now time.Time, hello *raft.Hello, random *rand.Rand) error {
+func (e *engine) receiveHello(now time.Time, hello *raft.Hello, random *rand.Rand) error {
 	store, start := e.bootstrap.Step(hello)
 	if len(store) > 0 {
 		e.identity.Initial = store
@@ -68,13 +68,13 @@
 		return errors.Trace(err)
 	}
 	e.restored.HardState, e.restored.Entries = hard, entries
-	e.node = raft.NewNode(now, e.identity.Self, e.restored, e.trailing, random)
+	e.node = raft.NewNode(now, e.identity.Self, e.restored, e.trailingEntries, random)
 	return nil
 }
 
 // step runs events through the node until nothing is left to write. An error of the disk is final.
-func (e *engine) step(now time.Time, events ...raft.Event) (outcome, error) {
-	var result outcome
+func (e *engine) step(now time.Time, events ...raft.Event) (stepResult, error) {
+	var result stepResult
 	if e.bootstrap.Pending() {
 		return refuseAll(events), nil
 	}
@@ -107,8 +107,8 @@
 }
 
 // refuseAll answers the local requests that come before the initial membership is agreed on.
-func refuseAll(events []raft.Event) outcome {
-	var result outcome
+func refuseAll(events []raft.Event) stepResult {
+	var result stepResult
 	for _, event := range events {
 		refusal := raft.Refusal{
 			Reason: "the initial membership is not agreed on",
@@ -126,8 +126,8 @@
 	return result
 }
 
-func (o *outcome) add(out raft.Output) {
-	o.join(outcome{
+func (o *stepResult) add(out raft.Output) {
+	o.join(stepResult{
 		install:   out.Install,
 		committed: out.Committed,
 		reads:     out.Reads,
@@ -137,7 +137,7 @@
 
 // join adds later results. Nothing is committed between an installed snapshot and the report that it is stored, so the
 // snapshot stays the last thing to be applied.
-func (o *outcome) join(later outcome) {
+func (o *stepResult) join(later stepResult) {
 	if later.install != nil {
 		o.install = later.install
 	}
@@ -146,7 +146,7 @@
 	o.refused = append(o.refused, later.refused...)
 }
 
-func (o *outcome) isEmpty() bool {
+func (o *stepResult) isEmpty() bool {
 	return o.install == nil && len(o.committed) == 0 && len(o.reads) == 0
 }
 
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -14,9 +14,9 @@
 	"parsleyport/io/disk"
 )
 
-// startedWorld has a leader and one committed write.
-func startedWorld(t *testing.T, size int) (*world, *instance) {
-	w := newWorld(t, 7, size)
+// startedSimulation has a leader and one committed write.
+func startedSimulation(t *testing.T, size int) (*simulation, *instance) {
+	w := newSimulation(t, 7, size)
 	w.write("first=1")
 	w.advance(time.Second)
 	return w, w.leader()
@@ -25,7 +25,7 @@
 // Guards against an instance that votes with a new disk after it has voted with the old one.
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	lagging, wiped := w.instances[rest[0]], w.instances[rest[1]]
 
@@ -36,19 +36,19 @@
 	wiped.wipe()
 	wiped.start()
 	w.isolate(rest[0], false, false)
-	w.lose = func(m raft.Message) bool {
+	w.loseMessage = func(m raft.Message) bool {
 		if m.From.ID == rest[1] && (m.Kind == raft.KindVoteAnswer || m.Kind == raft.KindPreVoteAnswer) && !m.Reject {
 			t.Fatalf("the wiped instance granted %+v", m)
 		}
 		return false
 	}
 	w.advance(10 * time.Second)
-	c.Assert(lagging.leads(), qt.IsFalse)
+	c.Assert(lagging.isLeader(), qt.IsFalse)
 
 	// With the old leader back, the entry is still there, and the wiped instance is known as a nonMember.
 	leader.start()
-	w.until(5*time.Second, "leader after restart", leader.leads)
-	w.until(5*time.Second, "entry is kept", func() bool { return lagging.machine["kept"] == "1" })
+	w.advanceUntil(5*time.Second, "leader after restart", leader.isLeader)
+	w.advanceUntil(5*time.Second, "entry is kept", func() bool { return lagging.machine["kept"] == "1" })
 	c.Assert(wiped.engine.bootstrap.Foreign(), qt.IsTrue)
 	w.change(raft.ChangeReplace, rest[1])
 	w.change(raft.ChangePromote, rest[1])
@@ -60,7 +60,7 @@
 func TestSecondDiskLostAfterRepair(t *testing.T) {
 	for order := range 2 {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
-			w, leader := startedWorld(t, 3)
+			w, leader := startedSimulation(t, 3)
 			rest := w.others(leader.options.Self)
 			first := rest[0]
 			second := []core.ControlID{leader.options.Self, rest[1]}[order]
@@ -90,7 +90,7 @@
 // Guards against a promotion that counts a learner towards the majority before it holds what was committed.
 func TestPromotionWaitsForTheLearner(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	w.instances[rest[0]].wipe()
 	w.instances[rest[0]].start()
@@ -105,14 +105,14 @@
 	c.Assert(leader.engine.node.Status().Learners, qt.DeepEquals, []core.ControlID{rest[0]})
 	w.write("possible=1") // the two voters still are a majority
 	w.heal()
-	w.until(5*time.Second, "promotion", func() bool { return promoted })
+	w.advanceUntil(5*time.Second, "promotion", func() bool { return promoted })
 	c.Assert(leader.engine.node.Status().Voters, qt.HasLen, 3)
 }
 
 // Guards against an added instance that does not count, and a removed one that leads on or disturbs the others.
 func TestMembershipGrowsAndShrinks(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	for _, id := range []core.ControlID{"c4", "c5"} {
 		w.ids = append(w.ids, id)
 		w.add(id, false)
@@ -127,7 +127,7 @@
 	w.converge()
 
 	w.change(raft.ChangeRemove, leader.options.Self)
-	w.until(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
+	w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
 	w.write("after=1")
 	next := w.leader()
 	w.advance(10 * time.Second)
@@ -139,7 +139,7 @@
 // Guards against a second membership change while one is not committed: their majorities need not overlap.
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 5)
+	w, leader := startedSimulation(t, 5)
 	rest := w.others(leader.options.Self)
 	for _, id := range rest {
 		w.isolate(id, true, false)
@@ -164,18 +164,18 @@
 	} {
 		t.Run(cut.name, func(t *testing.T) {
 			c := qt.New(t)
-			w, leader := startedWorld(t, 3)
+			w, leader := startedSimulation(t, 3)
 			w.isolate(leader.options.Self, cut.outgoing, cut.incoming)
 			begun := w.now
-			w.until(raft.ElectionTimeout+tick, "step-down", func() bool {
+			w.advanceUntil(raft.ElectionTimeout+tick, "step-down", func() bool {
 				leader.read(func(refused string) {
 					if refused == "" && w.now.After(begun.Add(3*tick)) { // answers that were under way at the cut
 						t.Errorf("read confirmed %v after the cut", w.now.Sub(begun))
 					}
 				})
-				return !leader.leads()
+				return !leader.isLeader()
 			})
-			w.until(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
+			w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
 			w.write("newer=1")
 			stale := false
 			leader.read(func(refused string) { stale = refused == "" && leader.machine["newer"] != "1" })
@@ -188,21 +188,21 @@
 // Guards against a process that was frozen and acts on its old leadership when it continues.
 func TestFrozenLeaderServesNoStaleRead(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	leader.propose("sent=1", func(string) {})
 	w.advance(tick)
-	leader.frozen = w.now.Add(4 * time.Second)
-	w.until(4*time.Second, "new leader", func() bool {
-		return w.instances[w.others(leader.options.Self)[0]].leads() || w.instances[w.others(leader.options.Self)[1]].leads()
+	leader.frozenUntil = w.now.Add(4 * time.Second)
+	w.advanceUntil(4*time.Second, "new leader", func() bool {
+		return w.instances[w.others(leader.options.Self)[0]].isLeader() || w.instances[w.others(leader.options.Self)[1]].isLeader()
 	})
 	w.checkLeaders()
 	for _, id := range w.others(leader.options.Self) {
-		if w.instances[id].leads() {
+		if w.instances[id].isLeader() {
 			w.instances[id].propose("newer=1", func(string) {})
 		}
 	}
 	w.advance(time.Second)
-	leader.frozen = time.Time{}
+	leader.frozenUntil = time.Time{}
 	answered := ""
 	leader.read(func(refused string) { answered = refused + leader.machine["newer"] })
 	// Only answers that were waiting when it froze reach it, and nothing tells it of the new leader.
@@ -211,7 +211,7 @@
 	})
 	c.Assert(len(leader.inbox) >= 2, qt.IsTrue)
 	leader.run()
-	c.Assert(leader.leads(), qt.IsFalse)
+	c.Assert(leader.isLeader(), qt.IsFalse)
 	w.advance(time.Second)
 	c.Assert(answered, qt.Not(qt.Equals), "")
 }
@@ -219,27 +219,27 @@
 // Guards against a new leader that answers reads before it knows which entries were committed.
 func TestNewLeaderReadsAfterItsNoOp(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	// The others store the entry, but do not learn that it is committed.
 	leader.propose("late=1", func(string) {})
 	w.advance(2 * tick)
-	w.lose = func(m raft.Message) bool { return m.Kind == raft.KindAppend }
+	w.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindAppend }
 	w.advance(2 * tick)
 	leader.crash()
 	c.Assert(w.instances[rest[0]].machine["late"], qt.Equals, "")
 
 	// The new leader's no-op is lost, while its heartbeats are answered.
-	w.lose = func(m raft.Message) bool { return len(m.Entries) > 0 }
-	w.until(5*time.Second, "new leader", func() bool { return w.leader() != nil })
+	w.loseMessage = func(m raft.Message) bool { return len(m.Entries) > 0 }
+	w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil })
 	next, answered := w.leader(), false
 	next.read(func(refused string) {
 		answered = true
 		c.Check(next.machine["late"], qt.Equals, "1", qt.Commentf("refused: %q", refused))
 	})
 	w.advance(700 * time.Millisecond)
-	w.lose = nil
-	w.until(time.Second, "read", func() bool { return answered })
+	w.loseMessage = nil
+	w.advanceUntil(time.Second, "read", func() bool { return answered })
 }
 
 // Guards against an instance that raises the term when it returns, and so ends a leadership that works.
@@ -247,7 +247,7 @@
 	for _, incoming := range []bool{true, false} {
 		t.Run(fmt.Sprint(incoming), func(t *testing.T) {
 			c := qt.New(t)
-			w, leader := startedWorld(t, 3)
+			w, leader := startedSimulation(t, 3)
 			away := w.others(leader.options.Self)[0]
 			term := leader.engine.node.Status().Term
 			w.isolate(away, incoming, true)
@@ -255,7 +255,7 @@
 			w.write("away=1")
 			w.heal()
 			w.advance(5 * time.Second)
-			c.Assert(leader.leads(), qt.IsTrue)
+			c.Assert(leader.isLeader(), qt.IsTrue)
 			c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
 			c.Assert(w.instances[away].machine["away"], qt.Equals, "1")
 		})
@@ -265,20 +265,20 @@
 // Guards against an instance that cannot reach the leader, but can reach the others, and makes them leave that leader.
 func TestInstanceCutFromTheLeaderDoesNotDisturb(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	away := w.others(leader.options.Self)[0]
 	term := leader.engine.node.Status().Term
-	w.cut[[2]core.ControlID{leader.options.Self, away}] = true
-	w.cut[[2]core.ControlID{away, leader.options.Self}] = true
+	w.blocked[[2]core.ControlID{leader.options.Self, away}] = true
+	w.blocked[[2]core.ControlID{away, leader.options.Self}] = true
 	w.advance(10 * time.Second)
-	c.Assert(leader.leads(), qt.IsTrue)
+	c.Assert(leader.isLeader(), qt.IsTrue)
 	c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
 }
 
 // Guards against an acknowledgement of an entry whose sync has failed, or a retry of that sync.
 func TestFailedSyncAcknowledgesNothing(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	for _, id := range rest {
 		w.instances[id].folder.FailSyncs(true)
@@ -298,9 +298,9 @@
 // Guards against a restart that replays the whole log, or that finds less than was committed.
 func TestRestartUsesTheSnapshot(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(t, 3, 1)
+	w := newSimulation(t, 3, 1)
 	only := w.instances["c1"]
-	only.interval = raft.SnapshotInterval
+	only.snapshotInterval = raft.SnapshotInterval
 	only.crash()
 	only.start()
 	w.write("first=1")
@@ -322,7 +322,7 @@
 // Guards against a learner that cannot catch up once the entries it lacks are only in the snapshot.
 func TestSnapshotReachesAnInstanceThatLags(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	away := w.others(leader.options.Self)[0]
 	w.instances[away].crash()
 	for n := range 60 {
@@ -333,5 +333,5 @@
 	w.converge()
 	c.Assert(len(restored), qt.Equals, 1)
 	c.Assert(len(w.instances[away].machine), qt.Equals, 62)
-	c.Assert(w.instances[away].applier.snapshot > 0, qt.IsTrue)
+	c.Assert(w.instances[away].applier.snapshotIndex > 0, qt.IsTrue)
 }
--- a/io/raftpeer/handover_test.go
+++ b/io/raftpeer/handover_test.go
@@ -8,13 +8,13 @@
 )
 
 func (i *instance) handOver() {
-	i.own = append(i.own, raft.HandOverRequested{})
+	i.localEvents = append(i.localEvents, raft.HandOverRequested{})
 }
 
 // Guards against operators who wait for an election timeout because a leader was stopped as planned, and against a
 // submission that is lost while the leadership changes hands.
 func TestHandoverNeedsNoElectionTimeout(t *testing.T) {
-	w, leader := startedWorld(t, 5)
+	w, leader := startedSimulation(t, 5)
 	w.write("x=1")
 	term := leader.engine.node.Status().Term
 	committed := 0
@@ -26,19 +26,19 @@
 		})
 	}
 	leader.handOver()
-	w.until(100*time.Millisecond, "another instance leads", func() bool {
+	w.advanceUntil(100*time.Millisecond, "another instance leads", func() bool {
 		next := w.leader()
-		return next != nil && next != leader && !leader.leads() && next.engine.node.Status().Term == term+1
+		return next != nil && next != leader && !leader.isLeader() && next.engine.node.Status().Term == term+1
 	})
-	w.until(100*time.Millisecond, "the proposals are answered", func() bool { return committed == 20 })
+	w.advanceUntil(100*time.Millisecond, "the proposals are answered", func() bool { return committed == 20 })
 	w.converge()
 }
 
 // Guards against a leader that stays closed for proposals when its successor cannot be elected.
 func TestHandoverThatFailsEnds(t *testing.T) {
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	w.write("x=1")
-	w.lose = func(m raft.Message) bool { return m.Kind == raft.KindTimeoutNow }
+	w.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindTimeoutNow }
 	leader.handOver()
 	refusal := ""
 	w.advance(2 * tick)
@@ -48,7 +48,7 @@
 		t.Fatalf("a proposal during the handover was not refused: %q", refusal)
 	}
 	w.advance(raft.HandoverTimeout + raft.HeartbeatInterval)
-	if !leader.leads() {
+	if !leader.isLeader() {
 		t.Fatalf("the leader does not lead on: %s", w.describe())
 	}
 	w.write("x=3")
--- a/io/raftpeer/hello.go
+++ b/io/raftpeer/hello.go
@@ -18,13 +18,13 @@
 		return
 	}
 	r.introducedAt = time.Now()
-	for id := range r.acquaintances() {
-		r.sayHello(id, false)
+	for id := range r.knownInstances() {
+		r.sendHello(id, false)
 	}
 }
 
 // acquaintances are the instances that this one knows by its settings, by the membership or by the answers of others.
-func (r *Replica) acquaintances() map[core.ControlID]bool {
+func (r *Replica) knownInstances() map[core.ControlID]bool {
 	known := make(map[core.ControlID]bool)
 	for _, member := range r.options.Members {
 		known[member.ID] = true
@@ -32,7 +32,7 @@
 	for _, member := range r.engine.node.Members() {
 		known[member.Peer.ID] = true
 	}
-	for id := range r.told {
+	for id := range r.learnedAddresses {
 		known[id] = true
 	}
 	delete(known, r.options.Self)
@@ -44,28 +44,28 @@
 	return lo.ContainsBy(r.engine.node.Members(), func(m raft.Member) bool { return m.Peer == self })
 }
 
-func (r *Replica) sayHello(to core.ControlID, asAnswer bool) {
+func (r *Replica) sendHello(to core.ControlID, asAnswer bool) {
 	hello := r.engine.hello(asAnswer)
-	if r.options.Open {
+	if r.options.AcceptUnknown {
 		self := r.options.self()
 		hello.Address, hello.DataCentre = self.Address, self.DataCentre
 		if asAnswer {
 			hello.Members = r.engine.node.Members()
 		}
 	}
-	r.post(to, outgoing{
+	r.enqueue(to, outgoing{
 		kind:    typeHello,
 		message: hello,
 	})
 }
 
 // hear notes an identity and answers; the answer leaves after what it says is synced.
-func (r *Replica) hear(hello *raft.Hello) error {
-	if !r.acquaint(hello) {
+func (r *Replica) receiveHello(hello *raft.Hello) error {
+	if !r.recordIntroduction(hello) {
 		return nil // so that the maps stay small
 	}
 	pending := r.engine.bootstrap.Pending()
-	if err := r.engine.hear(time.Now(), hello, r.random); err != nil {
+	if err := r.engine.receiveHello(time.Now(), hello, r.random); err != nil {
 		return errors.Trace(err)
 	}
 	if pending && !r.engine.bootstrap.Pending() {
@@ -75,61 +75,61 @@
 			Msg("agreement on the initial membership ended")
 	}
 	if !hello.Answer {
-		r.sayHello(hello.From.ID, true)
+		r.sendHello(hello.From.ID, true)
 	}
 	return nil
 }
 
 // acquaint notes an introduction. Names come from the settings or the membership; an open replica takes some others as well.
-func (r *Replica) acquaint(hello *raft.Hello) bool {
+func (r *Replica) recordIntroduction(hello *raft.Hello) bool {
 	known := r.isKnownName(hello.From.ID)
-	if !known && (!r.options.Open || hello.Address == "") {
+	if !known && (!r.options.AcceptUnknown || hello.Address == "") {
 		return false
 	}
 	r.mu.Lock()
-	_, heard := r.heard[hello.From.ID]
-	if !known && !heard && len(r.heard) >= maxMembers {
+	_, heard := r.introductions[hello.From.ID]
+	if !known && !heard && len(r.introductions) >= maxMembers {
 		r.mu.Unlock()
 		return false
 	}
-	r.heard[hello.From.ID] = Introduction{
+	r.introductions[hello.From.ID] = Introduction{
 		Peer:       hello.From,
 		Address:    hello.Address,
 		DataCentre: hello.DataCentre,
 		At:         time.Now(),
 	}
 	r.mu.Unlock()
-	if r.options.Open {
+	if r.options.AcceptUnknown {
 		r.connect(hello.From.ID, hello.Address)
-		r.follow(hello.Members)
+		r.learnMembers(hello.Members)
 	}
 	return true
 }
 
 // Meet introduces this instance to others that may be members, if it is not one.
-func (r *Replica) Meet(members []Member) {
+func (r *Replica) IntroduceTo(members []Member) {
 	_ = r.inputs.Push(r.context, input{ // fails only once the replica is stopped
-		meet: members,
+		introduceTo: members,
 	})
 }
 
 // follow introduces this instance to the members that another one names, since the leader may be none of those that the
 // settings name.
-func (r *Replica) follow(members []raft.Member) {
+func (r *Replica) learnMembers(members []raft.Member) {
 	if len(members) == 0 || len(members) > maxMembers {
 		return
 	}
-	clear(r.told)
+	clear(r.learnedAddresses)
 	for _, member := range members {
 		if member.Peer.ID == r.options.Self || member.Address == "" {
 			continue
 		}
-		r.told[member.Peer.ID] = member.Address
+		r.learnedAddresses[member.Peer.ID] = member.Address
 		r.connect(member.Peer.ID, member.Address)
 	}
 }
 
 func (r *Replica) isKnownName(id core.ControlID) bool {
 	return lo.ContainsBy(r.options.Members, func(m Member) bool { return m.ID == id }) ||
-		lo.ContainsBy(r.engine.node.Members(), func(m raft.Member) bool { return m.Peer.ID == id }) || r.told[id] != ""
+		lo.ContainsBy(r.engine.node.Members(), func(m raft.Member) bool { return m.Peer.ID == id }) || r.learnedAddresses[id] != ""
 }
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -69,16 +69,16 @@
 func (r *Replica) disconnectOthers(members []raft.Member) {
 	now := time.Now()
 	r.mu.Lock()
-	for id, each := range r.heard {
-		if now.Sub(each.At) > introducedAge {
-			delete(r.heard, id)
+	for id, each := range r.introductions {
+		if now.Sub(each.At) > introductionMaxAge {
+			delete(r.introductions, id)
 		}
 	}
 	r.mu.Unlock()
 	r.linksMu.Lock()
 	defer r.linksMu.Unlock()
 	for id, l := range r.links {
-		_, introduced := r.heard[id] // only the loop adds to it
+		_, introduced := r.introductions[id] // only the loop adds to it
 		if introduced || r.isKnownName(id) || lo.ContainsBy(members, func(m raft.Member) bool { return m.Peer.ID == id }) {
 			continue
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (r *Replica) post(to core.ControlID, out outgoing) bool {
+func (r *Replica) enqueue(to core.ControlID, out outgoing) bool {
 	r.linksMu.RLock()
 	l := r.links[to]
 	r.linksMu.RUnlock()
@@ -100,15 +100,15 @@
 
 // sendRaft queues a message of the protocol; a proposal that cannot be queued was certainly not proposed.
 func (r *Replica) sendRaft(m raft.Message) {
-	if !r.post(m.To.ID, outgoing{
+	if !r.enqueue(m.To.ID, outgoing{
 		kind:    frame.Type(m.Kind),
 		message: &m,
 	}) {
-		r.undelivered(m)
+		r.refuseUndelivered(m)
 	}
 }
 
-func (r *Replica) undelivered(m raft.Message) {
+func (r *Replica) refuseUndelivered(m raft.Message) {
 	if m.Kind == raft.KindPropose || m.Kind == raft.KindRead {
 		r.requests.finish(m.Request, answer{
 			refused: "the leader cannot be reached",
@@ -118,7 +118,7 @@
 
 // Send queues a message of another package for an instance and returns false if it was dropped. Delivery is not assured.
 func (r *Replica) Send(to core.ControlID, topic string, payload []byte) bool {
-	return r.post(to, outgoing{
+	return r.enqueue(to, outgoing{
 		kind: typeTopic,
 		message: &topicMessage{
 			From:    r.options.Self,
@@ -135,30 +135,30 @@
 			r.useConnection(l, frame.NewBulk(conn, r.packing))
 			_ = conn.Close()
 		}
-		r.discard(l)
+		r.dropQueued(l)
 		select {
-		case <-time.After(redialPause):
+		case <-time.After(redialDelay):
 		case <-l.context.Done():
 		}
 	}
 }
 
 // discard drops what waits for an instance that cannot be reached, since it would be outdated after the reconnect.
-func (r *Replica) discard(l *link) {
+func (r *Replica) dropQueued(l *link) {
 	for {
 		select {
 		case out := <-l.queue.Items():
-			r.lost(out)
+			r.drop(out)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Replica) lost(out outgoing) {
+func (r *Replica) drop(out outgoing) {
 	r.counters.dropped.Inc()
 	if m, ok := out.message.(*raft.Message); ok {
-		r.undelivered(*m)
+		r.refuseUndelivered(*m)
 	}
 }
 
--- /dev/null
+++ b/io/raftpeer/membership_test.go
@@ -0,0 +1,159 @@
+package raftpeer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/samber/lo"
+
+	"parsleyport/core"
+	"parsleyport/core/membership"
+	"parsleyport/core/raft"
+)
+
+const (
+	wantedVoters = 5
+	// maxCaughtUpLag is how far behind a learner may be that counts as caught up.
+	maxCaughtUpLag = 10
+	// leaderSettleTime is how long an instance leads before it judges silence.
+	leaderSettleTime = 1500 * time.Millisecond
+)
+
+// keeper decides membership changes at the leader as io/control does, by what has arrived there.
+type membershipController struct {
+	simulation     *simulation
+	heardAt        map[[2]core.ControlID]time.Time // from, to
+	leader         core.ControlID
+	leaderSince    time.Time
+	changing       bool
+	changeDeadline time.Time // of a change without an answer
+	idsAssigned    int       // instances that came later
+}
+
+func newMembershipController(w *simulation) *membershipController {
+	k := &membershipController{
+		simulation:  w,
+		heardAt:     make(map[[2]core.ControlID]time.Time),
+		idsAssigned: len(w.ids),
+	}
+	w.onDelivery = func(from, to core.ControlID) { k.heardAt[[2]core.ControlID{from, to}] = w.now }
+	return k
+}
+
+func (k *membershipController) run() {
+	w := k.simulation
+	leader := w.leader()
+	if leader == nil || w.now.Before(leader.frozenUntil) {
+		k.leader = ""
+		return
+	}
+	if k.leader != leader.options.Self {
+		k.leader, k.leaderSince = leader.options.Self, w.now
+	}
+	if w.now.Sub(k.leaderSince) < leaderSettleTime || k.changing && w.now.Before(k.changeDeadline) {
+		return
+	}
+	change, due := membership.Next(w.now, wantedVoters, k.views(leader), k.nonMembers(leader))
+	if !due {
+		return
+	}
+	k.changing, k.changeDeadline = true, w.now.Add(time.Second)
+	leader.request(func(request raft.RequestID) raft.Event {
+		return raft.Proposed{
+			Request: request,
+			Change:  &change,
+		}
+	}, func(string) { k.changing = false })
+}
+
+func (k *membershipController) views(leader *instance) []membership.View {
+	return lo.Map(leader.engine.node.Members(), func(m raft.Member, _ int) membership.View {
+		view := membership.View{
+			Member:    m,
+			LastHeard: k.heardAt[[2]core.ControlID{m.Peer.ID, leader.options.Self}],
+		}
+		if view.LastHeard.Before(k.leaderSince) {
+			view.LastHeard = k.leaderSince
+		}
+		if m.Peer == leader.engine.identity.Self {
+			view.LastHeard = k.simulation.now
+		}
+		if i := k.simulation.instances[m.Peer.ID]; i.up && i.engine.identity.Self == m.Peer {
+			view.CaughtUp = i.applier.applied+maxCaughtUpLag >= leader.applier.applied
+		}
+		return view
+	})
+}
+
+// newcomers are the live instances, not cut off from the leader, that are no members.
+func (k *membershipController) nonMembers(leader *instance) []membership.Newcomer {
+	members := leader.engine.node.Members()
+	return lo.FilterMap(k.simulation.ids, func(id core.ControlID, _ int) (membership.Newcomer, bool) {
+		i := k.simulation.instances[id]
+		if !i.up || k.simulation.blocked[[2]core.ControlID{id, leader.options.Self}] {
+			return membership.Newcomer{}, false
+		}
+		self := i.engine.identity.Self
+		return membership.Newcomer{
+			Peer:    self,
+			Address: string(id),
+		}, !lo.ContainsBy(members, func(m raft.Member) bool { return m.Peer == self })
+	})
+}
+
+// whole reports whether the wanted number of live instances vote and hold what the leader holds, and no other is a member.
+func (k *membershipController) isComplete() bool {
+	leader := k.simulation.leader()
+	if leader == nil {
+		return false
+	}
+	members := leader.engine.node.Members()
+	return len(members) == len(k.simulation.ids) && lo.EveryBy(members, func(m raft.Member) bool {
+		i := k.simulation.instances[m.Peer.ID]
+		return m.Voter && slices.Contains(k.simulation.ids, m.Peer.ID) && i.up && i.engine.identity.Self == m.Peer &&
+			i.applier.applied+maxCaughtUpLag >= leader.applier.applied
+	})
+}
+
+// inject loses disks only while all others hold everything: two at once, with or without their instances.
+func (k *membershipController) inject() string {
+	w := k.simulation
+	if w.random.IntN(4) > 0 || !k.isComplete() {
+		return injectFault(w, &operator{simulation: w, repairing: "none"})
+	}
+	var lost []core.ControlID
+	for _, at := range w.random.Perm(len(w.ids))[:1+w.random.IntN(2)] {
+		lost = append(lost, w.ids[at])
+	}
+	for _, id := range lost {
+		w.instances[id].wipe()
+		if w.random.IntN(2) == 0 {
+			continue // comes back under its name, with another identity
+		}
+		k.idsAssigned++
+		w.ids = lo.Without(w.ids, id)
+		replacement := core.ControlID(fmt.Sprintf("c%d", k.idsAssigned))
+		w.ids = append(w.ids, replacement)
+		w.add(replacement, false)
+	}
+	return fmt.Sprintf("lost disks of %v", lost)
+}
+
+// Guards against a membership that is repaired into one which loses what was acknowledged: disks that are lost two at a time,
+// with instances that come back empty or under other names, while instances crash, freeze and are cut off in any direction.
+func TestKeptMembershipSchedules(t *testing.T) {
+	for seed := range uint64(*schedules) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			w := newSimulation(t, seed, wantedVoters)
+			k := newMembershipController(w)
+			runSchedule(t, w, schedule{
+				inject:   k.inject,
+				repair:   k.run,
+				repaired: k.isComplete,
+			})
+		})
+	}
+}
--- a/io/raftpeer/options.go
+++ b/io/raftpeer/options.go
@@ -18,28 +18,28 @@
 	// MaxCommandBytes bounds one proposed command.
 	MaxCommandBytes = 4 << 20
 
-	maxMembers         = 16
-	maxConnections     = 64
-	maxOutstanding     = 4096 // proposals and reads that wait at one instance
-	maxBatch           = 512  // events that share one sync
-	inputCapacity      = 1024
-	maxPendingEntries  = 8192 // committed entries that wait for the applier
-	applyCapacity      = 256
-	sendCapacity       = 1024
-	defaultTimeout     = 10 * time.Second // of a request whose context has no deadline
-	leaderPoll         = 250 * time.Millisecond
-	retryPause         = 20 * time.Millisecond
-	readAttempt        = 500 * time.Millisecond // a read that was lost is asked again
-	dialTimeout        = 500 * time.Millisecond
-	redialPause        = 100 * time.Millisecond
-	sendTimeout        = time.Second
-	pingInterval       = 500 * time.Millisecond
-	silenceTimeout     = 1500 * time.Millisecond // a connection without an answer to pings is replaced
-	bootstrapInterval  = 150 * time.Millisecond
-	introduceInterval  = time.Second           // an instance that is not a member tells the others its identity
-	introducedAge      = 3 * introduceInterval // after which one that has said nothing more is forgotten; two hellos may be lost
-	slowestTick        = 100 * time.Millisecond
-	connectionsBacklog = 16
+	maxMembers             = 16
+	maxConnections         = 64
+	maxOutstandingRequests = 4096 // proposals and reads that wait at one instance
+	maxBatchEvents         = 512  // events that share one sync
+	inputCapacity          = 1024
+	maxPendingEntries      = 8192 // committed entries that wait for the applier
+	applyCapacity          = 256
+	sendCapacity           = 1024
+	defaultRequestTimeout  = 10 * time.Second // of a request whose context has no deadline
+	leaderPollInterval     = 250 * time.Millisecond
+	retryDelay             = 20 * time.Millisecond
+	readAttemptTimeout     = 500 * time.Millisecond // a read that was lost is asked again
+	dialTimeout            = 500 * time.Millisecond
+	redialDelay            = 100 * time.Millisecond
+	sendTimeout            = time.Second
+	pingInterval           = 500 * time.Millisecond
+	silenceTimeout         = 1500 * time.Millisecond // a connection without an answer to pings is replaced
+	bootstrapInterval      = 150 * time.Millisecond
+	introduceInterval      = time.Second           // an instance that is not a member tells the others its identity
+	introductionMaxAge     = 3 * introduceInterval // after which one that has said nothing more is forgotten; two hellos may be lost
+	maxTimerInterval       = 100 * time.Millisecond
+	connectionsBacklog     = 16
 )
 
 // Member names a control instance as in the settings.
@@ -51,20 +51,20 @@
 
 // Options of a replica. Members lists all control instances, this one too.
 type Options struct {
-	Self       core.ControlID
-	DataFolder string
-	Listen     string
-	Members    []Member
-	Bootstrap  bool // agree on an initial membership with all Members if the data folder is empty
-	Open       bool // take part with instances that Members does not name, as they introduce themselves
-	Logger     zerolog.Logger
-	Metrics    *metrics.Set
+	Self          core.ControlID
+	DataFolder    string
+	Listen        string
+	Members       []Member
+	Bootstrap     bool // agree on an initial membership with all Members if the data folder is empty
+	AcceptUnknown bool // take part with instances that Members does not name, as they introduce themselves
+	Logger        zerolog.Logger
+	Metrics       *metrics.Set
 	// Receive takes the messages that other instances send with Send; nil drops them. It must not block.
 	Receive func(from core.ControlID, topic string, payload []byte)
 	// Folder replaces the data folder on the disk, for tests.
 	Folder disk.Folder
 
-	trailing core.LogIndex // replaces raft.TrailingEntries, for tests
+	trailingEntries core.LogIndex // replaces raft.TrailingEntries, for tests
 }
 
 func (o *Options) check() error {
@@ -90,7 +90,7 @@
 	return member
 }
 
-func (o *Options) wanted() []raft.Member {
+func (o *Options) bootstrapMembers() []raft.Member {
 	if !o.Bootstrap {
 		return nil
 	}
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -25,9 +25,9 @@
 
 // input is one item for the loop.
 type input struct {
-	event raft.Event
-	hello *raft.Hello
-	meet  []Member
+	event       raft.Event
+	hello       *raft.Hello
+	introduceTo []Member
 }
 
 // Replica is one control instance's replica of the log; it implements core.Replicator.
@@ -40,18 +40,18 @@
 	random   *rand.Rand // of the loop
 	requests *requests
 
-	inputs  *ring.Ring[input]
-	applies *ring.Ring[outcome]
-	stored  *ring.Ring[raft.Snapshot]
+	inputs          *ring.Ring[input]
+	applyQueue      *ring.Ring[stepResult]
+	storedSnapshots *ring.Ring[raft.Snapshot]
 
-	links   map[core.ControlID]*link // of the loop and of Send
-	linksMu sync.RWMutex
-	mu      sync.Mutex // guards heard
-	heard   map[core.ControlID]Introduction
-	told    map[core.ControlID]string // of the loop: addresses of members that others have named
+	links            map[core.ControlID]*link // of the loop and of Send
+	linksMu          sync.RWMutex
+	mu               sync.Mutex // guards heard
+	introductions    map[core.ControlID]Introduction
+	learnedAddresses map[core.ControlID]string // of the loop: addresses of members that others have named
 
-	introducedAt time.Time // of the loop
-	pending      outcome   // of the loop: results that the applier has not taken
+	introducedAt  time.Time  // of the loop
+	pendingResult stepResult // of the loop: results that the applier has not taken
 
 	status  atomic.Pointer[core.ReplicatorStatus]
 	members atomic.Pointer[[]raft.Member]
@@ -100,19 +100,19 @@
 func newReplica(options Options) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Replica{
-		options:  options,
-		random:   rand.New(rand.NewPCG(randomNumber(), randomNumber())),
-		requests: newRequests(randomNumber()),
-		inputs:   ring.New[input](inputCapacity),
-		applies:  ring.New[outcome](applyCapacity),
-		stored:   ring.New[raft.Snapshot](applyCapacity),
-		links:    make(map[core.ControlID]*link),
-		heard:    make(map[core.ControlID]Introduction),
-		told:     make(map[core.ControlID]string),
-		context:  ctx,
-		cancel:   cancel,
-		stopped:  make(chan struct{}),
-		failed:   make(chan error, 1),
+		options:          options,
+		random:           rand.New(rand.NewPCG(randomNumber(), randomNumber())),
+		requests:         newRequests(randomNumber()),
+		inputs:           ring.New[input](inputCapacity),
+		applyQueue:       ring.New[stepResult](applyCapacity),
+		storedSnapshots:  ring.New[raft.Snapshot](applyCapacity),
+		links:            make(map[core.ControlID]*link),
+		introductions:    make(map[core.ControlID]Introduction),
+		learnedAddresses: make(map[core.ControlID]string),
+		context:          ctx,
+		cancel:           cancel,
+		stopped:          make(chan struct{}),
+		failed:           make(chan error, 1),
 	}
 	r.options.Logger = options.Logger.With().Str("instance", string(options.Self)).Logger()
 	r.status.Store(&core.ReplicatorStatus{
@@ -141,7 +141,7 @@
 		return err
 	}
 	r.applied.Store(uint64(r.applier.applied))
-	r.publish()
+	r.publishStatus()
 	return nil
 }
 
@@ -193,14 +193,14 @@
 	hellos := time.NewTicker(bootstrapInterval)
 	defer hellos.Stop()
 	for {
-		timer.Reset(min(slowestTick, max(time.Until(r.engine.node.NextDeadline()), 0)))
+		timer.Reset(min(maxTimerInterval, max(time.Until(r.engine.node.NextDeadline()), 0)))
 		var batch []input
 		select {
 		case <-r.context.Done():
 			return
 		case first := <-r.inputs.Items():
-			batch = r.drain(first)
-		case snapshot := <-r.stored.Items():
+			batch = r.collectBatch(first)
+		case snapshot := <-r.storedSnapshots.Items():
 			if err := r.snapshotStored(snapshot); err != nil {
 				r.fail(err)
 				return
@@ -217,9 +217,9 @@
 }
 
 // drain takes what waits, so that one sync serves many events.
-func (r *Replica) drain(first input) []input {
+func (r *Replica) collectBatch(first input) []input {
 	batch := []input{first}
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchEvents {
 		select {
 		case next := <-r.inputs.Items():
 			batch = append(batch, next)
@@ -233,8 +233,8 @@
 func (r *Replica) handle(batch []input) error {
 	events := make([]raft.Event, 0, len(batch))
 	for _, in := range batch {
-		if in.meet != nil {
-			r.follow(lo.Map(in.meet, func(m Member, _ int) raft.Member {
+		if in.introduceTo != nil {
+			r.learnMembers(lo.Map(in.introduceTo, func(m Member, _ int) raft.Member {
 				return raft.Member{
 					Peer: raft.Peer{
 						ID: m.ID,
@@ -246,7 +246,7 @@
 		}
 		if in.hello == nil {
 			events = append(events, in.event)
-		} else if err := r.hear(in.hello); err != nil {
+		} else if err := r.receiveHello(in.hello); err != nil {
 			return err
 		}
 	}
@@ -264,25 +264,25 @@
 		})
 	}
 	result.refused = nil
-	r.publish()
-	r.handOver(result)
+	r.publishStatus()
+	r.passToApplier(result)
 	return nil
 }
 
-// handOver gives results to the applier. While that is busy, as during a snapshot, they are joined and the loop goes on,
+// passToApplier gives results to the applier. While that is busy, as during a snapshot, they are joined and the loop goes on,
 // so that heartbeats are not late; it waits only once very many entries are left.
-func (r *Replica) handOver(result outcome) {
-	r.pending.join(result)
-	if r.pending.isEmpty() {
+func (r *Replica) passToApplier(result stepResult) {
+	r.pendingResult.join(result)
+	if r.pendingResult.isEmpty() {
 		return
 	}
-	if r.pending.install == nil && len(r.pending.committed) < maxPendingEntries && r.applies.Len() == applyCapacity {
+	if r.pendingResult.install == nil && len(r.pendingResult.committed) < maxPendingEntries && r.applyQueue.Len() == applyCapacity {
 		return
 	}
-	if err := r.applies.Push(r.context, r.pending); err != nil {
+	if err := r.applyQueue.Push(r.context, r.pendingResult); err != nil {
 		return // the replica is being stopped
 	}
-	r.pending = outcome{}
+	r.pendingResult = stepResult{}
 }
 
 func (r *Replica) snapshotStored(snapshot raft.Snapshot) error {
@@ -294,7 +294,7 @@
 
 func (r *Replica) applyLoop() {
 	for {
-		next, err := r.applies.Pop(r.context)
+		next, err := r.applyQueue.Pop(r.context)
 		if err != nil {
 			return
 		}
@@ -304,14 +304,14 @@
 			return
 		}
 		r.applied.Store(uint64(r.applier.applied))
-		if snapshot != nil && r.stored.Push(r.context, *snapshot) != nil {
+		if snapshot != nil && r.storedSnapshots.Push(r.context, *snapshot) != nil {
 			return
 		}
 	}
 }
 
 // publish makes the status readable and logs changes of role, leader and membership.
-func (r *Replica) publish() {
+func (r *Replica) publishStatus() {
 	status := r.engine.node.Status()
 	before := r.status.Swap(&status)
 	members := r.engine.node.Members()
@@ -367,19 +367,19 @@
 
 // NonMembers returns the instances that have introduced themselves and are not members: those to add or to replace.
 func (r *Replica) NonMembers() []raft.Peer {
-	return lo.Map(r.introduced(func(Introduction) bool { return true }), func(i Introduction, _ int) raft.Peer { return i.Peer })
+	return lo.Map(r.nonMembers(func(Introduction) bool { return true }), func(i Introduction, _ int) raft.Peer { return i.Peer })
 }
 
 // Newcomers returns the introductions of the last seconds from instances that are not members.
-func (r *Replica) Newcomers(now time.Time) []Introduction {
-	return r.introduced(func(i Introduction) bool { return now.Sub(i.At) <= introducedAge })
+func (r *Replica) RecentNonMembers(now time.Time) []Introduction {
+	return r.nonMembers(func(i Introduction) bool { return now.Sub(i.At) <= introductionMaxAge })
 }
 
-func (r *Replica) introduced(selected func(Introduction) bool) []Introduction {
+func (r *Replica) nonMembers(selected func(Introduction) bool) []Introduction {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []Introduction
-	for _, each := range r.heard {
+	for _, each := range r.introductions {
 		if selected(each) && !lo.ContainsBy(r.Members(), func(m raft.Member) bool { return m.Peer == each.Peer }) {
 			list = append(list, each)
 		}
@@ -395,7 +395,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.heard[change.Peer.ID].Peer.Identity
+	return r.introductions[change.Peer.ID].Peer.Identity
 }
 
 func randomNumber() uint64 {
--- a/io/raftpeer/replica_test.go
+++ b/io/raftpeer/replica_test.go
@@ -214,7 +214,7 @@
 	c := qt.New(t)
 	a, err := newApplier(nil, refusing{}, raft.Snapshot{}, func(raft.RequestID, []byte) { t.Error("the command was answered") })
 	c.Assert(err, qt.IsNil)
-	_, err = a.apply(outcome{committed: []raft.Entry{{Index: 1, Kind: raft.EntryCommand}}})
+	_, err = a.apply(stepResult{committed: []raft.Entry{{Index: 1, Kind: raft.EntryCommand}}})
 	c.Assert(errors.Is(err, io.ErrUnexpectedEOF), qt.IsTrue)
 	c.Assert(a.applied, qt.Equals, core.LogIndex(0))
 }
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -35,7 +35,7 @@
 func (r *requests) add() (raft.RequestID, chan answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.waiting) >= maxOutstanding {
+	if len(r.waiting) >= maxOutstandingRequests {
 		return raft.RequestID{}, nil, false
 	}
 	r.sequence++
@@ -70,7 +70,7 @@
 	if _, limited := ctx.Deadline(); limited {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, defaultTimeout)
+	return context.WithTimeout(ctx, defaultRequestTimeout)
 }
 
 // Propose implements core.Replicator.
@@ -149,7 +149,7 @@
 // then ask again instead of waiting for the whole deadline.
 func (r *Replica) wait(ctx context.Context, answered <-chan answer) (answer, error) {
 	term, changed := r.Status().Term, 0
-	poll := time.NewTicker(leaderPoll)
+	poll := time.NewTicker(leaderPollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -172,7 +172,7 @@
 
 func (r *Replica) pause(ctx context.Context) bool {
 	select {
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 		return true
 	case <-ctx.Done():
 		return false
@@ -187,7 +187,7 @@
 	defer cancel()
 	r.counters.reads.Inc()
 	for {
-		attempt, end := context.WithTimeout(ctx, readAttempt)
+		attempt, end := context.WithTimeout(ctx, readAttemptTimeout)
 		a, err := r.attempt(attempt, func(id raft.RequestID) raft.Event {
 			return raft.ReadRequested{
 				Request: id,
--- a/io/raftpeer/schedule_test.go
+++ b/io/raftpeer/schedule_test.go
@@ -25,7 +25,7 @@
 
 // history records what clients asked and saw; a write without an answer may take effect at any later time.
 type history struct {
-	world      *world
+	simulation *simulation
 	operations []porcupine.Operation
 	clients    []*client
 	values     int
@@ -65,9 +65,9 @@
 func (h *history) run() {
 	for _, c := range h.clients {
 		switch {
-		case c.busy && h.world.now.After(c.timeout):
+		case c.busy && h.simulation.now.After(c.timeout):
 			c.giveUp()
-		case !c.busy && h.world.now.After(c.next):
+		case !c.busy && h.simulation.now.After(c.next):
 			h.begin(c)
 		}
 	}
@@ -75,7 +75,7 @@
 
 // begin starts an operation at a random instance.
 func (h *history) begin(c *client) {
-	w := h.world
+	w := h.simulation
 	at := w.instances[w.ids[w.random.IntN(len(w.ids))]]
 	c.next = w.now.Add(time.Duration(w.random.IntN(150)) * time.Millisecond)
 	if !at.up {
@@ -120,30 +120,30 @@
 }
 
 func (h *history) check() {
-	h.world.t.Helper()
+	h.simulation.t.Helper()
 	if result := porcupine.CheckOperationsTimeout(registerModel, h.operations, 30*time.Second); result != porcupine.Ok {
-		h.world.t.Fatalf("history of %d operations: linearizable: %v", len(h.operations), result)
+		h.simulation.t.Fatalf("history of %d operations: linearizable: %v", len(h.operations), result)
 	}
 }
 
 // operator replaces an instance that has lost its disk, and adds one again that it has removed.
 type operator struct {
-	world    *world
-	repairs  core.ControlID // empty if all instances are members and no disk is lost
-	next     time.Time
-	removes  bool
-	promoted bool
+	simulation *simulation
+	repairing  core.ControlID // empty if all instances are members and no disk is lost
+	next       time.Time
+	removing   bool
+	promoted   bool
 }
 
 func (o *operator) run() {
-	leader := o.world.leader()
-	if o.repairs == "" || leader == nil || o.world.now.Before(o.next) || !o.world.instances[o.repairs].up {
+	leader := o.simulation.leader()
+	if o.repairing == "" || leader == nil || o.simulation.now.Before(o.next) || !o.simulation.instances[o.repairing].up {
 		return
 	}
-	o.next = o.world.now.Add(700 * time.Millisecond)
-	peer := o.world.instances[o.repairs].engine.identity.Self
+	o.next = o.simulation.now.Add(700 * time.Millisecond)
+	peer := o.simulation.instances[o.repairing].engine.identity.Self
 	if o.promoted {
-		o.repairs, o.promoted = "", false
+		o.repairing, o.promoted = "", false
 		return
 	}
 	kind := raft.ChangeAdd
@@ -151,20 +151,20 @@
 		switch {
 		case member.Peer.ID == peer.ID && member.Peer != peer:
 			kind = raft.ChangeReplace
-		case member.Peer == peer && o.removes:
+		case member.Peer == peer && o.removing:
 			kind = raft.ChangeRemove
 		case member.Peer == peer:
 			kind = raft.ChangePromote
 		}
 	}
-	o.world.changeOnce(leader, kind, o.repairs, func(refused string) {
-		o.removes = o.removes && (refused != "" || kind != raft.ChangeRemove)
+	o.simulation.changeOnce(leader, kind, o.repairing, func(refused string) {
+		o.removing = o.removing && (refused != "" || kind != raft.ChangeRemove)
 		o.promoted = o.promoted || refused == "" && kind == raft.ChangePromote
 	})
 }
 
 // injectFault does one random thing; of the disks, at most one is lost at a time.
-func injectFault(w *world, o *operator) string {
+func injectFault(w *simulation, o *operator) string {
 	id := w.ids[w.random.IntN(len(w.ids))]
 	other := w.ids[w.random.IntN(len(w.ids))]
 	i := w.instances[id]
@@ -179,14 +179,14 @@
 		w.isolate(id, true, true)
 		return "cut of " + string(id)
 	case 3:
-		w.cut[[2]core.ControlID{id, other}] = true
+		w.blocked[[2]core.ControlID{id, other}] = true
 		return fmt.Sprintf("cut from %s to %s", id, other)
 	case 4:
-		clear(w.cut)
+		clear(w.blocked)
 		return "network healed"
 	case 5:
-		w.drop, w.slow = 0.3*w.random.Float64(), w.random.IntN(2) == 0
-		return fmt.Sprintf("drop %.2f slow %v", w.drop, w.slow)
+		w.drop, w.delayed = 0.3*w.random.Float64(), w.random.IntN(2) == 0
+		return fmt.Sprintf("drop %.2f slow %v", w.drop, w.delayed)
 	case 6:
 		if i.up {
 			i.crash()
@@ -196,22 +196,22 @@
 		i.folder.FailSyncs(i.up)
 		return "crash in the next sync of " + string(id)
 	case 8:
-		i.frozen = w.now.Add(time.Duration(w.random.IntN(3000)) * time.Millisecond)
+		i.frozenUntil = w.now.Add(time.Duration(w.random.IntN(3000)) * time.Millisecond)
 		return "freeze of " + string(id)
 	case 9:
-		if o.repairs == "" {
+		if o.repairing == "" {
 			i.wipe()
-			o.repairs = id
+			o.repairing = id
 			return "wiped disk of " + string(id)
 		}
 	case 10:
 		if leader := w.leader(); leader != nil {
-			leader.own = append(leader.own, raft.HandOverRequested{})
+			leader.localEvents = append(leader.localEvents, raft.HandOverRequested{})
 		}
 		return "handover"
 	case 11:
-		if o.repairs == "" {
-			o.repairs, o.removes = id, true
+		if o.repairing == "" {
+			o.repairing, o.removing = id, true
 			return "removal of " + string(id)
 		}
 	}
@@ -230,9 +230,9 @@
 	repaired func() bool
 }
 
-func runSchedule(t *testing.T, w *world, s schedule) {
+func runSchedule(t *testing.T, w *simulation, s schedule) {
 	h := &history{
-		world: w,
+		simulation: w,
 	}
 	for id := range 5 {
 		h.clients = append(h.clients, &client{
@@ -256,7 +256,7 @@
 	}
 	w.heal()
 	healed := w.now.Add(3 * time.Second)
-	w.until(30*time.Second, "repair", func() bool {
+	w.advanceUntil(30*time.Second, "repair", func() bool {
 		h.run()
 		s.repair()
 		return s.repaired() && w.now.After(healed)
@@ -279,12 +279,12 @@
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, seed, 3+2*int(seed%2))
-			o := &operator{world: w}
+			w := newSimulation(t, seed, 3+2*int(seed%2))
+			o := &operator{simulation: w}
 			runSchedule(t, w, schedule{
 				inject:   func() string { return injectFault(w, o) },
 				repair:   o.run,
-				repaired: func() bool { return o.repairs == "" },
+				repaired: func() bool { return o.repairing == "" },
 			})
 		})
 	}
--- a/io/raftpeer/world_test.go
+++ b/io/raftpeer/simulation_test.go
@@ -35,54 +35,54 @@
 }
 
 // world runs the engines of all instances over fake disks and a fake network in passed-in time, on one goroutine.
-type world struct {
-	t         testing.TB
-	random    *rand.Rand
-	now       time.Time
-	ids       []core.ControlID
-	instances map[core.ControlID]*instance
-	packets   []packet
-	cut       map[[2]core.ControlID]bool // from, to
-	drop      float64
-	slow      bool // some packets are late, out of order or doubled
-	leaders   map[core.Term]core.ControlID
-	applied   map[core.LogIndex]raft.Entry
-	sequence  uint64
-	done      map[raft.RequestID]func(refused string)
-	lose      func(raft.Message) bool // called for each sent message
-	heard     func(from, to core.ControlID)
+type simulation struct {
+	t           testing.TB
+	random      *rand.Rand
+	now         time.Time
+	ids         []core.ControlID
+	instances   map[core.ControlID]*instance
+	packets     []packet
+	blocked     map[[2]core.ControlID]bool // from, to
+	drop        float64
+	delayed     bool // some packets are late, out of order or doubled
+	leaders     map[core.Term]core.ControlID
+	applied     map[core.LogIndex]raft.Entry
+	sequence    uint64
+	done        map[raft.RequestID]func(refused string)
+	loseMessage func(raft.Message) bool // called for each sent message
+	onDelivery  func(from, to core.ControlID)
 }
 
 type packet struct {
-	at       time.Time
-	from, to core.ControlID
-	message  raft.Message
-	hello    *raft.Hello
+	deliverAt time.Time
+	from, to  core.ControlID
+	message   raft.Message
+	hello     *raft.Hello
 }
 
 type instance struct {
-	world    *world
-	options  Options
-	folder   *disktest.Memory
-	engine   *engine
-	applier  *applier
-	machine  registers
-	up       bool
-	frozen   time.Time
-	fault    error
-	inbox    []packet
-	own      []raft.Event
-	helloAt  time.Time
-	interval core.LogIndex
-}
-
-func newWorld(t testing.TB, seed uint64, size int) *world {
-	w := &world{
+	simulation       *simulation
+	options          Options
+	folder           *disktest.Memory
+	engine           *engine
+	applier          *applier
+	machine          registers
+	up               bool
+	frozenUntil      time.Time
+	fault            error
+	inbox            []packet
+	localEvents      []raft.Event
+	helloAt          time.Time
+	snapshotInterval core.LogIndex
+}
+
+func newSimulation(t testing.TB, seed uint64, size int) *simulation {
+	w := &simulation{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		now:       time.Unix(1_700_000_000, 0),
 		instances: make(map[core.ControlID]*instance),
-		cut:       make(map[[2]core.ControlID]bool),
+		blocked:   make(map[[2]core.ControlID]bool),
 		leaders:   make(map[core.Term]core.ControlID),
 		applied:   make(map[core.LogIndex]raft.Entry),
 		done:      make(map[raft.RequestID]func(string)),
@@ -96,28 +96,28 @@
 	return w
 }
 
-func (w *world) add(id core.ControlID, bootstrap bool) {
+func (w *simulation) add(id core.ControlID, bootstrap bool) {
 	i := &instance{
-		world: w,
+		simulation: w,
 		options: Options{
-			Self:      id,
-			Members:   lo.Map(w.ids, func(id core.ControlID, _ int) Member { return Member{ID: id} }),
-			Bootstrap: bootstrap,
-			trailing:  10,
+			Self:            id,
+			Members:         lo.Map(w.ids, func(id core.ControlID, _ int) Member { return Member{ID: id} }),
+			Bootstrap:       bootstrap,
+			trailingEntries: 10,
 		},
-		folder:   disktest.NewMemory(),
-		interval: 25,
+		folder:           disktest.NewMemory(),
+		snapshotInterval: 25,
 	}
 	w.instances[id] = i
 	i.start()
 }
 
 func (i *instance) start() {
-	w := i.world
+	w := i.simulation
 	var err error
-	i.machine, i.inbox, i.own = registers{}, nil, nil
+	i.machine, i.inbox, i.localEvents = registers{}, nil, nil
 	send := func(m raft.Message) {
-		if w.lose != nil && w.lose(m) {
+		if w.loseMessage != nil && w.loseMessage(m) {
 			return
 		}
 		w.transmit(packet{
@@ -133,13 +133,13 @@
 	if i.applier, err = newApplier(i.engine.store, i.machine, i.engine.restored.Snapshot, w.finish); err != nil {
 		w.t.Fatalf("start %s: %v", i.options.Self, err)
 	}
-	i.applier.interval = i.interval
+	i.applier.snapshotInterval = i.snapshotInterval
 	i.up = true
 }
 
 func (i *instance) crash() {
 	i.up = false
-	i.folder.Crash(i.world.random)
+	i.folder.Crash(i.simulation.random)
 	i.folder.FailSyncs(false)
 }
 
@@ -148,37 +148,37 @@
 	i.folder.Wipe()
 }
 
-func (w *world) finish(request raft.RequestID, _ []byte) { w.answer(request, "") }
+func (w *simulation) finish(request raft.RequestID, _ []byte) { w.answer(request, "") }
 
-func (w *world) answer(request raft.RequestID, refused string) {
+func (w *simulation) answer(request raft.RequestID, refused string) {
 	if done, exists := w.done[request]; exists {
 		delete(w.done, request)
 		done(refused)
 	}
 }
 
-func (w *world) transmit(p packet) {
-	if w.cut[[2]core.ControlID{p.from, p.to}] || w.random.Float64() < w.drop {
+func (w *simulation) transmit(p packet) {
+	if w.blocked[[2]core.ControlID{p.from, p.to}] || w.random.Float64() < w.drop {
 		return
 	}
-	p.at = w.now.Add(time.Duration(1+w.random.IntN(3)) * time.Millisecond)
-	if w.slow && w.random.IntN(20) == 0 {
-		p.at = p.at.Add(time.Duration(w.random.IntN(1500)) * time.Millisecond)
+	p.deliverAt = w.now.Add(time.Duration(1+w.random.IntN(3)) * time.Millisecond)
+	if w.delayed && w.random.IntN(20) == 0 {
+		p.deliverAt = p.deliverAt.Add(time.Duration(w.random.IntN(1500)) * time.Millisecond)
 	}
 	w.packets = append(w.packets, p)
-	if w.slow && w.random.IntN(20) == 0 && p.message.Kind != raft.KindPropose {
-		p.at = p.at.Add(time.Duration(w.random.IntN(300)) * time.Millisecond)
+	if w.delayed && w.random.IntN(20) == 0 && p.message.Kind != raft.KindPropose {
+		p.deliverAt = p.deliverAt.Add(time.Duration(w.random.IntN(300)) * time.Millisecond)
 		w.packets = append(w.packets, p)
 	}
 }
 
 // advance runs the world for a time.
-func (w *world) advance(d time.Duration) {
+func (w *simulation) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
 		w.deliver()
 		for _, id := range w.ids {
-			if i := w.instances[id]; i.up && !w.now.Before(i.frozen) {
+			if i := w.instances[id]; i.up && !w.now.Before(i.frozenUntil) {
 				i.run()
 			}
 		}
@@ -187,7 +187,7 @@
 }
 
 // until advances until the condition holds and fails the test if that takes longer than the limit.
-func (w *world) until(limit time.Duration, what string, holds func() bool) {
+func (w *simulation) advanceUntil(limit time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	for end := w.now.Add(limit); !holds(); w.advance(tick) {
 		if w.now.After(end) {
@@ -196,22 +196,22 @@
 	}
 }
 
-func (w *world) describe() string {
+func (w *simulation) describe() string {
 	return strings.Join(lo.Map(w.ids, func(id core.ControlID, _ int) string {
 		i := w.instances[id]
 		return fmt.Sprintf("%s up=%v %+v", id, i.up, i.engine.node.Status())
 	}), "; ")
 }
 
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	late := w.packets[:0:0]
 	for _, p := range w.packets {
-		if p.at.After(w.now) {
+		if p.deliverAt.After(w.now) {
 			late = append(late, p)
 		} else if to := w.instances[p.to]; to.up && len(to.inbox) < 2000 {
 			to.inbox = append(to.inbox, p)
-			if w.heard != nil {
-				w.heard(p.from, p.to)
+			if w.onDelivery != nil {
+				w.onDelivery(p.from, p.to)
 			}
 		}
 	}
@@ -220,33 +220,33 @@
 
 // run gives an instance what has arrived, as one batch.
 func (i *instance) run() {
-	if i.up && i.engine.bootstrap.Pending() && !i.world.now.Before(i.helloAt) {
-		i.helloAt = i.world.now.Add(bootstrapInterval)
-		for _, id := range i.world.ids {
-			i.sayHello(id, false)
+	if i.up && i.engine.bootstrap.Pending() && !i.simulation.now.Before(i.helloAt) {
+		i.helloAt = i.simulation.now.Add(bootstrapInterval)
+		for _, id := range i.simulation.ids {
+			i.sendHello(id, false)
 		}
 	}
-	events := i.own
+	events := i.localEvents
 	inbox := i.inbox
-	i.own, i.inbox = nil, nil
+	i.localEvents, i.inbox = nil, nil
 	for _, p := range inbox {
 		if p.hello == nil {
 			events = append(events, raft.Received{Message: p.message})
-		} else if err := i.engine.hear(i.world.now, p.hello, i.world.random); err != nil {
-			i.failed(err)
+		} else if err := i.engine.receiveHello(i.simulation.now, p.hello, i.simulation.random); err != nil {
+			i.stopOnFault(err)
 			return
 		} else if !p.hello.Answer {
-			i.sayHello(p.from, true)
+			i.sendHello(p.from, true)
 		}
 	}
-	if len(events) > 0 || !i.world.now.Before(i.engine.node.NextDeadline()) {
+	if len(events) > 0 || !i.simulation.now.Before(i.engine.node.NextDeadline()) {
 		i.step(events...)
 	}
 }
 
-func (i *instance) sayHello(to core.ControlID, answer bool) {
+func (i *instance) sendHello(to core.ControlID, answer bool) {
 	if to != i.options.Self {
-		i.world.transmit(packet{
+		i.simulation.transmit(packet{
 			from:  i.options.Self,
 			to:    to,
 			hello: i.engine.hello(answer),
@@ -255,15 +255,15 @@
 }
 
 func (i *instance) step(events ...raft.Event) {
-	result, err := i.engine.step(i.world.now, events...)
+	result, err := i.engine.step(i.simulation.now, events...)
 	if err != nil {
-		i.failed(err)
+		i.stopOnFault(err)
 		return
 	}
 	for _, refusal := range result.refused {
-		i.world.answer(refusal.Request, refusal.Reason)
+		i.simulation.answer(refusal.Request, refusal.Reason)
 	}
-	i.world.checkCommitted(i.options.Self, result.committed)
+	i.simulation.checkCommitted(i.options.Self, result.committed)
 	snapshot, err := i.applier.apply(result)
 	if err == nil && snapshot != nil {
 		i.step(raft.SnapshotStored{Snapshot: *snapshot})
@@ -272,18 +272,18 @@
 		}
 	}
 	if err != nil && i.up {
-		i.failed(err)
+		i.stopOnFault(err)
 	}
 }
 
 // failed ends the process, as a disk fault does.
-func (i *instance) failed(err error) {
+func (i *instance) stopOnFault(err error) {
 	i.fault = err
 	i.crash()
 }
 
 // checkCommitted guards against a committed entry that differs between instances or changes.
-func (w *world) checkCommitted(id core.ControlID, entries []raft.Entry) {
+func (w *simulation) checkCommitted(id core.ControlID, entries []raft.Entry) {
 	for _, entry := range entries {
 		known, exists := w.applied[entry.Index]
 		if exists && (known.Term != entry.Term || string(known.Command) != string(entry.Command)) {
@@ -294,7 +294,7 @@
 }
 
 // checkLeaders guards against two leaders in one term.
-func (w *world) checkLeaders() {
+func (w *simulation) checkLeaders() {
 	for _, id := range w.ids {
 		i := w.instances[id]
 		status := i.engine.node.Status()
@@ -308,28 +308,28 @@
 	}
 }
 
-func (w *world) leader() *instance {
+func (w *simulation) leader() *instance {
 	for _, id := range w.ids {
-		if i := w.instances[id]; i.leads() {
+		if i := w.instances[id]; i.isLeader() {
 			return i
 		}
 	}
 	return nil
 }
 
-func (i *instance) leads() bool {
+func (i *instance) isLeader() bool {
 	return i.up && i.engine.node.Status().Role == string(raft.Leader)
 }
 
 // request hands an event to an instance; done is called with a refusal or with "" once the request is finished.
 func (i *instance) request(event func(raft.RequestID) raft.Event, done func(refused string)) raft.RequestID {
-	i.world.sequence++
+	i.simulation.sequence++
 	id := raft.RequestID{
 		Run:      1,
-		Sequence: i.world.sequence,
+		Sequence: i.simulation.sequence,
 	}
-	i.world.done[id] = done
-	i.own = append(i.own, event(id))
+	i.simulation.done[id] = done
+	i.localEvents = append(i.localEvents, event(id))
 	return id
 }
 
@@ -351,10 +351,10 @@
 }
 
 // write proposes at the leader until the command is committed.
-func (w *world) write(command string) {
+func (w *simulation) write(command string) {
 	w.t.Helper()
 	committed, pending := false, false
-	w.until(10*time.Second, "write "+command, func() bool {
+	w.advanceUntil(10*time.Second, "write "+command, func() bool {
 		if leader := w.leader(); leader != nil && !pending {
 			pending = true
 			leader.propose(command, func(refused string) { committed, pending = refused == "", false })
@@ -364,11 +364,11 @@
 }
 
 // change asks the leader for a membership change until it is committed.
-func (w *world) change(kind raft.ChangeKind, id core.ControlID) {
+func (w *simulation) change(kind raft.ChangeKind, id core.ControlID) {
 	w.t.Helper()
 	committed := false
 	var next time.Time
-	w.until(10*time.Second, string(kind)+" "+string(id), func() bool {
+	w.advanceUntil(10*time.Second, string(kind)+" "+string(id), func() bool {
 		if leader := w.leader(); leader != nil && !w.now.Before(next) {
 			next = w.now.Add(time.Second)
 			w.changeOnce(leader, kind, id, func(refused string) { committed = committed || refused == "" })
@@ -377,7 +377,7 @@
 	})
 }
 
-func (w *world) changeOnce(leader *instance, kind raft.ChangeKind, id core.ControlID, done func(string)) {
+func (w *simulation) changeOnce(leader *instance, kind raft.ChangeKind, id core.ControlID, done func(string)) {
 	leader.request(func(request raft.RequestID) raft.Event {
 		return raft.Proposed{
 			Request: request,
@@ -390,19 +390,19 @@
 }
 
 // isolate cuts an instance off in the given directions.
-func (w *world) isolate(id core.ControlID, outgoing, incoming bool) {
+func (w *simulation) isolate(id core.ControlID, outgoing, incoming bool) {
 	for _, other := range w.ids {
-		w.cut[[2]core.ControlID{id, other}] = outgoing
-		w.cut[[2]core.ControlID{other, id}] = incoming
+		w.blocked[[2]core.ControlID{id, other}] = outgoing
+		w.blocked[[2]core.ControlID{other, id}] = incoming
 	}
 }
 
-func (w *world) heal() {
-	clear(w.cut)
-	w.drop, w.slow = 0, false
+func (w *simulation) heal() {
+	clear(w.blocked)
+	w.drop, w.delayed = 0, false
 	for _, id := range w.ids {
 		i := w.instances[id]
-		i.frozen = time.Time{}
+		i.frozenUntil = time.Time{}
 		i.folder.FailSyncs(false)
 		if !i.up {
 			i.start()
@@ -411,15 +411,15 @@
 }
 
 // others returns the ids apart from the given ones.
-func (w *world) others(ids ...core.ControlID) []core.ControlID {
+func (w *simulation) others(ids ...core.ControlID) []core.ControlID {
 	return lo.Reject(w.ids, func(id core.ControlID, _ int) bool { return slices.Contains(ids, id) })
 }
 
 // converge waits until all instances have applied the same state.
-func (w *world) converge() {
+func (w *simulation) converge() {
 	w.t.Helper()
 	w.write("last=1")
-	w.until(20*time.Second, "converge", func() bool {
+	w.advanceUntil(20*time.Second, "converge", func() bool {
 		first := w.instances[w.ids[0]]
 		return lo.EveryBy(w.ids, func(id core.ControlID) bool {
 			return w.instances[id].up && w.instances[id].applier.applied == first.applier.applied
