--- a/core/raft/bootstrap.go
+++ b/core/raft/bootstrap.go
@@ -8,33 +8,34 @@
 	"parsleyport/core"
 )
 
-// Hello tells other instances of an identity, and of the initial membership that its data folder has stored.
+// Hello announces an instance's identity and the initial membership that its data folder has stored.
 type Hello struct {
 	From    Peer     `msgpack:"from"`
 	Initial []Member `msgpack:"initial,omitempty"`
-	Started bool     `msgpack:"started"` // the deployment is known to have started
+	Started bool     `msgpack:"started"` // the sender knows that the deployment has started
 	Answer  bool     `msgpack:"answer"`
 
-	Address    string          `msgpack:"address,omitempty"` // of the sender, for instances whose settings do not name it
+	Address    string          `msgpack:"address,omitempty"` // of the sender, for receivers whose settings do not list it
 	DataCentre core.DataCentre `msgpack:"data-centre,omitempty"`
-	Members    []Member        `msgpack:"members,omitempty"` // of an answer: whom to introduce oneself to
+	Members    []Member        `msgpack:"members,omitempty"` // in answers: the members that the receiver should send its hello to
 }
 
 // Bootstrap agrees on the identities of the initial members. An instance starts only after every initial member has
-// stored the same identities, so a disk that is wiped at any time after that is recognised even if the settings still
+// stored the same identities. A disk that is wiped at any later time is therefore recognised, even if the settings still
 // ask for a bootstrap.
 type Bootstrap struct {
 	self        Peer
-	configured  []Member // from the settings, without identities; empty unless a bootstrap is asked for
+	configured  []Member // from the settings, without identities; empty if no bootstrap is requested
 	initial     []Member
 	started     bool
-	foreign     bool // another instance has stored an initial membership without this identity
+	foreign     bool // another instance has stored an initial membership that lacks this identity
 	identities  map[core.ControlID]Identity
-	dataCentres map[core.ControlID]core.DataCentre // as the instances say, for settings that do not name them
+	dataCentres map[core.ControlID]core.DataCentre // as announced, for members whose data centre the settings do not give
 	agreed      map[core.ControlID]bool
 }
 
-// NewBootstrap returns the decision for a folder that has stored initial (or nothing) and has or has not started.
+// NewBootstrap returns the state for a data folder that has stored the initial membership (empty if it has none) and that
+// holds a log or snapshot if started is set.
 func NewBootstrap(self Peer, wanted, initial []Member, started bool) *Bootstrap {
 	return &Bootstrap{
 		self:        self,
@@ -47,7 +48,7 @@
 	}
 }
 
-// Step takes a hello, or only checks what is known if it is nil. It returns a membership to be synced before the next
+// Step handles a hello; nil only checks what is known already. It returns a membership that must be synced before the next
 // hello is sent, and whether the instance may start with the initial membership.
 func (b *Bootstrap) Step(hello *Hello) (store []Member, start bool) {
 	if !b.Pending() {
@@ -68,7 +69,7 @@
 
 func (b *Bootstrap) receive(hello Hello) {
 	if hello.Started && len(hello.Initial) == 0 {
-		b.foreign = true // a learner of a deployment that has started
+		b.foreign = true // the sender is a learner of a deployment that has already started
 		return
 	}
 	if len(hello.Initial) == 0 {
@@ -107,7 +108,7 @@
 	return b.started
 }
 
-// Hello returns what the instance tells the others; joined says that it has become a member in another way.
+// Hello returns the announcement to send; joined means that the instance became a member after the bootstrap.
 func (b *Bootstrap) Hello(answer, joined bool) Hello {
 	return Hello{
 		From:    b.self,
@@ -117,24 +118,24 @@
 	}
 }
 
-// Pending reports that the agreement is under way. Until it ends, the instance must not vote or store entries, since
-// it will start with the initial state.
+// Pending reports whether the agreement is in progress. Until it ends, the instance must neither vote nor store entries,
+// since it will start with the initial state.
 func (b *Bootstrap) Pending() bool {
 	return !b.started && !b.foreign && (len(b.configured) > 0 || len(b.initial) > 0)
 }
 
-// Foreign reports that the deployment has started without this identity, as after the loss of a disk.
+// Foreign reports whether the deployment has started without this identity, as after the loss of a disk.
 func (b *Bootstrap) Foreign() bool {
 	return b.foreign
 }
 
-// Started reports that the instance has the initial membership.
+// Started reports whether the instance has started with the initial membership.
 func (b *Bootstrap) Started() bool {
 	return b.started
 }
 
-// InitialState returns what the data folder of an initial member holds at its start. The initial membership is the
-// first entry, so that learners receive it with the log.
+// InitialState returns the state that an initial member's data folder starts with. The initial membership is the first log
+// entry, so that learners receive it with the log.
 func InitialState(initial []Member) (HardState, []Entry) {
 	state := HardState{
 		Term: 1,
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -2,7 +2,7 @@
 
 import "parsleyport/core/statechart"
 
-// startPreVote asks whether a majority would vote, without raising the term.
+// startPreVote asks the voters whether they would grant their vote, without raising the term.
 func (n *Node) startPreVote() {
 	n.changeRole(onElectionTimeout)
 	n.resetLeadership()
@@ -11,10 +11,10 @@
 		Kind: KindPreVote,
 		Term: n.hardState.Term + 1,
 	})
-	n.countVote(n.self) // a pre-vote changes nothing that would have to be synced
+	n.countVote(n.self) // counts at once, since a pre-vote changes no state that must be synced
 }
 
-// startElection raises the term. The own vote counts once it is synced.
+// startElection raises the term and requests votes. The instance's own vote counts once it is synced.
 func (n *Node) startElection(cause statechart.Event, handover bool) {
 	n.changeRole(cause)
 	n.leader = Peer{}
@@ -40,13 +40,13 @@
 	}
 }
 
-// hasLeaderContact reports whether a leader was heard from within an election timeout.
+// hasLeaderContact reports whether a message from the leader arrived within the last election timeout.
 func (n *Node) hasLeaderContact() bool {
 	return n.role == Leader || n.leader != Peer{} && n.now.Before(n.leaderContact.Add(ElectionTimeout))
 }
 
-// ignoresVoteRequest keeps a candidate that cannot hear the leader from raising the term of those that can. A leader that hands
-// over has asked for the vote itself.
+// ignoresVoteRequest keeps a candidate that cannot reach the leader from raising the term of instances that can. In a
+// leadership transfer, vote requests are not ignored, since the leader has asked for them.
 func (n *Node) ignoresVoteRequest(m Message) bool {
 	return m.Kind == KindVote && !m.Handover && m.Term > n.hardState.Term && n.hasLeaderContact()
 }
@@ -69,7 +69,7 @@
 	n.send(m.From, answer)
 }
 
-// receiveVote grants at most one vote in a term; the answer waits for the sync of the vote.
+// receiveVote grants at most one vote per term. The answer waits until the vote is synced.
 func (n *Node) receiveVote(m Message) {
 	free := n.hardState.Vote == Peer{} || n.hardState.Vote == m.From
 	grant := m.Term == n.hardState.Term && free && n.upToDate(m) && n.role != Leader
@@ -94,7 +94,7 @@
 	}
 }
 
-// countVote counts the answer of a voter with the identity that the membership names, and of nobody else.
+// countVote counts the vote of a voter only if its identity is the one in the membership.
 func (n *Node) countVote(from Peer) {
 	n.votes[from] = true
 	if !n.currentMembership().quorum(func(peer Peer) bool { return n.votes[peer] }) {
@@ -107,7 +107,7 @@
 	n.becomeLeader()
 }
 
-// lead begins a leadership with a no-op entry: entries of earlier terms commit only together with one of the own term.
+// becomeLeader appends a no-op entry, since entries of earlier terms are committed only by one of the leader's own term.
 func (n *Node) becomeLeader() {
 	n.changeRole(onVoteWon)
 	n.votes = nil
--- a/core/raft/handover.go
+++ b/core/raft/handover.go
@@ -6,22 +6,22 @@
 	"parsleyport/core"
 )
 
-// HandoverTimeout bounds one attempt to hand the leadership over; after it the leader takes proposals again. An election
-// without lost messages takes two round trips and two syncs, far less.
+// HandoverTimeout bounds one attempt to transfer the leadership; after it the leader accepts proposals again. Without lost
+// messages, an election takes two round trips and two syncs, which is far less.
 const HandoverTimeout = ElectionTimeout / 2
 
-// HandOverRequested asks a leader to give its leadership to the most advanced voter; other instances ignore it.
+// HandOverRequested asks a leader to transfer its leadership to the most up-to-date voter. Other instances ignore it.
 type HandOverRequested struct{}
 
 func (HandOverRequested) event() {}
 
-// handover is a transfer of the leadership that is under way.
+// handover is a leadership transfer in progress.
 type handover struct {
 	successor Peer
 	deadline  time.Time
 }
 
-// handOver stops the proposals, so that the successor can hold the whole log, and brings it up to date.
+// handOver refuses further proposals, so that the successor's log can reach the end of the leader's, and replicates to it.
 func (n *Node) handOver() {
 	if n.role != Leader || n.handover != nil {
 		return
@@ -38,8 +38,8 @@
 	n.continueHandover()
 }
 
-// successor returns the voter that holds the most of the log. One that has not answered for two heartbeats is not chosen,
-// since it may hold as much and be gone.
+// successor returns the voter with the highest match index. It leaves out voters that have not answered for two heartbeats,
+// since they may be down although their match index is as high.
 func (n *Node) successor() (Peer, bool) {
 	var to Peer
 	var most core.LogIndex
@@ -56,7 +56,7 @@
 	return to, to != Peer{}
 }
 
-// continueHandover tells the successor to start an election once it holds the whole log.
+// continueHandover tells the successor to start an election once its log is complete.
 func (n *Node) continueHandover() {
 	if n.handover == nil {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// receiveTimeoutNow starts an election at once: its leader has asked for it, so no pre-vote has to protect that leader.
+// receiveTimeoutNow starts an election without a pre-vote, which protects a working leader: here that leader asked for it.
 func (n *Node) receiveTimeoutNow(m Message) {
 	if n.role != Follower || m.From != n.leader || m.Term != n.hardState.Term {
 		return
--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -4,7 +4,7 @@
 	"parsleyport/core"
 )
 
-// entryLog holds the entries after base; entries up to base are only in the snapshot.
+// entryLog holds the entries after base. The entries up to base are compacted into the snapshot.
 type entryLog struct {
 	base     core.LogIndex
 	baseTerm core.Term
@@ -20,7 +20,7 @@
 	return term
 }
 
-// term returns the term of an entry and false if the index is not in the log.
+// term returns the term of an entry, and false if the index is not in the log.
 func (l *entryLog) term(index core.LogIndex) (core.Term, bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -36,7 +36,7 @@
 	return known && have == term
 }
 
-// between returns the entries from first to last, both included.
+// slice returns the entries from first to last inclusive.
 func (l *entryLog) slice(first, last core.LogIndex) []Entry {
 	if first <= l.base {
 		first = l.base + 1
@@ -47,7 +47,7 @@
 	return l.entries[first-l.base-1 : last-l.base : last-l.base]
 }
 
-// page returns entries from first on, within the limits of one message.
+// batchFrom returns as many entries from first on as fit into one append message.
 func (l *entryLog) batchFrom(first core.LogIndex) []Entry {
 	entries := l.slice(first, min(l.last(), first+maxAppendEntries-1))
 	size := 0
@@ -64,13 +64,13 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate removes the entries from index on. The slice's capacity is cut, because sent messages share the old array.
+// truncate removes the entries from index on. It also limits the capacity, since messages already sent share the array.
 func (l *entryLog) truncate(index core.LogIndex) {
 	keep := int(index - l.base - 1)
 	l.entries = l.entries[:keep:keep]
 }
 
-// compact drops the entries up to index.
+// compact removes the entries up to index, inclusive.
 func (l *entryLog) compact(index core.LogIndex) {
 	if index <= l.base {
 		return
@@ -80,7 +80,7 @@
 	l.base, l.baseTerm, l.entries = index, term, kept
 }
 
-// firstOfTerm returns the first index of the run of equal terms that ends at index.
+// firstOfTerm returns the first index of the consecutive entries with the term of the entry at index.
 func (l *entryLog) firstOfTerm(index core.LogIndex) core.LogIndex {
 	term, _ := l.term(index)
 	for index > l.base+1 && l.matches(index-1, term) {
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// membership is the list of members that an entry (or the snapshot) put in force from its index on.
+// membership is the list of members in force from an index on, set by the log entry or the snapshot at that index.
 type membership struct {
 	index   core.LogIndex
 	members []Member
@@ -39,7 +39,7 @@
 	return len(voters) > 0 && count > len(voters)/2
 }
 
-// after returns the members after a change, or why the change is not possible.
+// apply returns the members after a change, or an error that says why the change is not possible.
 func (m membership) apply(change Change) ([]Member, error) {
 	old, exists := m.findID(change.Peer.ID)
 	rest := lo.Reject(m.members, func(member Member, _ int) bool { return member.Peer.ID == change.Peer.ID })
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -16,7 +16,7 @@
 
 var roles = statechart.MustLoad(rolesSource)
 
-// Roles of an instance, as in the chart file.
+// Roles of an instance; the same names as in roles.jsonc.
 const (
 	Learner      statechart.State = "learner"
 	Follower     statechart.State = "follower"
@@ -37,14 +37,14 @@
 	onHandover        statechart.Event = "handover"
 )
 
-// Restored is what an instance found in its data folder; Snapshot has no members in a folder that was never a member's.
+// Restored is what a data folder holds. Snapshot has no members if the folder has never belonged to a member.
 type Restored struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry // after Snapshot.Index
 }
 
-// Node decides for one control instance; it is not safe for concurrent use.
+// Node is the Raft state of one control instance. It is not safe for concurrent use.
 type Node struct {
 	self            Peer
 	random          *rand.Rand
@@ -55,31 +55,31 @@
 	role          statechart.State
 	hardState     HardState
 	leader        Peer
-	leaderContact time.Time // of the last message from the leader
-	nextTimeout   time.Time // when an election begins, or the next heartbeat of a leader
+	leaderContact time.Time // when the last message from the leader arrived
+	nextTimeout   time.Time // election timeout, or the next heartbeat if this instance leads
 
 	log              entryLog
-	firstUnwritten   core.LogIndex // first entry that no Output has asked to write
+	firstUnwritten   core.LogIndex // first entry that is not yet part of an Output
 	writtenHardState HardState
-	lastSynced       core.LogIndex // last entry that the local disk has reported as synced
+	lastSynced       core.LogIndex // last entry that is synced to the local disk
 	commit           core.LogIndex
-	lastDelivered    core.LogIndex // last entry that an Output gave out as committed
+	lastDelivered    core.LogIndex // last entry returned in Output.Committed
 	snapshot         Snapshot
-	memberships      []membership // never empty; the last one is in force
+	memberships      []membership // never empty; the last one is in force, committed or not
 
-	votes map[Peer]bool // grants of the running pre-vote or vote
+	votes map[Peer]bool // granted in the current pre-vote or election
 
-	progress      map[Peer]*progress // leader only
+	progress      map[Peer]*progress // nil unless this instance leads
 	round         uint64
 	reads         []pendingRead
 	pendingChange *membershipChange
 	handover      *handover
 
-	incoming   *Snapshot // chunks received so far
-	installing *Snapshot // complete, being stored
+	incoming   *Snapshot // incomplete; the chunks received so far
+	installing *Snapshot // complete; not yet reported as stored
 }
 
-// NewNode returns a node with the state that its data folder held. It keeps trailing entries in memory behind a snapshot
+// NewNode returns a node with the state restored from its data folder. It keeps trailing entries in memory before a snapshot
 // (see TrailingEntries) and uses random for election timeouts only.
 func NewNode(now time.Time, self Peer, restored Restored, trailing core.LogIndex, random *rand.Rand) *Node {
 	n := &Node{
@@ -110,7 +110,7 @@
 	return n
 }
 
-// Step takes the events in order and returns what to write, send and apply; without events it only looks at the time.
+// Step handles the events in order and returns what to write, send and apply. Without events it only checks the timeouts.
 func (n *Node) Step(now time.Time, events ...Event) Output {
 	if now.After(n.now) {
 		n.now = now
@@ -126,7 +126,7 @@
 	return out
 }
 
-// NextDeadline returns when Step must be called at the latest.
+// NextDeadline returns the latest time at which Step must be called again.
 func (n *Node) NextDeadline() time.Time {
 	if n.role == Leader {
 		if lost := n.quorumContact().Add(ElectionTimeout); lost.Before(n.nextTimeout) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// expire acts on the time before any event is looked at, so that a process that was frozen does not act on a role that it has lost.
+// checkTimeouts runs before each event, so that a process that was suspended does not act on a role that has expired meanwhile.
 func (n *Node) checkTimeouts() {
 	switch {
 	case n.role == Leader && !n.now.Before(n.quorumContact().Add(ElectionTimeout)):
@@ -176,7 +176,7 @@
 	}
 }
 
-// announceStepDown lets the members on this side of a partition know at once that they have no leader.
+// announceStepDown tells the members that the leader can still reach to stop following it, without waiting for their timeouts.
 func (n *Node) announceStepDown() {
 	for _, member := range n.currentMembership().members {
 		if member.Peer != n.self {
@@ -197,12 +197,12 @@
 func (n *Node) changeRole(event statechart.Event) {
 	next, err := roles.Next(n.role, event)
 	if err != nil {
-		panic(errors.Annotatef(err, "raft instance %q", n.self.ID)) // the code and its chart disagree
+		panic(errors.Annotatef(err, "raft instance %q", n.self.ID)) // the code does not match roles.jsonc
 	}
 	n.role = next
 }
 
-// leave ends what belongs to the role and the term that the instance had.
+// resetLeadership clears the state that belongs to the previous role and term, and refuses the requests waiting for it.
 func (n *Node) resetLeadership() {
 	n.failReads()
 	n.leader = Peer{}
@@ -219,7 +219,7 @@
 }
 
 func (n *Node) receive(m Message) {
-	if m.To != n.self { // meant for an earlier data folder of this name
+	if m.To != n.self { // addressed to an earlier data folder of this instance
 		if m.Kind == KindPropose || m.Kind == KindRead {
 			n.refuse(m.From, m.Request, reasonNotLeader)
 		}
@@ -283,12 +283,12 @@
 	n.resetLeadership()
 }
 
-// send fills in what all messages of a term share.
+// send queues a message that may leave before the sync.
 func (n *Node) send(to Peer, m Message) {
 	n.out.Messages = append(n.out.Messages, n.addressed(to, m))
 }
 
-// sendSynced sends a message that vouches for the local disk.
+// sendSynced queues a message that must not leave before the sync, because it acknowledges what is written to the local disk.
 func (n *Node) sendSynced(to Peer, m Message) {
 	n.out.AfterSync = append(n.out.AfterSync, n.addressed(to, m))
 }
@@ -301,7 +301,7 @@
 	return m
 }
 
-// refuse tells the origin of a request that it was not appended here.
+// refuse tells the origin of a request that this instance has not appended it.
 func (n *Node) refuse(origin Peer, request RequestID, reason string) {
 	if origin == n.self {
 		n.out.Refused = append(n.out.Refused, Refusal{
@@ -317,7 +317,7 @@
 	})
 }
 
-// flush completes an output with what the events of the step have left to write, send and apply.
+// completeOutput adds to the output what the events of this step have left to write, send and apply.
 func (n *Node) completeOutput() {
 	n.startReads()
 	if n.role == Leader {
@@ -342,7 +342,7 @@
 	n.lastDelivered = max(n.lastDelivered, n.commit)
 }
 
-// synced counts the entries and the vote that the disk holds now.
+// recordSync counts the entries and the instance's own vote that are synced now.
 func (n *Node) recordSync(token SyncToken) {
 	if n.log.matches(token.Index, token.Term) {
 		n.lastSynced = max(n.lastSynced, token.Index)
@@ -357,7 +357,7 @@
 	return n.memberships[len(n.memberships)-1]
 }
 
-// adoptMemberships puts the memberships of appended entries in force.
+// adoptMemberships puts the memberships in the appended entries in force; in Raft a membership counts before it is committed.
 func (n *Node) adoptMemberships(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind == EntryMembers {
@@ -370,7 +370,7 @@
 	n.updateVoterRole()
 }
 
-// dropMemberships forgets the memberships of truncated entries.
+// dropMemberships returns to the membership that was in force before the truncated entries.
 func (n *Node) dropMemberships(from core.LogIndex) {
 	for len(n.memberships) > 1 && n.currentMembership().index >= from {
 		n.memberships = n.memberships[:len(n.memberships)-1]
@@ -382,7 +382,7 @@
 	switch {
 	case voter && n.role == Learner:
 		n.changeRole(onBecameVoter)
-	case !voter && n.role != Learner && n.role != Leader: // a leader that loses its vote leads until that is committed
+	case !voter && n.role != Learner && n.role != Leader: // a leader without a vote leads until its removal is committed
 		n.changeRole(onLostVote)
 	}
 	if n.role == Leader {
@@ -390,7 +390,7 @@
 	}
 }
 
-// membersAt returns the membership in force at an index that is not compacted away.
+// membersAt returns the membership in force at an index, which must not be compacted away.
 func (n *Node) membersAt(index core.LogIndex) []Member {
 	members := n.memberships[0].members
 	for _, m := range n.memberships {
@@ -401,7 +401,7 @@
 	return members
 }
 
-// Describe returns the local replica's status, without Applied.
+// Status returns the status of the local replica. Applied is not set.
 func (n *Node) Status() core.ReplicatorStatus {
 	status := core.ReplicatorStatus{
 		Self:   n.self.ID,
@@ -420,7 +420,7 @@
 	return status
 }
 
-// Members returns the newest membership; the slice must not be changed.
+// Members returns the latest membership, committed or not. The slice must not be changed.
 func (n *Node) Members() []Member {
 	return n.currentMembership().members
 }
--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// elected returns a leader of three in the term after the last entry's, and its output of that step. Nothing that it
-// wrote as a leader is reported as synced.
+// elected returns the leader of three members, elected in the term after the last entry's, and the output of the step in
+// which it was elected. None of what it has written since is reported as synced.
 func elected(c *qt.C, entries ...raft.Entry) (*raft.Node, raft.Output) {
 	hard, initial := raft.InitialState(threeMembers())
 	entries = append(initial, entries...)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against a leader that counts its own entry before its disk has reported it as synced.
-func TestOwnEntryCountsOnlyOnceSynced(t *testing.T) {
+// Guards against a leader that counts its own copy of an entry before the local disk has reported it as synced.
+func TestOwnEntryCountsOnlyAfterSync(t *testing.T) {
 	c := qt.New(t)
 	node, out := elected(c)
 	now := start.Add(2 * time.Second)
@@ -78,9 +78,9 @@
 	c.Assert(got.Committed, qt.HasLen, 2)
 }
 
-// Guards against an entry of an earlier term that is taken for committed and later overwritten: a majority that stores it
-// does not exclude a leader without it (section 5.4.2 of the Raft paper).
-func TestEarlierTermsCommitOnlyWithTheOwnTerm(t *testing.T) {
+// Guards against an entry of an earlier term that is taken as committed and later overwritten: a majority that stores it
+// does not prevent the election of a leader that lacks it (section 5.4.2 of the Raft paper).
+func TestEarlierTermsCommitOnlyWithOwnTerm(t *testing.T) {
 	c := qt.New(t)
 	node, out := elected(c, raft.Entry{
 		Index: 2,
@@ -94,7 +94,7 @@
 	c.Assert(got.Committed, qt.HasLen, 3)
 }
 
-// Guards against answers of an instance that has the name of a member and another disk.
+// Guards against counting answers of an instance that has a member's name but another data folder.
 func TestAnswersOfAnotherIdentityDoNotCount(t *testing.T) {
 	c := qt.New(t)
 	node, out := elected(c)
@@ -104,7 +104,7 @@
 	c.Assert(got.Committed, qt.HasLen, 0)
 }
 
-// Guards against an entry that is appended at two places because its proposal was sent to an instance that does not lead.
+// Guards against a proposal that is appended twice because it was forwarded to an instance that does not lead.
 func TestFollowerRefusesForwardedProposal(t *testing.T) {
 	c := qt.New(t)
 	node := raft.NewNode(start, peer("a"), raft.Restored{}, raft.TrailingEntries, rand.New(rand.NewPCG(1, 1)))
@@ -115,8 +115,8 @@
 	c.Assert(got.Messages[0].Kind, qt.Equals, raft.KindRefused)
 }
 
-// Guards against a second vote in one term after a restart, and against a vote that leaves before it is synced.
-func TestVoteIsSyncedAndKept(t *testing.T) {
+// Guards against a second vote in one term after a restart, and against a vote that is sent before it is synced.
+func TestVoteIsSyncedAndRestored(t *testing.T) {
 	c := qt.New(t)
 	node := raft.NewNode(start, peer("a"), raft.Restored{}, raft.TrailingEntries, rand.New(rand.NewPCG(1, 1)))
 	got := node.Step(start, answer("b", raft.KindVote, 5, 0))
@@ -129,9 +129,9 @@
 	c.Assert(got.AfterSync[0].Reject, qt.IsTrue)
 }
 
-// Guards against a membership change by a leader that has not committed an entry of its term: a change of an earlier term
-// that it has not seen could form another majority.
-func TestMembershipChangeWaitsForTheOwnTerm(t *testing.T) {
+// Guards against a membership change by a leader that has not committed an entry of its own term: a change of an earlier term
+// that it lacks could form a majority that does not overlap.
+func TestMembershipChangeWaitsForOwnTerm(t *testing.T) {
 	c := qt.New(t)
 	node, out := electedFrom(c, raft.Restored{
 		HardState: raft.HardState{Term: 1},
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -8,15 +8,15 @@
 	"parsleyport/core"
 )
 
-// progress is what a leader knows about one member.
+// progress is the leader's view of one member.
 type progress struct {
-	match         core.LogIndex // last entry that the member has reported as synced
+	match         core.LogIndex // last entry known to match the leader's log and to be synced
 	next          core.LogIndex
-	lastContact   time.Time     // of the last answer
-	sentCommit    core.LogIndex // last commit index that was sent
-	answeredRound uint64        // last heartbeat round that was answered
-	chunkOffset   uint64        // offset of the snapshot chunk to send
-	snapshot      *Snapshot     // nil unless the member needs a snapshot
+	lastContact   time.Time     // when the last answer arrived
+	sentCommit    core.LogIndex // last commit index sent
+	answeredRound uint64        // last heartbeat round answered
+	chunkOffset   uint64        // offset of the next snapshot chunk to send
+	snapshot      *Snapshot     // being sent; nil if the member receives entries
 }
 
 func (n *Node) updateProgress() {
@@ -34,7 +34,7 @@
 	n.progress = tracked
 }
 
-// quorumContact returns the newest time by which a majority had answered; the leader answers itself.
+// quorumContact returns the latest time since which a majority has answered. The leader counts itself as answering now.
 func (n *Node) quorumContact() time.Time {
 	voters := n.currentMembership().voters()
 	contacts := make([]time.Time, 0, len(voters))
@@ -62,8 +62,8 @@
 	}
 }
 
-// replicate sends a member what it lacks; a heartbeat is sent even if that is nothing. A new commit index is sent at once,
-// since a proposal at a follower waits for it.
+// replicate sends a member the entries it lacks; with heartbeat set it sends a message even if there are none. A new commit
+// index is sent at once, since a follower needs it to answer the proposals that it has forwarded.
 func (n *Node) replicate(to Peer, heartbeat bool) {
 	p := n.progress[to]
 	if to == n.self || p == nil {
@@ -118,7 +118,7 @@
 	})
 }
 
-// followLeader accepts the sender as the leader of its term, or tells it of a newer term.
+// followLeader accepts the sender as the leader of its term. It rejects a sender of an earlier term.
 func (n *Node) followLeader(m Message, answer Kind) bool {
 	if m.Term < n.hardState.Term {
 		n.sendSynced(m.From, Message{
@@ -147,7 +147,7 @@
 		Round: m.Round,
 	}
 	switch {
-	case n.installing != nil: // the log is about to be replaced; the leader must not resend entries until then
+	case n.installing != nil: // a snapshot is about to replace the log; a rejection would make the leader resend entries
 		answer.Index = n.commit
 	case m.Index > n.log.last():
 		answer.Reject, answer.Index = true, n.log.last()
@@ -159,7 +159,7 @@
 	n.sendSynced(m.From, answer)
 }
 
-// contiguous reports whether the entries of a message follow its index without a gap.
+// contiguous reports whether the entries of a message directly follow its Index without a gap.
 func contiguous(m Message) bool {
 	for i := range m.Entries {
 		if m.Entries[i].Index != m.Index+core.LogIndex(i)+1 {
@@ -169,7 +169,7 @@
 	return true
 }
 
-// store appends the entries that are new and returns the last index at which the log matches the leader's.
+// appendNew appends the entries that the log lacks and returns the last index at which it matches the leader's log.
 func (n *Node) appendNew(m Message) core.LogIndex {
 	for i, entry := range m.Entries {
 		if entry.Index <= n.log.base || n.log.matches(entry.Index, entry.Term) {
@@ -199,7 +199,7 @@
 	n.updateVoterRole()
 }
 
-// answered notes that a member has answered in the current term; it returns nil for answers that do not count.
+// recordAnswer records contact with a member. It returns nil if the answer does not belong to the current leadership.
 func (n *Node) recordAnswer(m Message) *progress {
 	p := n.progress[m.From]
 	if n.role != Leader || m.Term != n.hardState.Term || p == nil {
@@ -235,7 +235,7 @@
 	}
 }
 
-// advanceCommit commits what a majority has synced, the leader's own disk included, if it ends with an own entry.
+// advanceCommit commits the entries synced by a majority, this instance included, once the last is of the leader's own term.
 func (n *Node) advanceCommit() {
 	if n.role != Leader {
 		return
@@ -262,10 +262,10 @@
 	return matches[(len(matches)-1)/2]
 }
 
-// stepDownIfRemoved ends a leadership whose instance lost its vote with a committed entry.
+// stepDownIfRemoved makes a leader step down once the entry that took its vote is committed.
 func (n *Node) stepDownIfRemoved() {
 	if n.currentMembership().index <= n.commit && !n.currentMembership().isVoter(n.self) {
-		n.broadcast() // tells the others of the commit
+		n.broadcast() // tells the members the new commit index
 		n.changeRole(onLostVote)
 		n.resetLeadership()
 	}
--- a/core/raft/requests.go
+++ b/core/raft/requests.go
@@ -7,7 +7,7 @@
 	"parsleyport/core"
 )
 
-// pendingRead waits for a heartbeat round; Round is zero until that round is sent.
+// pendingRead is a read that waits for a heartbeat round; round is zero until that round has been sent.
 type pendingRead struct {
 	request RequestID
 	origin  Peer
@@ -15,7 +15,7 @@
 	round   uint64
 }
 
-// promotion waits for a learner to hold all that was committed when it was asked for.
+// membershipChange is a pending change; a promotion waits until the learner has caught up to catchUpIndex.
 type membershipChange struct {
 	request      RequestID
 	origin       Peer
@@ -23,7 +23,7 @@
 	catchUpIndex core.LogIndex
 }
 
-// Reasons of refusals that more than one place gives.
+// Reasons for refusals.
 const (
 	reasonNoLeader      = "no leader is known"
 	reasonNotLeader     = "not the leader"
@@ -36,7 +36,7 @@
 // ErrTransient means that a request was not appended and that the same request may succeed later.
 const ErrTransient = errors.ConstError("request is not possible now")
 
-// RefusalError returns the reason of a Refusal as an error, ErrTransient if it does not lie in the request.
+// RefusalError converts the reason of a Refusal to an error. It returns ErrTransient if the request itself is valid.
 func RefusalError(reason string) error {
 	switch reason {
 	case reasonNoLeader, reasonNotLeader, reasonBusy, reasonSteppedDown, reasonChangePending, reasonHandingOver:
@@ -73,8 +73,8 @@
 	}
 }
 
-// changeMembers allows one membership change at a time, and none before an entry of the own term is committed, since a
-// membership of an earlier term that the instance has not seen could otherwise form another majority.
+// changeMembers allows one membership change at a time, and none before the leader has committed an entry of its own term: a
+// membership entry of an earlier term that this instance lacks could otherwise form a majority that does not overlap.
 func (n *Node) changeMembers(p Proposed, origin Peer) {
 	if n.currentMembership().index > n.commit || !n.committedInTerm() {
 		n.refuse(origin, p.Request, reasonChangePending)
@@ -99,7 +99,7 @@
 	n.tryPendingChange()
 }
 
-// tryPendingChange appends the membership that is asked for once a learner to be promoted has caught up.
+// tryPendingChange appends the requested membership; for a promotion, only once the learner has caught up.
 func (n *Node) tryPendingChange() {
 	if n.pendingChange == nil {
 		return
@@ -147,8 +147,8 @@
 	}
 }
 
-// startReads begins one heartbeat round for all reads of a step. They wait for an entry of the own term to be committed,
-// because a new leader does not know before that which entries were committed.
+// startReads starts one heartbeat round for all reads of a step. Reads wait until an entry of the leader's own term is
+// committed, because before that a new leader does not know which entries are committed.
 func (n *Node) startReads() {
 	if n.role != Leader || !n.committedInTerm() {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-// finishReads answers the reads whose round a majority has answered.
+// finishReads answers the reads whose heartbeat round has been answered by a majority.
 func (n *Node) finishReads() {
 	n.reads = lo.Reject(n.reads, func(read pendingRead, _ int) bool {
 		if read.round == 0 || !n.roundConfirmed(read.round) {
--- a/core/raft/snapshot.go
+++ b/core/raft/snapshot.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// collect adds a chunk to the incoming snapshot and returns the offset that is expected next.
+// addChunk appends a chunk to the incoming snapshot and returns the next expected offset.
 func (n *Node) addChunk(m Message) uint64 {
 	if n.installing != nil {
 		return m.Size
@@ -56,13 +56,13 @@
 		return
 	}
 	advanced := m.Offset > p.chunkOffset
-	p.chunkOffset = m.Offset // goes back if the member has restarted
+	p.chunkOffset = m.Offset // goes back if the member has restarted and lost its chunks
 	if advanced && p.chunkOffset < uint64(len(p.snapshot.Data)) {
 		n.sendChunk(m.From, p)
 	}
 }
 
-// receiveSnapshotStored compacts the log after an own snapshot, or replaces it after an installed one.
+// receiveSnapshotStored compacts the log after a snapshot of the local state machine, or replaces it after an installed one.
 func (n *Node) receiveSnapshotStored(stored Snapshot) {
 	if n.installing != nil && n.installing.Index == stored.Index {
 		n.installing = nil
@@ -88,7 +88,7 @@
 	}}, kept...)
 }
 
-// install makes a stored snapshot the beginning of the log; entries behind it are kept only if the log contains it.
+// install starts the log at a stored snapshot. Later entries stay only if the log matches the snapshot's last entry.
 func (n *Node) install(stored Snapshot) {
 	if stored.Index <= n.commit {
 		return
--- a/core/raft/stepdown_test.go
+++ b/core/raft/stepdown_test.go
@@ -10,9 +10,9 @@
 	"parsleyport/core/raft"
 )
 
-// Guards against followers that believe in a leader for another election timeout after it has lost its majority: what hangs on
-// them would stay on the smaller side of a partition for too long.
-func TestLeaderWithoutMajoritySaysSo(t *testing.T) {
+// Guards against followers that follow a leader for another election timeout after it has lost its majority: nodes connected
+// to them would stay on the minority side of a partition for longer than necessary.
+func TestLeaderWithoutMajorityAnnouncesStepDown(t *testing.T) {
 	c := qt.New(t)
 	leader, _ := elected(c)
 	term := leader.Status().Term
@@ -23,8 +23,8 @@
 	c.Assert(told[0].Term, qt.Equals, term)
 }
 
-// Guards against a message of an earlier leader that takes the present one from its followers.
-func TestOnlyTheOwnLeaderStepsDown(t *testing.T) {
+// Guards against a step-down message of an earlier leader that makes followers leave the current one.
+func TestStepDownOnlyFromCurrentLeader(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		from core.ControlID
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -8,11 +8,12 @@
 
 // Timing of the protocol.
 const (
-	// ElectionTimeout is how long a leader lasts without answers from a majority, and a follower without a leader.
+	// ElectionTimeout is how long a leader leads without answers from a majority, and how long a follower waits for a message
+	// from the leader before it starts a pre-vote.
 	ElectionTimeout = time.Second
-	// ElectionJitter bounds the random time added to a follower's election timeout, so that votes seldom split.
+	// ElectionJitter is the upper bound of the random time added to each election timeout, so that split votes are rare.
 	ElectionJitter = 500 * time.Millisecond
-	// HeartbeatInterval is the time between two heartbeats; five of them fit into an election timeout.
+	// HeartbeatInterval is the time between two heartbeats of a leader; five of them fit into an election timeout.
 	HeartbeatInterval = 200 * time.Millisecond
 )
 
@@ -20,18 +21,19 @@
 const (
 	// SnapshotInterval is the number of applied entries between two snapshots.
 	SnapshotInterval = 1000
-	// TrailingEntries is the number of entries kept in memory behind a snapshot, for members that lag a little.
+	// TrailingEntries is the number of entries before a snapshot that stay in memory, so that a member that lags by no more
+	// receives entries instead of the snapshot.
 	TrailingEntries  = 512
-	maxUncommitted   = 4096      // entries; further proposals are refused
-	maxPendingReads  = 4096      // further reads are refused
+	maxUncommitted   = 4096      // uncommitted entries; further proposals are refused
+	maxPendingReads  = 4096      // reads without an answer; further reads are refused
 	maxInFlight      = 2048      // entries sent to one member and not acknowledged
-	maxAppendEntries = 512       // entries in one message
-	maxAppendBytes   = 1 << 20   // command bytes in one message, apart from its first entry
+	maxAppendEntries = 512       // entries in one append message
+	maxAppendBytes   = 1 << 20   // command bytes in one append message, unless its first entry alone is larger
 	chunkBytes       = 256 << 10 // snapshot bytes in one message
-	maxSnapshotBytes = 1 << 30   // a greater snapshot is not received
+	maxSnapshotBytes = 1 << 30   // larger snapshots are not received
 )
 
-// Identity is the random identity of one data folder; it distinguishes an instance from a later one with a new disk.
+// Identity is the random identity of one data folder. It tells an instance from a later one of the same name with a new disk.
 type Identity string
 
 // Peer is a control instance with the identity of its data folder.
@@ -40,7 +42,7 @@
 	Identity Identity       `json:"identity" msgpack:"identity"`
 }
 
-// Member is one instance of the membership; a member without a vote is a learner.
+// Member is one instance of a membership. A member without a vote is a learner.
 type Member struct {
 	Peer       Peer            `json:"peer" msgpack:"peer"`
 	Address    string          `json:"address" msgpack:"address"`
@@ -48,13 +50,13 @@
 	Voter      bool            `json:"voter" msgpack:"voter"`
 }
 
-// RequestID identifies one proposal, read or membership change; Run is random for each process.
+// RequestID identifies one proposal, read or membership change. Run is random for each process.
 type RequestID struct {
 	Run      uint64 `msgpack:"run"`
 	Sequence uint64 `msgpack:"sequence"`
 }
 
-// EntryKind says what a log entry holds.
+// EntryKind is the kind of content of a log entry.
 type EntryKind uint8
 
 // The kinds of log entries.
@@ -64,7 +66,7 @@
 	EntryMembers
 )
 
-// Entry is one position of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index   core.LogIndex `msgpack:"index"`
 	Term    core.Term     `msgpack:"term"`
@@ -74,13 +76,13 @@
 	Members []Member      `msgpack:"members,omitempty"`
 }
 
-// HardState must be synced before an instance acts on it.
+// HardState is the state that must be synced to disk before the instance acts on it: the term and the vote in that term.
 type HardState struct {
 	Term core.Term `msgpack:"term"`
 	Vote Peer      `msgpack:"vote"`
 }
 
-// Snapshot is the state after Index, with the membership that was in force there.
+// Snapshot is the state of the state machine after Index, with the membership in force at that index.
 type Snapshot struct {
 	Index   core.LogIndex `msgpack:"index"`
 	Term    core.Term     `msgpack:"term"`
@@ -88,7 +90,7 @@
 	Data    []byte        `msgpack:"data"`
 }
 
-// Kind numbers the messages between control instances.
+// Kind is the kind of a message between control instances.
 type Kind uint8
 
 // The kinds of messages.
@@ -101,15 +103,15 @@
 	KindAppendAnswer
 	KindSnapshotChunk
 	KindSnapshotChunkAnswer
-	KindPropose // a transport must not deliver it twice
+	KindPropose // not idempotent: a transport must not deliver it twice
 	KindRead
 	KindReadAnswer
 	KindRefused
-	KindTimeoutNow // from a leader that hands over: start an election at once
-	KindStepDown   // from a leader that has lost its majority, to those that still hear it
+	KindTimeoutNow // from a leader that transfers its leadership: start an election at once
+	KindStepDown   // from a leader that has lost its majority, to all members
 )
 
-// Message is one message between control instances; which fields are set depends on its kind.
+// Message is one message between control instances. Which fields are set depends on Kind.
 type Message struct {
 	Kind     Kind          `msgpack:"kind"`
 	From     Peer          `msgpack:"from"`
@@ -119,28 +121,28 @@
 	LogTerm  core.Term     `msgpack:"log-term,omitempty"` // term of the entry at Index
 	Entries  []Entry       `msgpack:"entries,omitempty"`
 	Commit   core.LogIndex `msgpack:"commit,omitempty"`
-	Round    uint64        `msgpack:"round,omitempty"` // heartbeat round, echoed by the answer
+	Round    uint64        `msgpack:"round,omitempty"` // heartbeat round; the answer repeats it
 	Reject   bool          `msgpack:"reject,omitempty"`
-	Handover bool          `msgpack:"handover,omitempty"` // a vote that the leader itself has asked for
+	Handover bool          `msgpack:"handover,omitempty"` // a vote request of a leadership transfer, which the leader has started
 	Snapshot *Snapshot     `msgpack:"snapshot,omitempty"` // Data holds one chunk
-	Offset   uint64        `msgpack:"offset,omitempty"`   // of the chunk, or of the next chunk that is expected
-	Size     uint64        `msgpack:"size,omitempty"`     // of the whole snapshot
+	Offset   uint64        `msgpack:"offset,omitempty"`   // of this chunk; in an answer, of the next expected chunk
+	Size     uint64        `msgpack:"size,omitempty"`     // of the whole snapshot, in bytes
 	Request  RequestID     `msgpack:"request"`
 	Command  []byte        `msgpack:"command,omitempty"`
 	Change   *Change       `msgpack:"change,omitempty"`
 	Reason   string        `msgpack:"reason,omitempty"`
 }
 
-// ChangeKind names a membership change.
+// ChangeKind is the kind of a membership change.
 type ChangeKind string
 
-// The membership changes; each one changes at most one vote.
+// The kinds of membership changes. Each one changes at most one vote.
 const (
-	// ChangeReplace takes the vote from the named member's old identity and makes the new identity a learner.
+	// ChangeReplace replaces a member's old identity, which loses its vote, by a new identity, which becomes a learner.
 	ChangeReplace ChangeKind = "replace"
-	// ChangeAdd makes a new name a learner.
+	// ChangeAdd adds an instance as a learner.
 	ChangeAdd ChangeKind = "add"
-	// ChangePromote gives a learner a vote once it holds all that was committed when the promotion began.
+	// ChangePromote gives a learner a vote once it stores all entries that were committed when the promotion was requested.
 	ChangePromote ChangeKind = "promote"
 	// ChangeRemove removes a member.
 	ChangeRemove ChangeKind = "remove"
@@ -160,20 +162,20 @@
 // Received is a message from another instance.
 type Received struct{ Message Message }
 
-// Proposed asks for a command, or for a membership change if Change is set, to be committed.
+// Proposed requests that a command, or a membership change if Change is set, is committed.
 type Proposed struct {
 	Request RequestID
 	Command []byte
 	Change  *Change
 }
 
-// ReadRequested asks for an index up to which all entries that are committed now are contained.
+// ReadRequested requests a read index: an index that covers all entries committed so far.
 type ReadRequested struct{ Request RequestID }
 
-// Synced reports that everything in the Output with this token is on the disk.
+// Synced reports that everything in the Output with this token has been synced to disk.
 type Synced struct{ Token SyncToken }
 
-// SnapshotStored reports that a snapshot, the local state machine's own or an installed one, is on the disk.
+// SnapshotStored reports that a snapshot is on disk, either one taken from the local state machine or an installed one.
 type SnapshotStored struct{ Snapshot Snapshot }
 
 func (Received) event()       {}
@@ -182,37 +184,37 @@
 func (Synced) event()         {}
 func (SnapshotStored) event() {}
 
-// SyncToken names the state that an Output asks to sync.
+// SyncToken identifies the state that an Output asks to sync.
 type SyncToken struct {
 	HardState HardState
 	Index     core.LogIndex
 	Term      core.Term
 }
 
-// Refusal reports a request that was certainly not appended by this instance or by the leader it was forwarded to.
+// Refusal reports that a request was certainly not appended, neither here nor at the leader to which it was forwarded.
 type Refusal struct {
 	Request RequestID
 	Reason  string
 }
 
-// ReadResult reports that a read may proceed once the state machine has applied Index.
+// ReadResult reports that a read may be served once the state machine has applied Index.
 type ReadResult struct {
 	Request RequestID
 	Index   core.LogIndex
 }
 
-// Reset replaces the whole log on the disk after an installed snapshot.
+// Reset replaces the whole log on disk after a snapshot has been installed.
 type Reset struct {
 	Index core.LogIndex
 	Term  core.Term
 }
 
-// Output is what one step asks its driver to do, in the order of the fields.
+// Output is what the caller of Node.Step must do, in the order of the fields.
 type Output struct {
 	Messages  []Message  // may be sent before the sync
-	Reset     *Reset     // written before Entries
-	HardState *HardState // written before Entries
-	Entries   []Entry    // an entry replaces stored entries from its index on
+	Reset     *Reset     // to be written before HardState and Entries
+	HardState *HardState // to be written before Entries
+	Entries   []Entry    // replace all stored entries from the first one's index on
 	Token     SyncToken  // to be returned in Synced after the sync
 	AfterSync []Message  // must not be sent before the sync
 	Install   *Snapshot  // to be stored, restored and reported with SnapshotStored
@@ -221,7 +223,7 @@
 	Refused   []Refusal
 }
 
-// NeedsSync reports whether the output has anything to write.
+// NeedsSync reports whether the output has anything to write and sync.
 func (o *Output) NeedsSync() bool {
 	return o.HardState != nil || len(o.Entries) > 0 || o.Reset != nil
 }
