--- a/core/raft/bootstrap.go
+++ b/core/raft/bootstrap.go
@@ -102,9 +102,9 @@
 }
 
 func (b *Bootstrap) updateStarted(hello *Hello) bool {
-	told := hello != nil && hello.Started && b.agreed[hello.From.ID]
-	all := lo.EveryBy(b.initial, func(m Member) bool { return b.agreed[m.Peer.ID] })
-	b.started = len(b.initial) > 0 && (all || told)
+	startSeen := hello != nil && hello.Started && b.agreed[hello.From.ID]
+	allAgreed := lo.EveryBy(b.initial, func(m Member) bool { return b.agreed[m.Peer.ID] })
+	b.started = len(b.initial) > 0 && (allAgreed || startSeen)
 	return b.started
 }
 
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -52,8 +52,8 @@
 }
 
 func (n *Node) upToDate(m Message) bool {
-	own := n.log.lastTerm()
-	return m.LogTerm > own || m.LogTerm == own && m.Index >= n.log.last()
+	lastTerm := n.log.lastTerm()
+	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= n.log.last()
 }
 
 func (n *Node) receivePreVote(m Message) {
@@ -71,8 +71,8 @@
 
 // receiveVote grants at most one vote per term. The answer waits until the vote is synced.
 func (n *Node) receiveVote(m Message) {
-	free := n.hardState.Vote == Peer{} || n.hardState.Vote == m.From
-	grant := m.Term == n.hardState.Term && free && n.upToDate(m) && n.role != Leader
+	canVote := n.hardState.Vote == Peer{} || n.hardState.Vote == m.From
+	grant := m.Term == n.hardState.Term && canVote && n.upToDate(m) && n.role != Leader
 	if grant {
 		n.hardState.Vote = m.From
 		n.resetTimeout()
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -33,9 +33,9 @@
 }
 
 // quorum reports whether a majority of the voters satisfies the condition.
-func (m membership) quorum(holds func(Peer) bool) bool {
+func (m membership) quorum(satisfies func(Peer) bool) bool {
 	voters := m.voters()
-	count := lo.CountBy(voters, func(member Member) bool { return holds(member.Peer) })
+	count := lo.CountBy(voters, func(member Member) bool { return satisfies(member.Peer) })
 	return len(voters) > 0 && count > len(voters)/2
 }
 
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -81,7 +81,7 @@
 		return
 	}
 	var entries []Entry
-	if p.next <= p.match+maxInFlight {
+	if p.next <= p.match+maxInFlightEntries {
 		entries = n.log.batchFrom(p.next)
 	}
 	if len(entries) == 0 && !heartbeat && p.sentCommit >= n.commit {
@@ -110,7 +110,7 @@
 			Index:   p.snapshot.Index,
 			Term:    p.snapshot.Term,
 			Members: p.snapshot.Members,
-			Data:    data[from:min(from+chunkBytes, uint64(len(data)))],
+			Data:    data[from:min(from+snapshotChunkBytes, uint64(len(data)))],
 		},
 		Offset: from,
 		Size:   uint64(len(data)),
--- a/core/raft/requests.go
+++ b/core/raft/requests.go
@@ -60,7 +60,7 @@
 		})
 	case n.handover != nil:
 		n.refuse(origin, p.Request, reasonHandingOver)
-	case n.log.last() >= n.commit+maxUncommitted:
+	case n.log.last() >= n.commit+maxUncommittedEntries:
 		n.refuse(origin, p.Request, reasonBusy)
 	case p.Change != nil:
 		n.changeMembers(p, origin)
@@ -104,19 +104,19 @@
 	if n.pendingChange == nil {
 		return
 	}
-	asked := n.pendingChange
-	if p := n.progress[asked.change.Peer]; asked.catchUpIndex > 0 && (p == nil || p.match < asked.catchUpIndex) {
+	pending := n.pendingChange
+	if p := n.progress[pending.change.Peer]; pending.catchUpIndex > 0 && (p == nil || p.match < pending.catchUpIndex) {
 		return
 	}
 	n.pendingChange = nil
-	members, err := n.currentMembership().apply(asked.change)
+	members, err := n.currentMembership().apply(pending.change)
 	if err != nil {
-		n.refuse(asked.origin, asked.request, err.Error())
+		n.refuse(pending.origin, pending.request, err.Error())
 		return
 	}
 	n.appendEntry(Entry{
 		Kind:    EntryMembers,
-		Request: asked.request,
+		Request: pending.request,
 		Members: members,
 	})
 }
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -19,18 +19,18 @@
 
 // Limits of one instance.
 const (
-	// SnapshotInterval is the number of applied entries between two snapshots.
-	SnapshotInterval = 1000
+	// SnapshotIntervalEntries is the number of applied entries between two snapshots.
+	SnapshotIntervalEntries = 1000
 	// TrailingEntries is the number of entries before a snapshot that stay in memory, so that a member that lags by no more
 	// receives entries instead of the snapshot.
-	TrailingEntries  = 512
-	maxUncommitted   = 4096      // uncommitted entries; further proposals are refused
-	maxPendingReads  = 4096      // reads without an answer; further reads are refused
-	maxInFlight      = 2048      // entries sent to one member and not acknowledged
-	maxAppendEntries = 512       // entries in one append message
-	maxAppendBytes   = 1 << 20   // command bytes in one append message, unless its first entry alone is larger
-	chunkBytes       = 256 << 10 // snapshot bytes in one message
-	maxSnapshotBytes = 1 << 30   // larger snapshots are not received
+	TrailingEntries       = 512
+	maxUncommittedEntries = 4096      // uncommitted entries; further proposals are refused
+	maxPendingReads       = 4096      // reads without an answer; further reads are refused
+	maxInFlightEntries    = 2048      // entries sent to one member and not acknowledged
+	maxAppendEntries      = 512       // entries in one append message
+	maxAppendBytes        = 1 << 20   // command bytes in one append message, unless its first entry alone is larger
+	snapshotChunkBytes    = 256 << 10 // snapshot bytes in one message
+	maxSnapshotBytes      = 1 << 30   // larger snapshots are not received
 )
 
 // Identity is the random identity of one data folder. It tells an instance from a later one of the same name with a new disk.
--- a/io/disk/archive.go
+++ b/io/disk/archive.go
@@ -14,16 +14,16 @@
 const archivePrefix = "audit-"
 
 // archived is the content of one archive file.
-type archived struct {
+type archiveContent struct {
 	Entries [][]byte `msgpack:"entries"`
 }
 
 // span is one archive file: the entries from first to before end.
-type span struct {
+type entryRange struct {
 	first, end uint64
 }
 
-func (s span) name() string {
+func (s entryRange) name() string {
 	return fmt.Sprintf("%s%020d-%020d", archivePrefix, s.first, s.end)
 }
 
@@ -31,8 +31,8 @@
 // all, and never changed; its name says which entries it holds, so opening reads no content.
 type Archive struct {
 	folder Folder
-	mu     sync.Mutex // guards spans and failed
-	spans  []span     // by first, without overlaps
+	mu     sync.Mutex   // guards spans and failed
+	ranges []entryRange // by first, without overlaps
 	failed error
 }
 
@@ -49,10 +49,10 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if !strings.HasPrefix(name, archivePrefix) || strings.HasSuffix(name, temporary) {
+		if !strings.HasPrefix(name, archivePrefix) || strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
-		var s span
+		var s entryRange
 		if _, err := fmt.Sscanf(name, archivePrefix+"%d-%d", &s.first, &s.end); err != nil || s.name() != name || s.end <= s.first {
 			return nil, errors.Annotatef(ErrCorrupt, "archive name %q", name)
 		}
@@ -63,17 +63,17 @@
 	return a, nil
 }
 
-func (a *Archive) add(s span) bool {
-	at, _ := slices.BinarySearchFunc(a.spans, s.first, func(x span, first uint64) int {
+func (a *Archive) add(s entryRange) bool {
+	at, _ := slices.BinarySearchFunc(a.ranges, s.first, func(x entryRange, first uint64) int {
 		if x.end <= first {
 			return -1
 		}
 		return 1
 	})
-	if at < len(a.spans) && a.spans[at].first < s.end {
+	if at < len(a.ranges) && a.ranges[at].first < s.end {
 		return false
 	}
-	a.spans = slices.Insert(a.spans, at, s)
+	a.ranges = slices.Insert(a.ranges, at, s)
 	return true
 }
 
@@ -81,7 +81,7 @@
 func (a *Archive) Append(first uint64, entries [][]byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := span{
+	s := entryRange{
 		first: first,
 		end:   first + uint64(len(entries)),
 	}
@@ -91,7 +91,7 @@
 	if !a.add(s) {
 		return errors.AlreadyExistsf("archive entry from %d to %d", s.first, s.end)
 	}
-	if err := writeWhole(a.folder, s.name(), archived{Entries: entries}); err != nil {
+	if err := writeRecordFile(a.folder, s.name(), archiveContent{Entries: entries}); err != nil {
 		a.failed = errors.Annotatef(ErrFailed, "%v", err)
 	}
 	return a.failed
@@ -101,7 +101,7 @@
 func (a *Archive) Missing(from, to uint64) (first, end uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, s := range a.spans {
+	for _, s := range a.ranges {
 		if s.first > from {
 			return min(from, to), min(s.first, to)
 		}
@@ -113,15 +113,15 @@
 // Batch implements catalog.Archive; it returns ErrCorrupt if the file is damaged.
 func (a *Archive) Batch(number uint64) (first uint64, entries [][]byte, err error) {
 	a.mu.Lock()
-	at := slices.IndexFunc(a.spans, func(s span) bool { return s.first <= number && number < s.end })
+	at := slices.IndexFunc(a.ranges, func(s entryRange) bool { return s.first <= number && number < s.end })
 	if a.failed != nil || at < 0 {
 		defer a.mu.Unlock()
 		return 0, nil, errors.NotFoundf("archive entry %d", number)
 	}
-	s := a.spans[at]
+	s := a.ranges[at]
 	a.mu.Unlock()
-	var content archived
-	if err := readWhole(a.folder, s.name(), &content); err != nil {
+	var content archiveContent
+	if err := readRecordFile(a.folder, s.name(), &content); err != nil {
 		return 0, nil, err
 	}
 	if uint64(len(content.Entries)) != s.end-s.first {
--- a/io/disk/disktest/memory.go
+++ b/io/disk/disktest/memory.go
@@ -19,36 +19,36 @@
 
 // Memory implements disk.Folder.
 type Memory struct {
-	mu       sync.Mutex
-	names    map[string]*content
-	durable  map[string]*content // names as of the last Sync
-	crashes  int
-	capacity int
-	failSync bool
-	syncs    int
+	mu          sync.Mutex
+	files       map[string]*fileContent
+	syncedFiles map[string]*fileContent // names as of the last Sync
+	crashCount  int
+	capacity    int
+	failSyncs   bool
+	syncCount   int
 }
 
-type content struct {
-	data   []byte
-	synced int
+type fileContent struct {
+	data        []byte
+	syncedBytes int
 }
 
-type handle struct {
-	folder  *Memory
-	content *content
-	crashes int // a handle from before a crash is dead
+type openFile struct {
+	folder     *Memory
+	content    *fileContent
+	crashCount int // a handle from before a crash is dead
 }
 
 // NewMemory returns an empty folder.
 func NewMemory() *Memory {
 	return &Memory{
-		names:   make(map[string]*content),
-		durable: make(map[string]*content),
+		files:       make(map[string]*fileContent),
+		syncedFiles: make(map[string]*fileContent),
 	}
 }
 
 // Limit makes writes fail with ENOSPC once the folder holds capacity bytes; zero removes the limit.
-func (m *Memory) Limit(capacity int) {
+func (m *Memory) SetCapacity(capacity int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.capacity = capacity
@@ -58,56 +58,56 @@
 func (m *Memory) FailSyncs(fail bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failSync = fail
+	m.failSyncs = fail
 }
 
 // Syncs returns how many syncs were asked for.
 func (m *Memory) Syncs() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.syncs
+	return m.syncCount
 }
 
 // Crash loses a random part of what was not synced; the last byte that it keeps of such a part may be damaged.
 func (m *Memory) Crash(random *rand.Rand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.crashes++
+	m.crashCount++
 	if random.IntN(2) == 0 {
-		m.names = maps.Clone(m.durable)
+		m.files = maps.Clone(m.syncedFiles)
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.names)) {
-		c := m.names[name]
-		kept := c.synced + random.IntN(len(c.data)-c.synced+1)
+	for _, name := range slices.Sorted(maps.Keys(m.files)) {
+		c := m.files[name]
+		kept := c.syncedBytes + random.IntN(len(c.data)-c.syncedBytes+1)
 		c.data = slices.Clone(c.data[:kept])
-		if kept > c.synced && random.IntN(2) == 0 {
+		if kept > c.syncedBytes && random.IntN(2) == 0 {
 			c.data[kept-1] ^= 0x55
 		}
-		c.synced = kept
+		c.syncedBytes = kept
 	}
-	m.durable = maps.Clone(m.names)
+	m.syncedFiles = maps.Clone(m.files)
 }
 
 // Wipe removes everything, as a new disk does.
 func (m *Memory) Wipe() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.crashes++
-	m.names, m.durable = make(map[string]*content), make(map[string]*content)
+	m.crashCount++
+	m.files, m.syncedFiles = make(map[string]*fileContent), make(map[string]*fileContent)
 }
 
 // Corrupt flips the bits of one stored byte.
 func (m *Memory) Corrupt(name string, offset int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.names[name].data[offset] ^= 0xff
+	m.files[name].data[offset] ^= 0xff
 }
 
 // Size returns the size of a file in bytes.
 func (m *Memory) Size(name string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c, exists := m.names[name]; exists {
+	if c, exists := m.files[name]; exists {
 		return len(c.data)
 	}
 	return 0
@@ -117,14 +117,14 @@
 func (m *Memory) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Sorted(maps.Keys(m.names)), nil
+	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
 // Read implements disk.Folder.
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, exists := m.names[name]
+	c, exists := m.files[name]
 	if !exists {
 		return nil, fs.ErrNotExist
 	}
@@ -135,7 +135,7 @@
 func (m *Memory) Create(name string) (disk.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.names[name] = &content{}
+	m.files[name] = &fileContent{}
 	return m.open(name)
 }
 
@@ -147,14 +147,14 @@
 }
 
 func (m *Memory) open(name string) (disk.File, error) {
-	c, exists := m.names[name]
+	c, exists := m.files[name]
 	if !exists {
 		return nil, fs.ErrNotExist
 	}
-	return &handle{
-		folder:  m,
-		content: c,
-		crashes: m.crashes,
+	return &openFile{
+		folder:     m,
+		content:    c,
+		crashCount: m.crashCount,
 	}, nil
 }
 
@@ -162,9 +162,9 @@
 func (m *Memory) Truncate(name string, size int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.names[name]
+	c := m.files[name]
 	c.data = c.data[:size]
-	c.synced = int(size)
+	c.syncedBytes = int(size)
 	return nil
 }
 
@@ -172,8 +172,8 @@
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.names[to] = m.names[from]
-	delete(m.names, from)
+	m.files[to] = m.files[from]
+	delete(m.files, from)
 	return nil
 }
 
@@ -181,7 +181,7 @@
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.names, name)
+	delete(m.files, name)
 	return nil
 }
 
@@ -189,11 +189,11 @@
 func (m *Memory) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.syncs++
-	if m.failSync {
+	m.syncCount++
+	if m.failSyncs {
 		return ErrSync
 	}
-	m.durable = maps.Clone(m.names)
+	m.syncedFiles = maps.Clone(m.files)
 	return nil
 }
 
@@ -202,10 +202,10 @@
 	return nil
 }
 
-func (h *handle) Write(data []byte) (int, error) {
+func (h *openFile) Write(data []byte) (int, error) {
 	h.folder.mu.Lock()
 	defer h.folder.mu.Unlock()
-	if h.crashes != h.folder.crashes {
+	if h.crashCount != h.folder.crashCount {
 		return 0, fs.ErrClosed
 	}
 	written := len(data)
@@ -221,26 +221,26 @@
 
 func (m *Memory) used() int {
 	used := 0
-	for _, c := range m.names {
+	for _, c := range m.files {
 		used += len(c.data)
 	}
 	return used
 }
 
-func (h *handle) Sync() error {
+func (h *openFile) Sync() error {
 	h.folder.mu.Lock()
 	defer h.folder.mu.Unlock()
-	h.folder.syncs++
-	if h.crashes != h.folder.crashes {
+	h.folder.syncCount++
+	if h.crashCount != h.folder.crashCount {
 		return fs.ErrClosed
 	}
-	if h.folder.failSync {
+	if h.folder.failSyncs {
 		return ErrSync
 	}
-	h.content.synced = len(h.content.data)
+	h.content.syncedBytes = len(h.content.data)
 	return nil
 }
 
-func (h *handle) Close() error {
+func (h *openFile) Close() error {
 	return nil
 }
--- a/io/disk/fuzz_test.go
+++ b/io/disk/fuzz_test.go
@@ -11,7 +11,7 @@
 	"parsleyport/io/disk/disktest"
 )
 
-func openFuzzed(folder disk.Folder) (*disk.Store, disk.Found, error) {
+func openFuzzed(folder disk.Folder) (*disk.Store, disk.Contents, error) {
 	return disk.Open(folder, "c1", func() raft.Identity { return "x" })
 }
 
--- a/io/disk/record.go
+++ b/io/disk/record.go
@@ -15,8 +15,8 @@
 // A record is magic, payload length, checksum and payload. One sync covers one record, so an interrupted write leaves at
 // most one bad record, and it is the last one.
 const (
-	recordMagic = 0x50_50_4c_31
-	headBytes   = 16
+	recordMagic       = 0x50_50_4c_31
+	recordHeaderBytes = 16
 )
 
 // checksum covers the record's place as well, so that a copy of a record in another place is not valid.
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "encode record")
 	}
-	record := make([]byte, headBytes, headBytes+len(payload))
+	record := make([]byte, recordHeaderBytes, recordHeaderBytes+len(payload))
 	binary.BigEndian.PutUint32(record, recordMagic)
 	binary.BigEndian.PutUint32(record[4:], uint32(len(payload)))
 	binary.BigEndian.PutUint64(record[8:], checksum(segment, offset, payload))
@@ -45,19 +45,19 @@
 // recordAt returns the payload of the record at an offset and false if there is no valid record.
 func recordAt(segment uint64, data []byte, offset int) ([]byte, bool) {
 	rest := data[offset:]
-	if len(rest) < headBytes || binary.BigEndian.Uint32(rest) != recordMagic {
+	if len(rest) < recordHeaderBytes || binary.BigEndian.Uint32(rest) != recordMagic {
 		return nil, false
 	}
 	length := uint64(binary.BigEndian.Uint32(rest[4:]))
-	if length > uint64(len(rest)-headBytes) {
+	if length > uint64(len(rest)-recordHeaderBytes) {
 		return nil, false
 	}
-	payload := rest[headBytes : headBytes+length]
+	payload := rest[recordHeaderBytes : recordHeaderBytes+length]
 	return payload, binary.BigEndian.Uint64(rest[8:]) == checksum(segment, uint64(offset), payload)
 }
 
-// validBehind looks for a valid record at any offset, since the length of a bad record cannot be trusted.
-func validBehind(segment uint64, data []byte, offset int) (int, bool) {
+// findValidAfter looks for a valid record at any offset, since the length of a bad record cannot be trusted.
+func findValidAfter(segment uint64, data []byte, offset int) (int, bool) {
 	magic := binary.BigEndian.AppendUint32(nil, recordMagic)
 	for at := offset + 1; at < len(data); at++ {
 		found := bytes.Index(data[at:], magic)
--- a/io/disk/segment.go
+++ b/io/disk/segment.go
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 	}
-	s.hard, s.last = replay.hard, max(replay.next, 1)-1
+	s.hardState, s.lastIndex = replay.hardState, max(replay.nextIndex, 1)-1
 	return replay, nil
 }
 
@@ -58,8 +58,8 @@
 		if err := replay.apply(b); err != nil {
 			return errors.Annotatef(err, "%q at byte %d", name, offset)
 		}
-		seg.note(b.Entries)
-		offset += headBytes + len(payload)
+		seg.recordEntries(b.Entries)
+		offset += recordHeaderBytes + len(payload)
 		seg.size = uint64(offset)
 	}
 	return nil
@@ -72,7 +72,7 @@
 	if !newest {
 		return errors.Annotatef(ErrCorrupt, "record in %q at byte %d is bad and newer segments follow", name, offset)
 	}
-	if at, exists := validBehind(seg.number, data, offset); exists {
+	if at, exists := findValidAfter(seg.number, data, offset); exists {
 		return errors.Annotatef(ErrCorrupt, "record in %q at byte %d is bad and a valid record follows at byte %d", name, offset, at)
 	}
 	seg.size = uint64(offset)
@@ -82,30 +82,30 @@
 	return nil
 }
 
-func (seg *segment) note(entries []raft.Entry) {
+func (seg *segment) recordEntries(entries []raft.Entry) {
 	if len(entries) > 0 {
-		seg.last = max(seg.last, entries[len(entries)-1].Index)
+		seg.lastIndex = max(seg.lastIndex, entries[len(entries)-1].Index)
 	}
 }
 
 // replay rebuilds the log from the batches.
 type replay struct {
-	hard    raft.HardState
-	entries []raft.Entry
-	next    core.LogIndex // zero until the first entry or reset
+	hardState raft.HardState
+	entries   []raft.Entry
+	nextIndex core.LogIndex // zero until the first entry or reset
 }
 
 // first returns the first index that the log covers, and zero if it covers none yet.
-func (r *replay) first() core.LogIndex {
-	return r.next - core.LogIndex(len(r.entries))
+func (r *replay) firstIndex() core.LogIndex {
+	return r.nextIndex - core.LogIndex(len(r.entries))
 }
 
 // after returns the entries behind a snapshot, and false if the log does not contain the snapshot's last entry.
-func (r *replay) after(snapshot raft.Snapshot) ([]raft.Entry, bool) {
-	if r.first() == snapshot.Index+1 || snapshot.Index == 0 {
+func (r *replay) entriesAfter(snapshot raft.Snapshot) ([]raft.Entry, bool) {
+	if r.firstIndex() == snapshot.Index+1 || snapshot.Index == 0 {
 		return r.entries, true
 	}
-	at := int(snapshot.Index) - int(r.first())
+	at := int(snapshot.Index) - int(r.firstIndex())
 	if at >= len(r.entries) || r.entries[at].Term != snapshot.Term {
 		return nil, false
 	}
@@ -113,17 +113,17 @@
 }
 
 func (r *replay) apply(b batch) error {
-	if b.Last > 0 && r.next > 0 && r.next != b.Last+1 {
-		return errors.Annotatef(ErrCorrupt, "segment follows entry %d, but the one before it ends with entry %d", b.Last, r.next-1)
+	if b.Last > 0 && r.nextIndex > 0 && r.nextIndex != b.Last+1 {
+		return errors.Annotatef(ErrCorrupt, "segment follows entry %d, but the one before it ends with entry %d", b.Last, r.nextIndex-1)
 	}
 	if b.Last > 0 {
-		r.next = b.Last + 1
+		r.nextIndex = b.Last + 1
 	}
 	if b.Reset != nil {
-		r.entries, r.next = nil, b.Reset.Index+1
+		r.entries, r.nextIndex = nil, b.Reset.Index+1
 	}
 	if b.HardState != nil {
-		r.hard = *b.HardState
+		r.hardState = *b.HardState
 	}
 	for _, entry := range b.Entries {
 		if err := r.add(entry); err != nil {
@@ -134,11 +134,11 @@
 }
 
 func (r *replay) add(entry raft.Entry) error {
-	if r.next == 0 {
-		r.next = entry.Index
+	if r.nextIndex == 0 {
+		r.nextIndex = entry.Index
 	}
-	if entry.Index > r.next {
-		return errors.Annotatef(ErrCorrupt, "entry %d follows entry %d", entry.Index, r.next-1)
+	if entry.Index > r.nextIndex {
+		return errors.Annotatef(ErrCorrupt, "entry %d follows entry %d", entry.Index, r.nextIndex-1)
 	}
 	if len(r.entries) > 0 && entry.Index >= r.entries[0].Index {
 		r.entries = r.entries[:entry.Index-r.entries[0].Index]
@@ -146,7 +146,7 @@
 		r.entries = nil
 	}
 	r.entries = append(r.entries, entry)
-	r.next = entry.Index + 1
+	r.nextIndex = entry.Index + 1
 	return nil
 }
 
@@ -180,8 +180,8 @@
 	s.segments = append(s.segments, segment{
 		number: number,
 	})
-	hard := s.hard
-	if err := s.write(batch{HardState: &hard, Last: s.last}); err != nil {
+	hard := s.hardState
+	if err := s.write(batch{HardState: &hard, Last: s.lastIndex}); err != nil {
 		return err
 	}
 	if err := s.folder.Sync(); err != nil {
@@ -196,9 +196,9 @@
 		return err
 	}
 	if hard != nil {
-		s.hard = *hard
+		s.hardState = *hard
 	}
-	if newest := s.segments[len(s.segments)-1]; newest.size > segmentBytes {
+	if newest := s.segments[len(s.segments)-1]; newest.size > maxSegmentBytes {
 		if err := s.beginSegment(newest.number + 1); err != nil {
 			return err
 		}
@@ -224,12 +224,12 @@
 		return s.fail(err, "sync", name)
 	}
 	newest.size += uint64(len(record))
-	newest.note(b.Entries)
+	newest.recordEntries(b.Entries)
 	if b.Reset != nil {
-		s.last = b.Reset.Index
+		s.lastIndex = b.Reset.Index
 	}
 	if len(b.Entries) > 0 {
-		s.last = b.Entries[len(b.Entries)-1].Index
+		s.lastIndex = b.Entries[len(b.Entries)-1].Index
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 	if err := s.beginSegment(newest.number + 1); err != nil {
 		return err
 	}
-	for len(s.segments) > 1 && s.segments[0].last <= index {
+	for len(s.segments) > 1 && s.segments[0].lastIndex <= index {
 		if err := s.remove(segmentName(s.segments[0].number)); err != nil {
 			return err
 		}
@@ -264,7 +264,7 @@
 		return s.fail(err, "list", "folder")
 	}
 	return s.removeAll(slices.DeleteFunc(names, func(name string) bool {
-		return !strings.HasPrefix(name, snapshotPrefix) || strings.HasSuffix(name, temporary) || name >= snapshotName(before)
+		return !strings.HasPrefix(name, snapshotPrefix) || strings.HasSuffix(name, temporarySuffix) || name >= snapshotName(before)
 	}))
 }
 
--- a/io/disk/store.go
+++ b/io/disk/store.go
@@ -17,11 +17,11 @@
 const ErrFailed = errors.ConstError("data folder has failed")
 
 const (
-	identityName   = "identity"
-	segmentPrefix  = "log-"
-	snapshotPrefix = "snapshot-"
-	temporary      = ".tmp"
-	segmentBytes   = 16 << 20 // a new segment is begun behind this size
+	identityName    = "identity"
+	segmentPrefix   = "log-"
+	snapshotPrefix  = "snapshot-"
+	temporarySuffix = ".tmp"
+	maxSegmentBytes = 16 << 20 // a new segment is begun behind this size
 )
 
 // Identity names the data folder; Initial is the initial membership once it is agreed.
@@ -31,10 +31,10 @@
 }
 
 // Found is what a data folder held when it was opened.
-type Found struct {
+type Contents struct {
 	Identity Identity
-	Fresh    bool // the identity was created by this Open
-	Used     bool // the folder holds a log or a snapshot
+	Created  bool // the identity was created by this Open
+	HasState bool // the folder holds a log or a snapshot
 	Restored raft.Restored
 }
 
@@ -47,18 +47,18 @@
 }
 
 type segment struct {
-	number uint64
-	last   core.LogIndex // greatest index of any of its entries
-	size   uint64
+	number    uint64
+	lastIndex core.LogIndex // greatest index of any of its entries
+	size      uint64
 }
 
 // Store writes to an opened data folder. SaveSnapshot may run beside the other methods, which need one caller at a time.
 type Store struct {
-	folder   Folder
-	file     File
-	segments []segment // the last one is open as file
-	hard     raft.HardState
-	last     core.LogIndex // last entry of the log
+	folder    Folder
+	file      File
+	segments  []segment // the last one is open as file
+	hardState raft.HardState
+	lastIndex core.LogIndex // last entry of the log
 
 	mu     sync.Mutex // guards failed
 	failed error
@@ -66,32 +66,32 @@
 
 // Open reads the data folder of an instance and creates its identity if the folder is empty; newIdentity returns a
 // random identity. It returns ErrCorrupt if the folder is damaged.
-func Open(folder Folder, self core.ControlID, newIdentity func() raft.Identity) (*Store, Found, error) {
+func Open(folder Folder, self core.ControlID, newIdentity func() raft.Identity) (*Store, Contents, error) {
 	s := &Store{
 		folder: folder,
 	}
 	names, err := s.listFiles()
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
 	found, err := s.openIdentity(names, self, newIdentity)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
-	if found.Restored.Snapshot, err = s.readSnapshots(names); err != nil {
-		return nil, Found{}, err
+	if found.Restored.Snapshot, err = s.readNewestSnapshot(names); err != nil {
+		return nil, Contents{}, err
 	}
 	log, err := s.readSegments(names)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
 	if len(s.segments) == 0 && (found.Restored.Snapshot.Index > 0 || len(found.Identity.Initial) > 0) {
-		return nil, Found{}, errors.Annotate(ErrCorrupt, "log segments are missing")
+		return nil, Contents{}, errors.Annotate(ErrCorrupt, "log segments are missing")
 	}
-	found.Restored.HardState = s.hard
-	found.Used = len(log.entries) > 0 || found.Restored.Snapshot.Index > 0 || s.hard != raft.HardState{}
-	if err := s.join(&found.Restored, log); err != nil {
-		return nil, Found{}, err
+	found.Restored.HardState = s.hardState
+	found.HasState = len(log.entries) > 0 || found.Restored.Snapshot.Index > 0 || s.hardState != raft.HardState{}
+	if err := s.alignLog(&found.Restored, log); err != nil {
+		return nil, Contents{}, err
 	}
 	return s, found, nil
 }
@@ -105,7 +105,7 @@
 	slices.Sort(names)
 	kept := names[:0]
 	for _, name := range names {
-		if !strings.HasSuffix(name, temporary) {
+		if !strings.HasSuffix(name, temporarySuffix) {
 			kept = append(kept, name)
 		} else if err := s.folder.Remove(name); err != nil {
 			return nil, errors.Annotatef(err, "remove %q", name)
@@ -114,10 +114,10 @@
 	return kept, nil
 }
 
-func (s *Store) openIdentity(names []string, self core.ControlID, newIdentity func() raft.Identity) (Found, error) {
-	var found Found
+func (s *Store) openIdentity(names []string, self core.ControlID, newIdentity func() raft.Identity) (Contents, error) {
+	var found Contents
 	if slices.Contains(names, identityName) {
-		if err := readWhole(s.folder, identityName, &found.Identity); err != nil {
+		if err := readRecordFile(s.folder, identityName, &found.Identity); err != nil {
 			return found, err
 		}
 		if found.Identity.Self.ID != self {
@@ -128,7 +128,7 @@
 	if len(names) > 0 {
 		return found, errors.Annotatef(ErrCorrupt, "identity is missing beside %q", names[0])
 	}
-	found.Fresh = true
+	found.Created = true
 	found.Identity.Self = raft.Peer{
 		ID:       self,
 		Identity: newIdentity(),
@@ -141,14 +141,14 @@
 	return s.replaceFile(identityName, identity)
 }
 
-// readWhole reads a file that holds one record.
-func readWhole(folder Folder, name string, target any) error {
+// readRecordFile reads a file that holds one record.
+func readRecordFile(folder Folder, name string, target any) error {
 	data, err := folder.Read(name)
 	if err != nil {
 		return errors.Annotatef(err, "read %q", name)
 	}
 	payload, valid := recordAt(0, data, 0)
-	if !valid || len(payload)+headBytes != len(data) {
+	if !valid || len(payload)+recordHeaderBytes != len(data) {
 		return errors.Annotatef(ErrCorrupt, "checksum of %q does not match", name)
 	}
 	if err := packed.Decode(payload, target); err != nil {
@@ -162,19 +162,19 @@
 	if err := s.checkFailed(); err != nil {
 		return err
 	}
-	if err := writeWhole(s.folder, name, content); err != nil {
+	if err := writeRecordFile(s.folder, name, content); err != nil {
 		return s.fail(err, "replace", name)
 	}
 	return nil
 }
 
-// writeWhole writes under a temporary name first, so that the file is whole or absent.
-func writeWhole(folder Folder, name string, content any) error {
+// writeRecordFile writes under a temporary name first, so that the file is whole or absent.
+func writeRecordFile(folder Folder, name string, content any) error {
 	record, err := encodeRecord(0, 0, content)
 	if err != nil {
 		return err
 	}
-	file, err := folder.Create(name + temporary)
+	file, err := folder.Create(name + temporarySuffix)
 	if err != nil {
 		return errors.Annotatef(err, "create %q", name)
 	}
@@ -187,17 +187,17 @@
 	if err := file.Close(); err != nil {
 		return errors.Annotatef(err, "close %q", name)
 	}
-	if err := folder.Rename(name+temporary, name); err != nil {
+	if err := folder.Rename(name+temporarySuffix, name); err != nil {
 		return errors.Annotatef(err, "rename %q", name)
 	}
 	return errors.Annotatef(folder.Sync(), "sync folder of %q", name)
 }
 
-func (s *Store) readSnapshots(names []string) (raft.Snapshot, error) {
+func (s *Store) readNewestSnapshot(names []string) (raft.Snapshot, error) {
 	var newest raft.Snapshot
 	for _, name := range slices.Backward(names) {
 		if strings.HasPrefix(name, snapshotPrefix) {
-			return newest, readWhole(s.folder, name, &newest)
+			return newest, readRecordFile(s.folder, name, &newest)
 		}
 	}
 	return newest, nil
@@ -217,16 +217,16 @@
 }
 
 // join cuts the log to what follows the snapshot.
-func (s *Store) join(restored *raft.Restored, log *replay) error {
+func (s *Store) alignLog(restored *raft.Restored, log *replay) error {
 	snapshot := restored.Snapshot
-	if log.first() > snapshot.Index+1 {
+	if log.firstIndex() > snapshot.Index+1 {
 		return errors.Annotatef(ErrCorrupt, "log begins with entry %d, but the newest snapshot ends with entry %d",
-			log.first(), snapshot.Index)
+			log.firstIndex(), snapshot.Index)
 	}
 	if err := s.openSegment(); err != nil {
 		return err
 	}
-	if entries, joined := log.after(snapshot); joined {
+	if entries, joined := log.entriesAfter(snapshot); joined {
 		restored.Entries = entries
 		return nil
 	}
--- a/io/disk/store_test.go
+++ b/io/disk/store_test.go
@@ -20,11 +20,11 @@
 
 const firstSegment = "log-00000000000000000001"
 
-func open(folder disk.Folder) (*disk.Store, disk.Found, error) {
+func open(folder disk.Folder) (*disk.Store, disk.Contents, error) {
 	return disk.Open(folder, "c1", func() raft.Identity { return "identity" })
 }
 
-func mustOpen(c *qt.C, folder disk.Folder) (*disk.Store, disk.Found) {
+func mustOpen(c *qt.C, folder disk.Folder) (*disk.Store, disk.Contents) {
 	store, found, err := open(folder)
 	c.Assert(err, qt.IsNil)
 	return store, found
@@ -43,8 +43,8 @@
 func filled(c *qt.C) (*disktest.Memory, []int) {
 	folder := disktest.NewMemory()
 	store, found := mustOpen(c, folder)
-	c.Assert(found.Fresh, qt.IsTrue)
-	c.Assert(found.Used, qt.IsFalse)
+	c.Assert(found.Created, qt.IsTrue)
+	c.Assert(found.HasState, qt.IsFalse)
 	var sizes []int
 	for index := range core.LogIndex(3) {
 		sizes = append(sizes, folder.Size(firstSegment))
@@ -122,7 +122,7 @@
 func TestFaultIsFinal(t *testing.T) {
 	c := qt.New(t)
 	for name, fault := range map[string][2]func(folder *disktest.Memory){
-		"full disk":   {func(f *disktest.Memory) { f.Limit(1) }, func(f *disktest.Memory) { f.Limit(0) }},
+		"full disk":   {func(f *disktest.Memory) { f.SetCapacity(1) }, func(f *disktest.Memory) { f.SetCapacity(0) }},
 		"failed sync": {func(f *disktest.Memory) { f.FailSyncs(true) }, func(f *disktest.Memory) { f.FailSyncs(false) }},
 	} {
 		folder, _ := filled(c)
@@ -165,7 +165,7 @@
 			}
 			folder.Crash(random)
 			folder.FailSyncs(false)
-			var found disk.Found
+			var found disk.Contents
 			store, found = mustOpen(c, folder)
 			if after.equals(found.Restored) {
 				before = after
--- a/io/raftpeer/applier.go
+++ b/io/raftpeer/applier.go
@@ -26,7 +26,7 @@
 	a := &applier{
 		store:            store,
 		machine:          machine,
-		snapshotInterval: raft.SnapshotInterval,
+		snapshotInterval: raft.SnapshotIntervalEntries,
 		finishRequest:    done,
 	}
 	if from.Index == 0 {
--- a/io/raftpeer/engine.go
+++ b/io/raftpeer/engine.go
@@ -43,7 +43,7 @@
 		store:           store,
 		identity:        found.Identity,
 		restored:        found.Restored,
-		bootstrap:       raft.NewBootstrap(found.Identity.Self, options.bootstrapMembers(), found.Identity.Initial, found.Used),
+		bootstrap:       raft.NewBootstrap(found.Identity.Self, options.bootstrapMembers(), found.Identity.Initial, found.HasState),
 		trailingEntries: lo.CoalesceOrEmpty(options.trailingEntries, raft.TrailingEntries),
 		send:            send,
 	}
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -300,7 +300,7 @@
 	c := qt.New(t)
 	w := newSimulation(t, 3, 1)
 	only := w.instances["c1"]
-	only.snapshotInterval = raft.SnapshotInterval
+	only.snapshotInterval = raft.SnapshotIntervalEntries
 	only.crash()
 	only.start()
 	w.write("first=1")
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -62,7 +62,7 @@
 	}
 	l.context, l.cancel = context.WithCancel(r.context)
 	r.links[id] = l
-	r.running.Go(func() { r.sendLoop(l) })
+	r.goroutines.Go(func() { r.sendLoop(l) })
 }
 
 // disconnectOthers ends the links to instances that are neither in the settings nor members nor newcomers.
@@ -166,7 +166,7 @@
 func (r *Replica) useConnection(l *link, conn *frame.Conn) {
 	ctx, cancel := context.WithCancel(l.context)
 	defer cancel()
-	r.running.Go(func() {
+	r.goroutines.Go(func() {
 		defer cancel()
 		for ctx.Err() == nil {
 			if err := receivePong(conn); err != nil {
@@ -212,7 +212,7 @@
 }
 
 func (r *Replica) acceptLoop() {
-	slots := make(chan struct{}, maxConnections)
+	slots := make(chan struct{}, maxIncomingConnections)
 	for {
 		conn, err := r.listener.Accept()
 		if err != nil {
@@ -224,7 +224,7 @@
 		}
 		select {
 		case slots <- struct{}{}:
-			r.running.Go(func() {
+			r.goroutines.Go(func() {
 				defer func() { <-slots }()
 				r.receiveLoop(frame.NewBulk(conn, r.packing))
 			})
--- a/io/raftpeer/options.go
+++ b/io/raftpeer/options.go
@@ -19,7 +19,7 @@
 	MaxCommandBytes = 4 << 20
 
 	maxMembers             = 16
-	maxConnections         = 64
+	maxIncomingConnections = 64
 	maxOutstandingRequests = 4096 // proposals and reads that wait at one instance
 	maxBatchEvents         = 512  // events that share one sync
 	inputCapacity          = 1024
@@ -39,7 +39,7 @@
 	introduceInterval      = time.Second           // an instance that is not a member tells the others its identity
 	introductionMaxAge     = 3 * introduceInterval // after which one that has said nothing more is forgotten; two hellos may be lost
 	maxTimerInterval       = 100 * time.Millisecond
-	connectionsBacklog     = 16
+	connectionBacklog      = 16
 )
 
 // Member names a control instance as in the settings.
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -57,12 +57,12 @@
 	members atomic.Pointer[[]raft.Member]
 	applied atomic.Uint64
 
-	listener net.Listener
-	context  context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	stopped  chan struct{} // closed when the loop has ended
-	failed   chan error
+	listener   net.Listener
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	loopEnded  chan struct{} // closed when the loop has ended
+	failed     chan error
 }
 
 var _ core.Replicator = (*Replica)(nil)
@@ -111,7 +111,7 @@
 		learnedAddresses: make(map[core.ControlID]string),
 		context:          ctx,
 		cancel:           cancel,
-		stopped:          make(chan struct{}),
+		loopEnded:        make(chan struct{}),
 		failed:           make(chan error, 1),
 	}
 	r.options.Logger = options.Logger.With().Str("instance", string(options.Self)).Logger()
@@ -154,10 +154,10 @@
 	for _, member := range r.options.Members {
 		r.connect(member.ID, member.Address)
 	}
-	r.running.Go(r.applyLoop)
-	r.running.Go(r.acceptLoop)
-	r.running.Go(func() {
-		defer close(r.stopped)
+	r.goroutines.Go(r.applyLoop)
+	r.goroutines.Go(r.acceptLoop)
+	r.goroutines.Go(func() {
+		defer close(r.loopEnded)
 		r.loop()
 	})
 }
@@ -165,7 +165,7 @@
 func (r *Replica) close() {
 	r.cancel()
 	_ = r.listener.Close()
-	r.running.Wait()
+	r.goroutines.Wait()
 	if err := r.engine.store.Close(); err != nil {
 		r.options.Logger.Warn().Err(err).Msg("data folder not closed")
 	}
--- a/io/raftpeer/replica_test.go
+++ b/io/raftpeer/replica_test.go
@@ -171,7 +171,7 @@
 	defer stop()
 	_, err = replica.Propose(t.Context(), []byte("kept"))
 	c.Assert(err, qt.IsNil)
-	folder.Limit(1)
+	folder.SetCapacity(1)
 	_, err = replica.Propose(t.Context(), []byte("lost"))
 	c.Assert(errors.Is(err, core.ErrOutcomeUnknown), qt.IsTrue)
 	c.Assert(errors.Is(<-replica.Failed(), disk.ErrFailed), qt.IsTrue)
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -135,7 +135,7 @@
 	}
 	defer r.requests.remove(id)
 	select {
-	case <-r.stopped:
+	case <-r.loopEnded:
 		return answer{}, errors.Annotate(core.ErrNoLeader, "replica has stopped")
 	default:
 	}
@@ -157,7 +157,7 @@
 			return a, nil
 		case <-ctx.Done():
 			return answer{}, errors.Annotate(core.ErrOutcomeUnknown, ctx.Err().Error())
-		case <-r.stopped:
+		case <-r.loopEnded:
 			return answer{}, errors.Annotate(core.ErrOutcomeUnknown, "replica has stopped")
 		case <-poll.C:
 			if status := r.Status(); status.Term > term && status.Leader != "" {
@@ -176,7 +176,7 @@
 		return true
 	case <-ctx.Done():
 		return false
-	case <-r.stopped:
+	case <-r.loopEnded:
 		return false
 	}
 }
