--- a/io/raftpeer/applier.go
+++ b/io/raftpeer/applier.go
@@ -8,17 +8,17 @@
 	"parsleyport/io/disk"
 )
 
-// applier drives the state machine and stores its snapshots.
+// applier applies committed entries to the state machine and stores its snapshots.
 type applier struct {
 	store            *disk.Store
 	machine          core.StateMachine
 	applied          core.LogIndex
 	term             core.Term
 	members          []raft.Member
-	snapshotIndex    core.LogIndex // index of the newest stored snapshot
+	snapshotIndex    core.LogIndex // of the newest stored snapshot
 	snapshotInterval core.LogIndex // entries between two snapshots
 	waitingReads     []raft.ReadResult
-	// done reports the result of a proposal or read of this process.
+	// finishRequest reports the result of an applied entry or of a read; requests of other processes are ignored there.
 	finishRequest func(request raft.RequestID, result []byte)
 }
 
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// apply handles one step's outcome and returns a snapshot that was stored, or nil.
+// apply applies the result of a step. It returns the snapshot that it has stored, or nil.
 func (a *applier) apply(o stepResult) (*raft.Snapshot, error) {
 	for _, entry := range o.committed {
 		if err := a.applyEntry(entry); err != nil {
@@ -52,7 +52,7 @@
 	}
 	a.waitingReads = append(a.waitingReads, o.reads...)
 	if excess := len(a.waitingReads) - maxOutstandingRequests; excess > 0 {
-		a.waitingReads = a.waitingReads[excess:] // reads that were given up and asked again
+		a.waitingReads = a.waitingReads[excess:] // the oldest ones have timed out and been requested again
 	}
 	if o.install != nil {
 		return a.install(*o.install)
--- a/io/raftpeer/engine.go
+++ b/io/raftpeer/engine.go
@@ -12,8 +12,8 @@
 	"parsleyport/io/disk"
 )
 
-// engine joins the decisions with the disk: it writes before it lets go of what vouches for the disk. It has no goroutine
-// and no clock, so that fault schedules can run it.
+// engine connects a Raft node with its store: it syncs what a message acknowledges before it sends the message. It has no
+// goroutine and no clock, so that tests can run it under fault schedules.
 type engine struct {
 	store           *disk.Store
 	identity        disk.Identity
@@ -24,7 +24,7 @@
 	send            func(raft.Message)
 }
 
-// outcome is what a step leaves to be applied and answered.
+// stepResult is what a step returns to be applied and answered.
 type stepResult struct {
 	install   *raft.Snapshot
 	committed []raft.Entry
@@ -51,7 +51,7 @@
 	return e, e.receiveHello(now, nil, random)
 }
 
-// hear takes part in the agreement on the initial membership.
+// receiveHello advances the bootstrap with a hello, or with none if it is nil, and starts the node once it is complete.
 func (e *engine) receiveHello(now time.Time, hello *raft.Hello, random *rand.Rand) error {
 	store, start := e.bootstrap.Step(hello)
 	if len(store) > 0 {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// step runs events through the node until nothing is left to write. An error of the disk is final.
+// step passes events to the node until nothing is left to write. After a disk error the engine must not be used further.
 func (e *engine) step(now time.Time, events ...raft.Event) (stepResult, error) {
 	var result stepResult
 	if e.bootstrap.Pending() {
@@ -106,7 +106,7 @@
 	return &hello
 }
 
-// refuseAll answers the local requests that come before the initial membership is agreed on.
+// refuseAll refuses the local requests that arrive before the initial membership has been agreed on.
 func refuseAll(events []raft.Event) stepResult {
 	var result stepResult
 	for _, event := range events {
@@ -135,8 +135,8 @@
 	})
 }
 
-// join adds later results. Nothing is committed between an installed snapshot and the report that it is stored, so the
-// snapshot stays the last thing to be applied.
+// join appends later results. The node commits nothing between a snapshot to install and the report that it is stored, so
+// an installed snapshot is always the last thing to apply.
 func (o *stepResult) join(later stepResult) {
 	if later.install != nil {
 		o.install = later.install
@@ -150,7 +150,7 @@
 	return o.install == nil && len(o.committed) == 0 && len(o.reads) == 0
 }
 
-// compact removes what a stored snapshot replaces on the disk.
+// compact removes the log segments and snapshots that a stored snapshot replaces.
 func (e *engine) compact(snapshot raft.Snapshot) error {
 	return errors.Trace(e.store.Compact(snapshot.Index))
 }
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -14,7 +14,7 @@
 	"parsleyport/io/disk"
 )
 
-// startedSimulation has a leader and one committed write.
+// startedSimulation returns a simulation with one committed write, and its leader.
 func startedSimulation(t *testing.T, size int) (*simulation, *instance) {
 	w := newSimulation(t, 7, size)
 	w.write("first=1")
@@ -22,14 +22,14 @@
 	return w, w.leader()
 }
 
-// Guards against an instance that votes with a new disk after it has voted with the old one.
+// Guards against an instance that votes with a new disk although it may have voted with the old one.
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	lagging, wiped := w.instances[rest[0]], w.instances[rest[1]]
 
-	// The entry is on the leader and on the instance that loses its disk, and the instance that is left lacks it.
+	// The leader and the instance that loses its disk store the entry; the third instance lacks it.
 	w.isolate(rest[0], true, true)
 	w.write("kept=1")
 	leader.crash()
@@ -45,7 +45,7 @@
 	w.advance(10 * time.Second)
 	c.Assert(lagging.isLeader(), qt.IsFalse)
 
-	// With the old leader back, the entry is still there, and the wiped instance is known as a nonMember.
+	// After the old leader's restart the entry still exists, and the wiped instance knows that it is not a member.
 	leader.start()
 	w.advanceUntil(5*time.Second, "leader after restart", leader.isLeader)
 	w.advanceUntil(5*time.Second, "entry is kept", func() bool { return lagging.machine["kept"] == "1" })
@@ -56,7 +56,7 @@
 	c.Assert(wiped.machine["kept"], qt.Equals, "1")
 }
 
-// Guards against a loss when a second disk is lost right after the repair of a first one, whichever of the others it is.
+// Guards against data loss when another disk is lost right after the first one was replaced, whichever disk it is.
 func TestSecondDiskLostAfterRepair(t *testing.T) {
 	for order := range 2 {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -73,12 +73,12 @@
 			w.instances[second].wipe()
 			w.write("after=1")
 			w.instances[second].start()
-			w.advance(3 * time.Second) // it tries to bootstrap, and must not
+			w.advance(3 * time.Second) // the instance tries to bootstrap, which must not succeed
 			w.change(raft.ChangeReplace, second)
 			w.change(raft.ChangePromote, second)
 			third := w.others(first, second)[0]
 			w.instances[third].wipe()
-			w.instances[third].start() // no instance is left that has taken part in the bootstrap
+			w.instances[third].start() // now no instance has the disk with which it took part in the bootstrap
 			w.change(raft.ChangeReplace, third)
 			w.change(raft.ChangePromote, third)
 			w.converge()
@@ -87,7 +87,7 @@
 	}
 }
 
-// Guards against a promotion that counts a learner towards the majority before it holds what was committed.
+// Guards against a promotion that counts a learner towards the majority before it stores all committed entries.
 func TestPromotionWaitsForTheLearner(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
@@ -103,13 +103,13 @@
 	w.advance(5 * time.Second)
 	c.Assert(promoted, qt.IsFalse)
 	c.Assert(leader.engine.node.Status().Learners, qt.DeepEquals, []core.ControlID{rest[0]})
-	w.write("possible=1") // the two voters still are a majority
+	w.write("possible=1") // the two voters are still a majority
 	w.heal()
 	w.advanceUntil(5*time.Second, "promotion", func() bool { return promoted })
 	c.Assert(leader.engine.node.Status().Voters, qt.HasLen, 3)
 }
 
-// Guards against an added instance that does not count, and a removed one that leads on or disturbs the others.
+// Guards against an added voter that is not counted, and a removed member that still leads or disturbs the others.
 func TestMembershipGrowsAndShrinks(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
@@ -136,7 +136,7 @@
 	c.Assert(leader.machine["after"], qt.Equals, "")
 }
 
-// Guards against a second membership change while one is not committed: their majorities need not overlap.
+// Guards against a second membership change before the first is committed: their majorities need not overlap.
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 5)
@@ -152,8 +152,8 @@
 	c.Assert(refusals, qt.DeepEquals, []string{"another membership change is under way"})
 }
 
-// Guards against a leader that goes on, or serves a stale read as current, while it is cut off in any direction.
-func TestCutOffLeaderStepsDown(t *testing.T) {
+// Guards against a leader that stays leader, or confirms stale reads, while it is partitioned in any direction.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	for _, cut := range []struct {
 		name               string
 		outgoing, incoming bool
@@ -169,7 +169,7 @@
 			begun := w.now
 			w.advanceUntil(raft.ElectionTimeout+tick, "step-down", func() bool {
 				leader.read(func(refused string) {
-					if refused == "" && w.now.After(begun.Add(3*tick)) { // answers that were under way at the cut
+					if refused == "" && w.now.After(begun.Add(3*tick)) { // earlier answers were sent before the partition
 						t.Errorf("read confirmed %v after the cut", w.now.Sub(begun))
 					}
 				})
@@ -185,7 +185,7 @@
 	}
 }
 
-// Guards against a process that was frozen and acts on its old leadership when it continues.
+// Guards against a process that is suspended and, when it resumes, acts as a leader that it no longer is.
 func TestFrozenLeaderServesNoStaleRead(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
@@ -205,7 +205,7 @@
 	leader.frozenUntil = time.Time{}
 	answered := ""
 	leader.read(func(refused string) { answered = refused + leader.machine["newer"] })
-	// Only answers that were waiting when it froze reach it, and nothing tells it of the new leader.
+	// It receives only answers that were queued before it froze, none of which tells it of the new leader.
 	leader.inbox = lo.Filter(leader.inbox, func(p packet, _ int) bool {
 		return p.message.Kind == raft.KindAppendAnswer && p.message.Term == leader.engine.node.Status().Term
 	})
@@ -216,12 +216,12 @@
 	c.Assert(answered, qt.Not(qt.Equals), "")
 }
 
-// Guards against a new leader that answers reads before it knows which entries were committed.
+// Guards against a new leader that answers reads before it knows which entries are committed.
 func TestNewLeaderReadsAfterItsNoOp(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
-	// The others store the entry, but do not learn that it is committed.
+	// The followers store the entry but do not learn that it is committed.
 	leader.propose("late=1", func(string) {})
 	w.advance(2 * tick)
 	w.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindAppend }
@@ -229,7 +229,7 @@
 	leader.crash()
 	c.Assert(w.instances[rest[0]].machine["late"], qt.Equals, "")
 
-	// The new leader's no-op is lost, while its heartbeats are answered.
+	// The new leader's no-op entry is lost, while its heartbeats are answered.
 	w.loseMessage = func(m raft.Message) bool { return len(m.Entries) > 0 }
 	w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil })
 	next, answered := w.leader(), false
@@ -242,7 +242,7 @@
 	w.advanceUntil(time.Second, "read", func() bool { return answered })
 }
 
-// Guards against an instance that raises the term when it returns, and so ends a leadership that works.
+// Guards against an instance that raises the term when a partition heals, which would depose a working leader.
 func TestReturningInstanceDoesNotDisturb(t *testing.T) {
 	for _, incoming := range []bool{true, false} {
 		t.Run(fmt.Sprint(incoming), func(t *testing.T) {
@@ -262,8 +262,8 @@
 	}
 }
 
-// Guards against an instance that cannot reach the leader, but can reach the others, and makes them leave that leader.
-func TestInstanceCutFromTheLeaderDoesNotDisturb(t *testing.T) {
+// Guards against an instance that reaches the other followers but not the leader, and makes them leave that leader.
+func TestInstancePartitionedFromLeaderDoesNotDisturb(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
 	away := w.others(leader.options.Self)[0]
@@ -275,7 +275,7 @@
 	c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
 }
 
-// Guards against an acknowledgement of an entry whose sync has failed, or a retry of that sync.
+// Guards against acknowledging an entry whose sync has failed, and against retrying that sync.
 func TestFailedSyncAcknowledgesNothing(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
@@ -295,7 +295,7 @@
 	}
 }
 
-// Guards against a restart that replays the whole log, or that finds less than was committed.
+// Guards against a restart that replays the whole log, or that restores less than was committed.
 func TestRestartUsesTheSnapshot(t *testing.T) {
 	c := qt.New(t)
 	w := newSimulation(t, 3, 1)
@@ -319,8 +319,8 @@
 	c.Assert(only.machine["n"], qt.Equals, "1999")
 }
 
-// Guards against a learner that cannot catch up once the entries it lacks are only in the snapshot.
-func TestSnapshotReachesAnInstanceThatLags(t *testing.T) {
+// Guards against a member that cannot catch up once the entries it lacks have been compacted into the snapshot.
+func TestSnapshotReachesLaggingInstance(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
 	away := w.others(leader.options.Self)[0]
--- a/io/raftpeer/handover_test.go
+++ b/io/raftpeer/handover_test.go
@@ -11,8 +11,8 @@
 	i.localEvents = append(i.localEvents, raft.HandOverRequested{})
 }
 
-// Guards against operators who wait for an election timeout because a leader was stopped as planned, and against a
-// submission that is lost while the leadership changes hands.
+// Guards against operators who wait for an election timeout when a leader is stopped deliberately, and against submissions
+// that are lost during a leadership transfer.
 func TestHandoverNeedsNoElectionTimeout(t *testing.T) {
 	w, leader := startedSimulation(t, 5)
 	w.write("x=1")
@@ -34,8 +34,8 @@
 	w.converge()
 }
 
-// Guards against a leader that stays closed for proposals when its successor cannot be elected.
-func TestHandoverThatFailsEnds(t *testing.T) {
+// Guards against a leader that refuses proposals forever when its successor cannot be elected.
+func TestFailedHandoverTimesOut(t *testing.T) {
 	w, leader := startedSimulation(t, 3)
 	w.write("x=1")
 	w.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindTimeoutNow }
@@ -49,7 +49,7 @@
 	}
 	w.advance(raft.HandoverTimeout + raft.HeartbeatInterval)
 	if !leader.isLeader() {
-		t.Fatalf("the leader does not lead on: %s", w.describe())
+		t.Fatalf("the leader has stepped down: %s", w.describe())
 	}
 	w.write("x=3")
 }
--- a/io/raftpeer/hello.go
+++ b/io/raftpeer/hello.go
@@ -10,8 +10,8 @@
 	"parsleyport/core/raft"
 )
 
-// introduce tells the others the identity: often while the initial membership is agreed on, and now and then while this
-// instance is not a member or hears no leader, since it may have been removed while it was away.
+// introduce sends hellos to the known instances: every bootstrapInterval during the bootstrap, and every introduceInterval
+// while this instance is not a member or knows no leader, since it may have been removed while it was unreachable.
 func (r *Replica) introduce() {
 	joined := r.isMember() && r.engine.node.Status().Leader != ""
 	if !r.engine.bootstrap.Pending() && (joined || time.Since(r.introducedAt) < introduceInterval) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// acquaintances are the instances that this one knows by its settings, by the membership or by the answers of others.
+// knownInstances returns the instances named by the settings, by the membership or by the hellos of other instances.
 func (r *Replica) knownInstances() map[core.ControlID]bool {
 	known := make(map[core.ControlID]bool)
 	for _, member := range r.options.Members {
@@ -59,10 +59,10 @@
 	})
 }
 
-// hear notes an identity and answers; the answer leaves after what it says is synced.
+// receiveHello records the sender's identity and answers. The answer is sent after the state it reports is synced.
 func (r *Replica) receiveHello(hello *raft.Hello) error {
 	if !r.recordIntroduction(hello) {
-		return nil // so that the maps stay small
+		return nil // unknown senders are ignored, which bounds the size of the maps
 	}
 	pending := r.engine.bootstrap.Pending()
 	if err := r.engine.receiveHello(time.Now(), hello, r.random); err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// acquaint notes an introduction. Names come from the settings or the membership; an open replica takes some others as well.
+// recordIntroduction records a hello from a known name. With AcceptUnknown it also records a limited number of other names.
 func (r *Replica) recordIntroduction(hello *raft.Hello) bool {
 	known := r.isKnownName(hello.From.ID)
 	if !known && (!r.options.AcceptUnknown || hello.Address == "") {
@@ -106,15 +106,15 @@
 	return true
 }
 
-// Meet introduces this instance to others that may be members, if it is not one.
+// IntroduceTo introduces this instance, if it is not a member, to others that may be members.
 func (r *Replica) IntroduceTo(members []Member) {
 	_ = r.inputs.Push(r.context, input{ // fails only once the replica is stopped
 		introduceTo: members,
 	})
 }
 
-// follow introduces this instance to the members that another one names, since the leader may be none of those that the
-// settings name.
+// learnMembers connects to the members that another instance names, so that this one introduces itself to them: the leader
+// may be none of the instances in the settings.
 func (r *Replica) learnMembers(members []raft.Member) {
 	if len(members) == 0 || len(members) > maxMembers {
 		return
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -14,7 +14,7 @@
 	"parsleyport/io/frame"
 )
 
-// Message types beyond those of raft.Kind, which are their own frame types.
+// Frame types of messages that are not raft.Message; for those the frame type is the raft.Kind.
 const (
 	typeHello frame.Type = 100 + iota
 	typePing
@@ -22,7 +22,7 @@
 	typeTopic
 )
 
-// topicMessage carries a message of another package between control instances.
+// topicMessage carries another package's message between control instances.
 type topicMessage struct {
 	From    core.ControlID `msgpack:"from"`
 	Topic   string         `msgpack:"topic"`
@@ -34,7 +34,7 @@
 	message any
 }
 
-// link sends to one other instance over a connection that it replaces when it fails or goes silent.
+// link is the outgoing connection to one instance. The connection is replaced when it fails or stops answering pings.
 type link struct {
 	address string
 	queue   *ring.Ring[outgoing]
@@ -42,7 +42,7 @@
 	cancel  context.CancelFunc
 }
 
-// connect starts the sender of an instance, and replaces one to another address.
+// connect starts the sender to an instance. It replaces a sender to another address of that instance.
 func (r *Replica) connect(id core.ControlID, address string) {
 	r.linksMu.Lock()
 	defer r.linksMu.Unlock()
@@ -65,7 +65,7 @@
 	r.goroutines.Go(func() { r.sendLoop(l) })
 }
 
-// disconnectOthers ends the links to instances that are neither in the settings nor members nor newcomers.
+// disconnectOthers closes the links to instances that are not in the settings, not members and not recently introduced.
 func (r *Replica) disconnectOthers(members []raft.Member) {
 	now := time.Now()
 	r.mu.Lock()
@@ -78,7 +78,7 @@
 	r.linksMu.Lock()
 	defer r.linksMu.Unlock()
 	for id, l := range r.links {
-		_, introduced := r.introductions[id] // only the loop adds to it
+		_, introduced := r.introductions[id] // without the lock, since only the loop writes the map
 		if introduced || r.isKnownName(id) || lo.ContainsBy(members, func(m raft.Member) bool { return m.Peer.ID == id }) {
 			continue
 		}
@@ -98,7 +98,7 @@
 	return true
 }
 
-// sendRaft queues a message of the protocol; a proposal that cannot be queued was certainly not proposed.
+// sendRaft queues a Raft message. A proposal that cannot be queued was certainly not appended, so it is refused.
 func (r *Replica) sendRaft(m raft.Message) {
 	if !r.enqueue(m.To.ID, outgoing{
 		kind:    frame.Type(m.Kind),
@@ -116,7 +116,8 @@
 	}
 }
 
-// Send queues a message of another package for an instance and returns false if it was dropped. Delivery is not assured.
+// Send queues a message of another package for an instance. It returns false if the message was dropped; a queued message
+// may still be lost.
 func (r *Replica) Send(to core.ControlID, topic string, payload []byte) bool {
 	return r.enqueue(to, outgoing{
 		kind: typeTopic,
@@ -143,7 +144,7 @@
 	}
 }
 
-// discard drops what waits for an instance that cannot be reached, since it would be outdated after the reconnect.
+// dropQueued drops the messages for an unreachable instance, since they would be outdated when it is connected again.
 func (r *Replica) dropQueued(l *link) {
 	for {
 		select {
@@ -162,7 +163,7 @@
 	}
 }
 
-// useConnection sends until the connection fails or does not answer pings.
+// useConnection sends queued messages and pings until the connection fails or pings are not answered.
 func (r *Replica) useConnection(l *link, conn *frame.Conn) {
 	ctx, cancel := context.WithCancel(l.context)
 	defer cancel()
@@ -192,12 +193,12 @@
 			r.counters.sent.Inc()
 		}
 		if err := conn.Send(time.Now().Add(sendTimeout), out.kind, out.message); err != nil {
-			return // a proposal that was cut may have arrived, so it is not reported as refused
+			return // a proposal that was only partly sent may have arrived whole, so it is not reported as refused
 		}
 	}
 }
 
-// receivePong reads an answer, which says whether the other instance reads packed messages.
+// receivePong reads a pong, which tells the packing that the other instance can read.
 func receivePong(conn *frame.Conn) error {
 	received, err := conn.Receive(time.Now().Add(silenceTimeout))
 	if err != nil || received.Type != typePong {
--- a/io/raftpeer/membership_test.go
+++ b/io/raftpeer/membership_test.go
@@ -15,21 +15,21 @@
 
 const (
 	wantedVoters = 5
-	// maxCaughtUpLag is how far behind a learner may be that counts as caught up.
+	// maxCaughtUpLag is the greatest number of entries by which a learner that counts as caught up may lag.
 	maxCaughtUpLag = 10
-	// leaderSettleTime is how long an instance leads before it judges silence.
+	// leaderSettleTime is how long an instance must have led before it may treat a member as silent.
 	leaderSettleTime = 1500 * time.Millisecond
 )
 
-// keeper decides membership changes at the leader as io/control does, by what has arrived there.
+// membershipController decides on membership changes at the leader, from the messages that have arrived there, like io/control.
 type membershipController struct {
 	simulation     *simulation
 	heardAt        map[[2]core.ControlID]time.Time // from, to
 	leader         core.ControlID
 	leaderSince    time.Time
 	changing       bool
-	changeDeadline time.Time // of a change without an answer
-	idsAssigned    int       // instances that came later
+	changeDeadline time.Time // after which a change without an answer is given up
+	idsAssigned    int       // number of instance ids used so far
 }
 
 func newMembershipController(w *simulation) *membershipController {
@@ -87,7 +87,7 @@
 	})
 }
 
-// newcomers are the live instances, not cut off from the leader, that are no members.
+// nonMembers returns the running instances outside the membership whose messages reach the leader.
 func (k *membershipController) nonMembers(leader *instance) []membership.Newcomer {
 	members := leader.engine.node.Members()
 	return lo.FilterMap(k.simulation.ids, func(id core.ControlID, _ int) (membership.Newcomer, bool) {
@@ -103,7 +103,7 @@
 	})
 }
 
-// whole reports whether the wanted number of live instances vote and hold what the leader holds, and no other is a member.
+// isComplete reports whether the members are exactly the instances of the simulation, all running voters that have caught up.
 func (k *membershipController) isComplete() bool {
 	leader := k.simulation.leader()
 	if leader == nil {
@@ -117,7 +117,7 @@
 	})
 }
 
-// inject loses disks only while all others hold everything: two at once, with or without their instances.
+// inject loses up to two disks at once, but only while the membership is complete. An instance may be lost with its disk.
 func (k *membershipController) inject() string {
 	w := k.simulation
 	if w.random.IntN(4) > 0 || !k.isComplete() {
@@ -130,7 +130,7 @@
 	for _, id := range lost {
 		w.instances[id].wipe()
 		if w.random.IntN(2) == 0 {
-			continue // comes back under its name, with another identity
+			continue // restarts under the same name with a new identity
 		}
 		k.idsAssigned++
 		w.ids = lo.Without(w.ids, id)
@@ -141,9 +141,9 @@
 	return fmt.Sprintf("lost disks of %v", lost)
 }
 
-// Guards against a membership that is repaired into one which loses what was acknowledged: disks that are lost two at a time,
-// with instances that come back empty or under other names, while instances crash, freeze and are cut off in any direction.
-func TestKeptMembershipSchedules(t *testing.T) {
+// Guards against losing acknowledged entries through automatic membership changes: up to two disks are lost at a time, with
+// instances that return empty or under other names, while instances crash, freeze and are partitioned in any direction.
+func TestAutomaticMembershipUnderFaults(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/io/raftpeer/options.go
+++ b/io/raftpeer/options.go
@@ -13,55 +13,55 @@
 	"parsleyport/io/disk"
 )
 
-// Limits and times of the driver.
+// Limits and timeouts of a replica.
 const (
-	// MaxCommandBytes bounds one proposed command.
+	// MaxCommandBytes is the greatest size of a proposed command.
 	MaxCommandBytes = 4 << 20
 
 	maxMembers             = 16
 	maxIncomingConnections = 64
-	maxOutstandingRequests = 4096 // proposals and reads that wait at one instance
-	maxBatchEvents         = 512  // events that share one sync
+	maxOutstandingRequests = 4096 // proposals and reads of this instance without an answer
+	maxBatchEvents         = 512  // events that one sync covers
 	inputCapacity          = 1024
-	maxPendingEntries      = 8192 // committed entries that wait for the applier
+	maxPendingEntries      = 8192 // committed entries not yet passed to the applier
 	applyCapacity          = 256
 	sendCapacity           = 1024
-	defaultRequestTimeout  = 10 * time.Second // of a request whose context has no deadline
+	defaultRequestTimeout  = 10 * time.Second // for requests whose context has no deadline
 	leaderPollInterval     = 250 * time.Millisecond
 	retryDelay             = 20 * time.Millisecond
-	readAttemptTimeout     = 500 * time.Millisecond // a read that was lost is asked again
+	readAttemptTimeout     = 500 * time.Millisecond // a read without an answer is then requested again
 	dialTimeout            = 500 * time.Millisecond
 	redialDelay            = 100 * time.Millisecond
 	sendTimeout            = time.Second
 	pingInterval           = 500 * time.Millisecond
-	silenceTimeout         = 1500 * time.Millisecond // a connection without an answer to pings is replaced
+	silenceTimeout         = 1500 * time.Millisecond // a connection that does not answer pings for so long is replaced
 	bootstrapInterval      = 150 * time.Millisecond
-	introduceInterval      = time.Second           // an instance that is not a member tells the others its identity
-	introductionMaxAge     = 3 * introduceInterval // after which one that has said nothing more is forgotten; two hellos may be lost
+	introduceInterval      = time.Second           // between the hellos of an instance that is not a member
+	introductionMaxAge     = 3 * introduceInterval // an introduction is valid for so long, so two hellos in a row may be lost
 	maxTimerInterval       = 100 * time.Millisecond
 	connectionBacklog      = 16
 )
 
-// Member names a control instance as in the settings.
+// Member is a control instance as the settings name it.
 type Member struct {
 	ID         core.ControlID
-	Address    string // peer address, IP number and port
+	Address    string // peer address, as IP address and port
 	DataCentre core.DataCentre
 }
 
-// Options of a replica. Members lists all control instances, this one too.
+// Options configure a replica. Members lists all control instances, including this one.
 type Options struct {
 	Self          core.ControlID
 	DataFolder    string
 	Listen        string
 	Members       []Member
-	Bootstrap     bool // agree on an initial membership with all Members if the data folder is empty
-	AcceptUnknown bool // take part with instances that Members does not name, as they introduce themselves
+	Bootstrap     bool // agree with all Members on an initial membership if the data folder is empty
+	AcceptUnknown bool // connect to instances that introduce themselves although Members does not list them
 	Logger        zerolog.Logger
 	Metrics       *metrics.Set
-	// Receive takes the messages that other instances send with Send; nil drops them. It must not block.
+	// Receive is called for messages that other instances send with Send; nil drops them. It must not block.
 	Receive func(from core.ControlID, topic string, payload []byte)
-	// Folder replaces the data folder on the disk, for tests.
+	// Folder replaces the data folder on disk, for tests.
 	Folder disk.Folder
 
 	trailingEntries core.LogIndex // replaces raft.TrailingEntries, for tests
@@ -76,7 +76,7 @@
 	}
 	ids := lo.Map(o.Members, func(m Member, _ int) core.ControlID { return m.ID })
 	if len(lo.Uniq(ids)) != len(ids) {
-		return errors.NotValidf("members with equal ids")
+		return errors.NotValidf("members with duplicate ids")
 	}
 	if !lo.Contains(ids, o.Self) {
 		return errors.NotValidf("member list without %q", o.Self)
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// self returns what the settings say of this instance.
+// self returns this instance's entry in the settings.
 func (o *Options) self() Member {
 	member, _ := lo.Find(o.Members, func(m Member) bool { return m.ID == o.Self })
 	return member
--- a/io/raftpeer/packing.go
+++ b/io/raftpeer/packing.go
@@ -15,7 +15,7 @@
 	)
 }
 
-// pingMessage names the packing that the sender of a ping, or of its answer, reads.
+// pingMessage carries the ID of the packing that the sender of the ping or pong can read.
 type pingMessage struct {
 	Packing frame.PackingID `msgpack:"packing,omitempty"`
 }
--- a/io/raftpeer/packing_test.go
+++ b/io/raftpeer/packing_test.go
@@ -11,8 +11,8 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against messages between control instances that are not packed, and against packed ones to an instance of another
-// program version, whose answers to pings name no packing or another one.
+// Guards against messages between control instances that are not packed, and against packed messages to an instance of another
+// program version, whose pongs name no packing or a different one.
 func TestMessagesArePackedOnceThePeerReadsThem(t *testing.T) {
 	c := qt.New(t)
 	packing, err := newPacking()
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against an instance that reads packed messages and never says so, which leaves all messages to it plain.
+// Guards against an instance that can read packed messages but does not say so, so that it only receives plain ones.
 func TestPongNamesThePacking(t *testing.T) {
 	c := qt.New(t)
 	packing, err := newPacking()
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -23,35 +23,35 @@
 	"parsleyport/io/frame"
 )
 
-// input is one item for the loop.
+// input is one item of the loop's queue.
 type input struct {
 	event       raft.Event
 	hello       *raft.Hello
 	introduceTo []Member
 }
 
-// Replica is one control instance's replica of the log; it implements core.Replicator.
+// Replica is a control instance's replica of the log. It implements core.Replicator.
 type Replica struct {
 	packing  *frame.Packing
 	options  Options
 	counters counters
 	engine   *engine
 	applier  *applier
-	random   *rand.Rand // of the loop
+	random   *rand.Rand // used by the loop only
 	requests *requests
 
 	inputs          *ring.Ring[input]
 	applyQueue      *ring.Ring[stepResult]
 	storedSnapshots *ring.Ring[raft.Snapshot]
 
-	links            map[core.ControlID]*link // of the loop and of Send
+	links            map[core.ControlID]*link // used by the loop and by Send
 	linksMu          sync.RWMutex
-	mu               sync.Mutex // guards heard
+	mu               sync.Mutex // guards introductions
 	introductions    map[core.ControlID]Introduction
-	learnedAddresses map[core.ControlID]string // of the loop: addresses of members that others have named
+	learnedAddresses map[core.ControlID]string // used by the loop only; addresses of members named by other instances
 
-	introducedAt  time.Time  // of the loop
-	pendingResult stepResult // of the loop: results that the applier has not taken
+	introducedAt  time.Time  // used by the loop only
+	pendingResult stepResult // used by the loop only; not yet passed to the applier
 
 	status  atomic.Pointer[core.ReplicatorStatus]
 	members atomic.Pointer[[]raft.Member]
@@ -67,7 +67,7 @@
 
 var _ core.Replicator = (*Replica)(nil)
 
-// New opens the data folder, restores the state machine and starts the replica. The returned function stops it and
+// New opens the data folder, restores the state machine and starts the replica. The returned function stops the replica and
 // closes the folder. It returns disk.ErrCorrupt if the folder is damaged.
 func New(options Options, machine core.StateMachine) (*Replica, func(), error) {
 	if err := options.check(); err != nil {
@@ -167,27 +167,27 @@
 	_ = r.listener.Close()
 	r.goroutines.Wait()
 	if err := r.engine.store.Close(); err != nil {
-		r.options.Logger.Warn().Err(err).Msg("data folder not closed")
+		r.options.Logger.Warn().Err(err).Msg("failed to close data folder")
 	}
 }
 
-// Failed delivers the fault, of the disk or the state machine, that has stopped the replica; the process must exit.
+// Failed delivers the disk or state machine error that has stopped the replica. The process must then exit.
 func (r *Replica) Failed() <-chan error {
 	return r.failed
 }
 
-// fail stops everything at the first fault.
+// fail reports the first fatal error and stops the replica.
 func (r *Replica) fail(err error) {
 	select {
 	case r.failed <- err:
-		r.options.Logger.Error().Err(err).Msg("replica stopped by a fault")
+		r.options.Logger.Error().Err(err).Msg("replica stopped by a fatal error")
 	default:
 	}
 	r.cancel()
 	_ = r.listener.Close()
 }
 
-// loop is the only goroutine that decides and writes the log.
+// loop runs the Raft node. It is the only goroutine that writes the log.
 func (r *Replica) loop() {
 	timer := time.NewTimer(0)
 	hellos := time.NewTicker(bootstrapInterval)
@@ -216,7 +216,7 @@
 	}
 }
 
-// drain takes what waits, so that one sync serves many events.
+// collectBatch returns the waiting inputs, so that one sync covers many events.
 func (r *Replica) collectBatch(first input) []input {
 	batch := []input{first}
 	for len(batch) < maxBatchEvents {
@@ -269,8 +269,8 @@
 	return nil
 }
 
-// passToApplier gives results to the applier. While that is busy, as during a snapshot, they are joined and the loop goes on,
-// so that heartbeats are not late; it waits only once very many entries are left.
+// passToApplier queues results for the applier. While the queue is full, as during a snapshot, the results are joined and
+// the loop continues, so that heartbeats are on time. It blocks only to install a snapshot or with maxPendingEntries pending.
 func (r *Replica) passToApplier(result stepResult) {
 	r.pendingResult.join(result)
 	if r.pendingResult.isEmpty() {
@@ -280,7 +280,7 @@
 		return
 	}
 	if err := r.applyQueue.Push(r.context, r.pendingResult); err != nil {
-		return // the replica is being stopped
+		return // the replica is stopping
 	}
 	r.pendingResult = stepResult{}
 }
@@ -310,7 +310,7 @@
 	}
 }
 
-// publish makes the status readable and logs changes of role, leader and membership.
+// publishStatus publishes the node's status and logs changes of role, leader and membership.
 func (r *Replica) publishStatus() {
 	status := r.engine.node.Status()
 	before := r.status.Swap(&status)
@@ -335,7 +335,7 @@
 	}
 }
 
-// sameSlice is enough to see a change, since a membership is never changed in place.
+// sameSlice compares by identity, which detects every change, since a membership is never modified in place.
 func sameSlice(a, b []raft.Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -347,7 +347,7 @@
 	return status
 }
 
-// Members returns the newest membership with identities; the slice must not be changed.
+// Members returns the latest membership with identities. The slice must not be changed.
 func (r *Replica) Members() []raft.Member {
 	return *r.members.Load()
 }
@@ -357,20 +357,20 @@
 	return r.engine.identity.Self
 }
 
-// Introduction is what an instance has said of itself.
+// Introduction is what an instance has announced in its last hello.
 type Introduction struct {
 	Peer       raft.Peer
-	Address    string // peer address; empty if only the settings have it
+	Address    string // peer address; empty if only the settings give it
 	DataCentre core.DataCentre
 	At         time.Time
 }
 
-// NonMembers returns the instances that have introduced themselves and are not members: those to add or to replace.
+// NonMembers returns the instances that have introduced themselves and are not members. They can be added or replace a member.
 func (r *Replica) NonMembers() []raft.Peer {
 	return lo.Map(r.nonMembers(func(Introduction) bool { return true }), func(i Introduction, _ int) raft.Peer { return i.Peer })
 }
 
-// Newcomers returns the introductions of the last seconds from instances that are not members.
+// RecentNonMembers returns the introductions of non-members that are not older than introductionMaxAge.
 func (r *Replica) RecentNonMembers(now time.Time) []Introduction {
 	return r.nonMembers(func(i Introduction) bool { return now.Sub(i.At) <= introductionMaxAge })
 }
--- a/io/raftpeer/replica_test.go
+++ b/io/raftpeer/replica_test.go
@@ -87,7 +87,7 @@
 	delete(d.stops, id)
 }
 
-// propose repeats a command whose outcome is unknown, as a client does that can tell its duplicates apart.
+// propose repeats a command whose outcome is unknown; the command must be idempotent.
 func (d *deployment) propose(id core.ControlID, command string) {
 	for limit := time.Now().Add(20 * time.Second); ; {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Guards against proposals, forwarded proposals and reads that do not work over real sockets and files, also after a
-// restart and after the loss of a disk.
+// Guards against proposals, forwarded proposals and reads that fail over real sockets and files, also after a restart and
+// after the loss of a disk.
 func TestReplicasOverLoopback(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(t, "c1", "c2", "c3")
@@ -155,7 +155,7 @@
 	c.Assert(d.machines["c2"], qt.DeepEquals, registers{"a": "1", "b": "2", "c": "3", "d": "4", "e": "5", "f": "6", "g": "7"})
 }
 
-// Guards against a replica that goes on after a disk fault, and against a process that is not told to exit.
+// Guards against a replica that continues after a disk error, and against a process that is not told to exit.
 func TestDiskFaultStopsTheReplica(t *testing.T) {
 	c := qt.New(t)
 	folder := disktest.NewMemory()
@@ -204,13 +204,13 @@
 	}
 }
 
-// refusing is a state machine that cannot decide any command.
+// refusing is a state machine that cannot apply any command.
 type refusing struct{ registers }
 
 func (refusing) Apply(core.LogIndex, []byte) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
 
-// Guards against an instance that goes on after a command that its program cannot decide.
-func TestUndecidedCommandEndsTheReplica(t *testing.T) {
+// Guards against a replica that continues after a command that its state machine cannot apply.
+func TestApplyErrorStopsTheReplica(t *testing.T) {
 	c := qt.New(t)
 	a, err := newApplier(nil, refusing{}, raft.Snapshot{}, func(raft.RequestID, []byte) { t.Error("the command was answered") })
 	c.Assert(err, qt.IsNil)
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -16,7 +16,7 @@
 	refused string
 }
 
-// requests holds the proposals, reads and changes of this process that wait for an answer.
+// requests holds this process's proposals, reads and membership changes that wait for an answer.
 type requests struct {
 	mu       sync.Mutex
 	run      uint64
@@ -31,7 +31,7 @@
 	}
 }
 
-// add returns false if too many requests wait already.
+// add registers a request. It returns false if too many requests are waiting.
 func (r *requests) add() (raft.RequestID, chan answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,9 +84,9 @@
 	}, true)
 }
 
-// Change commits a membership change; a promotion waits for the learner to catch up. An empty identity stands for the
-// member's, or for the one with which a new or replaced instance introduced itself last. It returns ErrNoLeader,
-// raft.ErrTransient, ErrOutcomeUnknown or why it was refused.
+// Change commits a membership change; a promotion waits until the learner has caught up. An empty identity means the
+// member's current one or, for an added or replaced instance, the one in its last introduction. It returns ErrNoLeader,
+// raft.ErrTransient, ErrOutcomeUnknown or the reason of the refusal.
 func (r *Replica) Change(ctx context.Context, change raft.Change) error {
 	if change.Peer.Identity == "" {
 		change.Peer.Identity = r.identityFor(change)
@@ -100,7 +100,7 @@
 	return err
 }
 
-// propose asks until the request is appended. A refusal says that it was not, so it can be asked again.
+// propose repeats refused requests until one is appended. A refused request was not appended, so a retry cannot duplicate it.
 func (r *Replica) propose(ctx context.Context, proposed raft.Proposed, retry bool) ([]byte, error) {
 	ctx, cancel := withTimeout(ctx)
 	defer cancel()
@@ -124,7 +124,7 @@
 	}
 }
 
-// attempt hands one event to the loop and waits for its answer.
+// attempt queues one event for the loop and waits for its answer.
 func (r *Replica) attempt(ctx context.Context, event func(raft.RequestID) raft.Event) (answer, error) {
 	id, answered, accepted := r.requests.add()
 	if !accepted {
@@ -145,8 +145,8 @@
 	return r.wait(ctx, answered)
 }
 
-// wait ends early if the leader has changed and the new one has not committed the request for a while: the client can
-// then ask again instead of waiting for the whole deadline.
+// wait returns early if the leader has changed and the new one has not committed the request for a while, so that the
+// client can ask again before its deadline.
 func (r *Replica) wait(ctx context.Context, answered <-chan answer) (answer, error) {
 	term, changed := r.Status().Term, 0
 	poll := time.NewTicker(leaderPollInterval)
@@ -203,8 +203,8 @@
 	}
 }
 
-// HandOver gives the leadership, if this instance has it, to the most advanced voter, and returns once another instance
-// leads. It returns ErrNoLeader if the context ends before; a sole voter has nobody to hand over to.
+// HandOver transfers the leadership, if this instance has it, to the most up-to-date voter, and returns once another instance
+// leads. It returns ErrNoLeader if the context ends first, and nil at once if this instance is the only voter.
 func (r *Replica) HandOver(ctx context.Context) error {
 	if r.Status().Role != string(raft.Leader) || len(r.Status().Voters) < 2 {
 		return nil
@@ -214,7 +214,7 @@
 		if status.Leader != "" && status.Leader != status.Self {
 			return nil
 		}
-		if status.Role == string(raft.Leader) { // an attempt that is under way is not disturbed
+		if status.Role == string(raft.Leader) { // the node ignores this while a transfer is in progress
 			_ = r.inputs.Push(ctx, input{event: raft.HandOverRequested{}})
 		}
 		if !r.pause(ctx) {
--- a/io/raftpeer/schedule_test.go
+++ b/io/raftpeer/schedule_test.go
@@ -23,7 +23,7 @@
 	value    string
 }
 
-// history records what clients asked and saw; a write without an answer may take effect at any later time.
+// history records the operations of clients and their results. A write without an answer may take effect at any later time.
 type history struct {
 	simulation *simulation
 	operations []porcupine.Operation
@@ -126,7 +126,7 @@
 	}
 }
 
-// operator replaces an instance that has lost its disk, and adds one again that it has removed.
+// operator replaces an instance that has lost its disk, and adds back an instance that it has removed.
 type operator struct {
 	simulation *simulation
 	repairing  core.ControlID // empty if all instances are members and no disk is lost
@@ -163,7 +163,7 @@
 	})
 }
 
-// injectFault does one random thing; of the disks, at most one is lost at a time.
+// injectFault injects one random fault and returns its description. At most one disk is lost at a time.
 func injectFault(w *simulation, o *operator) string {
 	id := w.ids[w.random.IntN(len(w.ids))]
 	other := w.ids[w.random.IntN(len(w.ids))]
@@ -223,9 +223,9 @@
 	return "all started"
 }
 
-// schedule is what a run of random faults consists of beside its clients.
+// schedule defines the random faults of a run and their repair.
 type schedule struct {
-	inject   func() string // does one random thing and names it
+	inject   func() string // injects one random fault and returns its description
 	repair   func()
 	repaired func() bool
 }
@@ -273,8 +273,8 @@
 	}
 }
 
-// Guards against two leaders in a term, lost or changed entries and stale reads under any mix of drop, delay, reorder,
-// duplicate, one-way cut, crash with loss of unsynced data, freeze and lost disk.
+// Guards against two leaders in one term, lost or changed entries and stale reads under any mix of message loss, delay,
+// reordering and duplication, one-way partitions, crashes that lose unsynced data, frozen processes and lost disks.
 func TestFaultSchedules(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/io/raftpeer/simulation_test.go
+++ b/io/raftpeer/simulation_test.go
@@ -18,7 +18,7 @@
 
 const tick = 5 * time.Millisecond
 
-// registers is a state machine of named registers; a command is "name=value".
+// registers is a state machine of named registers. A command has the form "name=value".
 type registers map[string]string
 
 func (m registers) Apply(_ core.LogIndex, command []byte) ([]byte, error) {
@@ -34,7 +34,7 @@
 	return json.Unmarshal(snapshot, &m)
 }
 
-// world runs the engines of all instances over fake disks and a fake network in passed-in time, on one goroutine.
+// simulation runs the engines of all instances on one goroutine, with in-memory disks, a simulated network and simulated time.
 type simulation struct {
 	t           testing.TB
 	random      *rand.Rand
@@ -44,12 +44,12 @@
 	packets     []packet
 	blocked     map[[2]core.ControlID]bool // from, to
 	drop        float64
-	delayed     bool // some packets are late, out of order or doubled
+	delayed     bool // some packets are delayed, reordered or duplicated
 	leaders     map[core.Term]core.ControlID
 	applied     map[core.LogIndex]raft.Entry
 	sequence    uint64
 	done        map[raft.RequestID]func(refused string)
-	loseMessage func(raft.Message) bool // called for each sent message
+	loseMessage func(raft.Message) bool // called for each message sent; true drops it
 	onDelivery  func(from, to core.ControlID)
 }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-// advance runs the world for a time.
+// advance runs the simulation for a duration of simulated time.
 func (w *simulation) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
@@ -186,7 +186,7 @@
 	}
 }
 
-// until advances until the condition holds and fails the test if that takes longer than the limit.
+// advanceUntil runs the simulation until the condition holds, and fails the test if that takes longer than the limit.
 func (w *simulation) advanceUntil(limit time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	for end := w.now.Add(limit); !holds(); w.advance(tick) {
@@ -218,7 +218,7 @@
 	w.packets = late
 }
 
-// run gives an instance what has arrived, as one batch.
+// run passes the received packets and local events to an instance as one batch.
 func (i *instance) run() {
 	if i.up && i.engine.bootstrap.Pending() && !i.simulation.now.Before(i.helloAt) {
 		i.helloAt = i.simulation.now.Add(bootstrapInterval)
@@ -276,13 +276,13 @@
 	}
 }
 
-// failed ends the process, as a disk fault does.
+// stopOnFault ends the instance, as a disk error does in a real process.
 func (i *instance) stopOnFault(err error) {
 	i.fault = err
 	i.crash()
 }
 
-// checkCommitted guards against a committed entry that differs between instances or changes.
+// checkCommitted fails the test if a committed entry differs between instances or changes.
 func (w *simulation) checkCommitted(id core.ControlID, entries []raft.Entry) {
 	for _, entry := range entries {
 		known, exists := w.applied[entry.Index]
@@ -293,7 +293,7 @@
 	}
 }
 
-// checkLeaders guards against two leaders in one term.
+// checkLeaders fails the test if there are two leaders in one term.
 func (w *simulation) checkLeaders() {
 	for _, id := range w.ids {
 		i := w.instances[id]
@@ -321,7 +321,7 @@
 	return i.up && i.engine.node.Status().Role == string(raft.Leader)
 }
 
-// request hands an event to an instance; done is called with a refusal or with "" once the request is finished.
+// request passes an event to an instance. Done is called with the reason of a refusal, or with "" once the request is finished.
 func (i *instance) request(event func(raft.RequestID) raft.Event, done func(refused string)) raft.RequestID {
 	i.simulation.sequence++
 	id := raft.RequestID{
@@ -350,7 +350,7 @@
 	}, done)
 }
 
-// write proposes at the leader until the command is committed.
+// write proposes a command at the leader until it is committed.
 func (w *simulation) write(command string) {
 	w.t.Helper()
 	committed, pending := false, false
@@ -363,7 +363,7 @@
 	})
 }
 
-// change asks the leader for a membership change until it is committed.
+// change requests a membership change at the leader until it is committed.
 func (w *simulation) change(kind raft.ChangeKind, id core.ControlID) {
 	w.t.Helper()
 	committed := false
@@ -389,7 +389,7 @@
 	}, done)
 }
 
-// isolate cuts an instance off in the given directions.
+// isolate blocks an instance's messages in the given directions.
 func (w *simulation) isolate(id core.ControlID, outgoing, incoming bool) {
 	for _, other := range w.ids {
 		w.blocked[[2]core.ControlID{id, other}] = outgoing
@@ -410,12 +410,12 @@
 	}
 }
 
-// others returns the ids apart from the given ones.
+// others returns all ids except the given ones.
 func (w *simulation) others(ids ...core.ControlID) []core.ControlID {
 	return lo.Reject(w.ids, func(id core.ControlID, _ int) bool { return slices.Contains(ids, id) })
 }
 
-// converge waits until all instances have applied the same state.
+// converge waits until all instances have applied the same entries, and checks that their states are equal.
 func (w *simulation) converge() {
 	w.t.Helper()
 	w.write("last=1")
