--- a/io/disk/archive.go
+++ b/io/disk/archive.go
@@ -13,12 +13,12 @@
 
 const archivePrefix = "audit-"
 
-// archived is the content of one archive file.
+// archiveContent is the content of one archive file.
 type archiveContent struct {
 	Entries [][]byte `msgpack:"entries"`
 }
 
-// span is one archive file: the entries from first to before end.
+// entryRange is the numbers of the entries in one archive file, from first to before end.
 type entryRange struct {
 	first, end uint64
 }
@@ -27,18 +27,18 @@
 	return fmt.Sprintf("%s%020d-%020d", archivePrefix, s.first, s.end)
 }
 
-// Archive keeps numbered entries for good in the data folder. Each batch is a file that is written once, whole or not at
-// all, and never changed; its name says which entries it holds, so opening reads no content.
+// Archive keeps numbered audit entries permanently in the data folder. Each batch is one file, which is written atomically and
+// never changed. The file name holds the range of the entries, so that OpenArchive need not read any content.
 type Archive struct {
 	folder Folder
-	mu     sync.Mutex   // guards spans and failed
-	ranges []entryRange // by first, without overlaps
+	mu     sync.Mutex   // guards ranges and failed
+	ranges []entryRange // sorted by first, without overlaps
 	failed error
 }
 
 var _ catalog.Archive = (*Archive)(nil)
 
-// OpenArchive lists what the folder holds; it returns ErrCorrupt if batches overlap. The folder stays the caller's.
+// OpenArchive lists the archive files of the folder. It returns ErrCorrupt if batches overlap. The caller still owns the folder.
 func OpenArchive(folder Folder) (*Archive, error) {
 	names, err := folder.List()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return true
 }
 
-// Append implements catalog.Archive. After a failed write or sync it refuses everything with ErrFailed.
+// Append implements catalog.Archive. After a failed write or sync it always returns ErrFailed.
 func (a *Archive) Append(first uint64, entries [][]byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,7 +110,7 @@
 	return min(from, to), to
 }
 
-// Batch implements catalog.Archive; it returns ErrCorrupt if the file is damaged.
+// Batch implements catalog.Archive. It returns ErrCorrupt if the file is damaged.
 func (a *Archive) Batch(number uint64) (first uint64, entries [][]byte, err error) {
 	a.mu.Lock()
 	at := slices.IndexFunc(a.ranges, func(s entryRange) bool { return s.first <= number && number < s.end })
--- a/io/disk/archive_test.go
+++ b/io/disk/archive_test.go
@@ -15,7 +15,7 @@
 	"parsleyport/io/disk/disktest"
 )
 
-// fill applies commands with the numbers from first to before end; each one makes an entry of the audit trail.
+// fill applies commands numbered from first to before end. Each one adds one audit entry.
 func fill(c *qt.C, records *catalog.Catalog, first, end int) {
 	for i := first; i < end; i++ {
 		command, err := catalog.EncodeAbort(time.Unix(0, 0), catalog.Abort{
@@ -40,8 +40,8 @@
 	return records
 }
 
-// Guards against snapshots that grow with the whole history, and against entries of the audit trail that are lost on the
-// way from the replicated state to the archive, also over a crash.
+// Guards against snapshots that grow with the whole audit history, and against audit entries that are lost when they move
+// from the replicated state to the archive, also when the process crashes.
 func TestAuditTrailMovesToTheArchive(t *testing.T) {
 	c := qt.New(t)
 	folder := disktest.NewMemory()
@@ -67,7 +67,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(latest, qt.DeepEquals, all[total-kept-1:])
 
-	// A new disk holds what the snapshot holds, and says so instead of passing it for everything.
+	// An instance with a new disk has only the entries in the snapshot, and reports that older ones are missing.
 	fresh := restored(c, disktest.NewMemory(), snapshot)
 	_, err = fresh.AuditAll(catalog.AuditFilter{})
 	c.Assert(errors.Is(err, catalog.ErrAuditIncomplete), qt.IsTrue)
@@ -75,8 +75,8 @@
 	c.Assert([]uint64{first, end}, qt.DeepEquals, []uint64{0, total - kept})
 }
 
-// Guards against entries that neither the archive nor the replicated state holds, because a snapshot of the leader that
-// is far ahead replaced them.
+// Guards against audit entries that are neither in the archive nor in the replicated state, because a snapshot installed from
+// a leader that is far ahead has replaced them.
 func TestInstalledSnapshotLosesNoEntries(t *testing.T) {
 	c := qt.New(t)
 	leader := catalog.New()
@@ -90,9 +90,9 @@
 	c.Assert([]uint64{first, end}, qt.DeepEquals, []uint64{400, 1_000})
 }
 
-// Guards against a snapshot that drops entries which the archive has failed to store, and against a failed sync that is
-// tried again.
-func TestFailedArchiveFailsTheSnapshot(t *testing.T) {
+// Guards against a snapshot that drops audit entries which the archive has failed to store, and against retrying a failed
+// sync.
+func TestFailedArchiveWriteFailsTheSnapshot(t *testing.T) {
 	c := qt.New(t)
 	folder := disktest.NewMemory()
 	archive := openArchive(c, folder)
@@ -107,15 +107,15 @@
 	c.Assert(records.Audit(catalog.AuditFilter{}), qt.HasLen, 10_500)
 }
 
-// Guards against entries that are stored twice or changed, against gaps that are not seen, and against damage that
-// passes for content.
-func TestArchiveKeepsBatches(t *testing.T) {
+// Guards against entries that are stored twice or changed, against gaps that are not reported, and against damaged files that
+// are read as valid.
+func TestArchiveRefusesOverlapsAndReportsGaps(t *testing.T) {
 	c := qt.New(t)
 	folder := disktest.NewMemory()
 	archive := openArchive(c, folder)
 	batch := [][]byte{[]byte("a"), []byte("b"), []byte("c")}
 	c.Assert(archive.Append(10, batch), qt.IsNil)
-	c.Assert(archive.Append(4, batch), qt.IsNil) // a batch from another instance may come later
+	c.Assert(archive.Append(4, batch), qt.IsNil) // batches fetched from another instance may arrive out of order
 	for _, overlapping := range []uint64{2, 4, 6, 8, 10, 12} {
 		c.Assert(errors.Is(archive.Append(overlapping, batch), errors.AlreadyExists), qt.IsTrue)
 	}
--- a/io/disk/disktest/memory.go
+++ b/io/disk/disktest/memory.go
@@ -1,4 +1,4 @@
-// Package disktest is an in-memory data folder for tests. It loses what was not synced at a crash and fails on demand.
+// Package disktest provides an in-memory data folder for tests, with simulated crashes, sync errors and full disks.
 package disktest
 
 import (
@@ -14,14 +14,14 @@
 	"parsleyport/io/disk"
 )
 
-// ErrSync is the error of a sync that was made to fail.
+// ErrSync is the error of syncs that FailSyncs makes fail.
 const ErrSync = errors.ConstError("sync failed")
 
-// Memory implements disk.Folder.
+// Memory is an in-memory disk.Folder. It is safe for concurrent use.
 type Memory struct {
 	mu          sync.Mutex
 	files       map[string]*fileContent
-	syncedFiles map[string]*fileContent // names as of the last Sync
+	syncedFiles map[string]*fileContent // files as of the last Sync of the folder
 	crashCount  int
 	capacity    int
 	failSyncs   bool
@@ -36,10 +36,10 @@
 type openFile struct {
 	folder     *Memory
 	content    *fileContent
-	crashCount int // a handle from before a crash is dead
+	crashCount int // of the folder when the file was opened; after a crash the handle is invalid
 }
 
-// NewMemory returns an empty folder.
+// NewMemory returns an empty folder without a capacity limit.
 func NewMemory() *Memory {
 	return &Memory{
 		files:       make(map[string]*fileContent),
@@ -47,28 +47,29 @@
 	}
 }
 
-// Limit makes writes fail with ENOSPC once the folder holds capacity bytes; zero removes the limit.
+// SetCapacity makes writes fail with ENOSPC once the folder holds capacity bytes. Zero removes the limit.
 func (m *Memory) SetCapacity(capacity int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.capacity = capacity
 }
 
-// FailSyncs makes all syncs fail, or succeed again.
+// FailSyncs makes all later syncs fail with ErrSync, or succeed again.
 func (m *Memory) FailSyncs(fail bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.failSyncs = fail
 }
 
-// Syncs returns how many syncs were asked for.
+// Syncs returns the number of syncs requested so far, failed ones included.
 func (m *Memory) Syncs() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.syncCount
 }
 
-// Crash loses a random part of what was not synced; the last byte that it keeps of such a part may be damaged.
+// Crash drops a random part of what was not synced: file data, and changes of file names since the last Sync of the folder.
+// Of unsynced data that a file keeps, the last byte may be corrupted.
 func (m *Memory) Crash(random *rand.Rand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,7 +89,7 @@
 	m.syncedFiles = maps.Clone(m.files)
 }
 
-// Wipe removes everything, as a new disk does.
+// Wipe removes all files, as if the disk were replaced by an empty one.
 func (m *Memory) Wipe() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,14 +97,14 @@
 	m.files, m.syncedFiles = make(map[string]*fileContent), make(map[string]*fileContent)
 }
 
-// Corrupt flips the bits of one stored byte.
+// Corrupt inverts the bits of one byte of a file.
 func (m *Memory) Corrupt(name string, offset int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[name].data[offset] ^= 0xff
 }
 
-// Size returns the size of a file in bytes.
+// Size returns the size of a file in bytes, and zero if the file does not exist.
 func (m *Memory) Size(name string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/io/disk/folder.go
+++ b/io/disk/folder.go
@@ -9,29 +9,29 @@
 	"github.com/juju/errors"
 )
 
-// Folder is a flat folder of files; names have no path.
+// Folder is a folder of files without subfolders; file names have no path.
 type Folder interface {
 	// List returns the names of all files.
 	List() ([]string, error)
 	// Read returns a file's content.
 	Read(name string) ([]byte, error)
-	// Create makes a new, empty file and opens it for appending; an existing file is emptied.
+	// Create creates an empty file, or empties an existing one, and opens it for appending.
 	Create(name string) (File, error)
 	// Append opens an existing file for appending.
 	Append(name string) (File, error)
 	// Truncate cuts a file to size bytes and syncs it.
 	Truncate(name string, size int64) error
-	// Rename replaces a file.
+	// Rename renames a file and replaces an existing one.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// Sync makes created, renamed and removed names durable.
+	// Sync makes the creation, renaming and removal of files durable.
 	Sync() error
 	// Close releases the folder.
 	Close() error
 }
 
-// File is open for appending.
+// File is a file opened for appending.
 type File interface {
 	io.WriteCloser
 	// Sync makes the content durable.
@@ -45,14 +45,14 @@
 
 const lockName = "lock"
 
-// OpenFolder creates the folder if need be and locks it against a second process.
+// OpenFolder creates the folder if it does not exist, and locks it against other processes.
 func OpenFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, errors.Annotate(err, "create data folder")
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, errors.Annotate(err, "open lock of data folder")
+		return nil, errors.Annotate(err, "open lock file of data folder")
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
--- a/io/disk/fuzz_test.go
+++ b/io/disk/fuzz_test.go
@@ -15,8 +15,8 @@
 	return disk.Open(folder, "c1", func() raft.Identity { return "x" })
 }
 
-// Guards against a damaged log that makes the process panic, or is read differently after its torn tail was cut. The bytes
-// replace the newest segment.
+// Guards against a damaged segment that makes Open panic, or that a second Open reads differently after the first one has cut
+// the torn tail. The fuzzed bytes replace the newest segment.
 func FuzzOpenSegment(f *testing.F) {
 	prepared := func(t testing.TB) (*disktest.Memory, string, []byte) {
 		folder := disktest.NewMemory()
--- a/io/disk/record.go
+++ b/io/disk/record.go
@@ -9,17 +9,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrCorrupt means that stored data is damaged in a way that an interrupted write does not explain.
+// ErrCorrupt means that stored data is damaged in a way that a torn write does not explain.
 const ErrCorrupt = errors.ConstError("data folder is corrupt")
 
-// A record is magic, payload length, checksum and payload. One sync covers one record, so an interrupted write leaves at
-// most one bad record, and it is the last one.
+// A record consists of magic, payload length, checksum and payload. Each record is synced on its own, so an interrupted
+// write leaves at most one torn record, which is the last one.
 const (
 	recordMagic       = 0x50_50_4c_31
 	recordHeaderBytes = 16
 )
 
-// checksum covers the record's place as well, so that a copy of a record in another place is not valid.
+// checksum also covers the record's segment number and offset, so that a copy of a record at another place is not valid.
 func checksum(segment, offset uint64, payload []byte) uint64 {
 	var place [16]byte
 	binary.BigEndian.PutUint64(place[:], segment)
@@ -42,7 +42,7 @@
 	return append(record, payload...), nil
 }
 
-// recordAt returns the payload of the record at an offset and false if there is no valid record.
+// recordAt returns the payload of the record at an offset, and false if there is no valid record.
 func recordAt(segment uint64, data []byte, offset int) ([]byte, bool) {
 	rest := data[offset:]
 	if len(rest) < recordHeaderBytes || binary.BigEndian.Uint32(rest) != recordMagic {
@@ -56,7 +56,7 @@
 	return payload, binary.BigEndian.Uint64(rest[8:]) == checksum(segment, uint64(offset), payload)
 }
 
-// findValidAfter looks for a valid record at any offset, since the length of a bad record cannot be trusted.
+// findValidAfter looks for a valid record at any later offset, since the length field of a damaged record cannot be trusted.
 func findValidAfter(segment uint64, data []byte, offset int) (int, bool) {
 	magic := binary.BigEndian.AppendUint32(nil, recordMagic)
 	for at := offset + 1; at < len(data); at++ {
--- a/io/disk/segment.go
+++ b/io/disk/segment.go
@@ -12,7 +12,7 @@
 	"parsleyport/core/raft"
 )
 
-// readSegments replays all segments in order.
+// readSegments reads all segments in order and rebuilds the log from them.
 func (s *Store) readSegments(names []string) (*replay, error) {
 	replay := &replay{}
 	for _, name := range names {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// truncateTail removes a record whose write was interrupted. Only the newest segment can have one: it is begun after the
-// one before it was synced.
+// truncateTail removes a torn record at the end of the newest segment. No other segment can have one, since a segment is
+// created only after the previous one has been synced.
 func (s *Store) truncateTail(seg *segment, data []byte, offset int, newest bool) error {
 	name := segmentName(seg.number)
 	if !newest {
@@ -88,19 +88,19 @@
 	}
 }
 
-// replay rebuilds the log from the batches.
+// replay rebuilds the log from the batches of all segments.
 type replay struct {
 	hardState raft.HardState
 	entries   []raft.Entry
-	nextIndex core.LogIndex // zero until the first entry or reset
+	nextIndex core.LogIndex // of the next entry; zero until the first entry or reset
 }
 
-// first returns the first index that the log covers, and zero if it covers none yet.
+// firstIndex returns the first index that the log holds, and zero if nothing has been read yet.
 func (r *replay) firstIndex() core.LogIndex {
 	return r.nextIndex - core.LogIndex(len(r.entries))
 }
 
-// after returns the entries behind a snapshot, and false if the log does not contain the snapshot's last entry.
+// entriesAfter returns the entries after a snapshot, and false if the log does not contain the snapshot's last entry.
 func (r *replay) entriesAfter(snapshot raft.Snapshot) ([]raft.Entry, bool) {
 	if r.firstIndex() == snapshot.Index+1 || snapshot.Index == 0 {
 		return r.entries, true
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// openSegment opens the newest segment, or begins the first one.
+// openSegment opens the newest segment, or creates the first one.
 func (s *Store) openSegment() error {
 	if len(s.segments) == 0 {
 		return s.beginSegment(1)
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// beginSegment starts a segment with the hard state, so that older segments can be removed.
+// beginSegment creates a segment. It begins with the hard state, so that older segments can be removed.
 func (s *Store) beginSegment(number uint64) error {
 	name := segmentName(number)
 	if s.file != nil {
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// Write appends one record and returns once it is synced; any error is final.
+// Write appends one record and returns once it is synced. After an error the store refuses all further calls.
 func (s *Store) Write(reset *raft.Reset, hard *raft.HardState, entries []raft.Entry) error {
 	if err := s.checkFailed(); err != nil {
 		return err
@@ -234,7 +234,7 @@
 	return nil
 }
 
-// Compact removes the segments and snapshots that a stored snapshot replaces.
+// Compact removes the log segments and snapshots that the stored snapshot at index replaces.
 func (s *Store) Compact(index core.LogIndex) error {
 	if err := s.checkFailed(); err != nil {
 		return err
--- a/io/disk/store.go
+++ b/io/disk/store.go
@@ -13,7 +13,7 @@
 	"parsleyport/core/raft"
 )
 
-// ErrFailed means that an earlier write or sync failed; the process must end.
+// ErrFailed means that an earlier write or sync has failed. The process must exit.
 const ErrFailed = errors.ConstError("data folder has failed")
 
 const (
@@ -21,26 +21,26 @@
 	segmentPrefix   = "log-"
 	snapshotPrefix  = "snapshot-"
 	temporarySuffix = ".tmp"
-	maxSegmentBytes = 16 << 20 // a new segment is begun behind this size
+	maxSegmentBytes = 16 << 20 // the next write begins a new segment once a segment is larger
 )
 
-// Identity names the data folder; Initial is the initial membership once it is agreed.
+// Identity is the identity of the data folder. Initial is the initial membership once it has been agreed on.
 type Identity struct {
 	Self    raft.Peer     `msgpack:"self"`
 	Initial []raft.Member `msgpack:"initial"`
 }
 
-// Found is what a data folder held when it was opened.
+// Contents is what a data folder holds when it is opened.
 type Contents struct {
 	Identity Identity
-	Created  bool // the identity was created by this Open
+	Created  bool // the identity was created by this call of Open
 	HasState bool // the folder holds a log or a snapshot
 	Restored raft.Restored
 }
 
-// batch is the content of a log record: first the reset, then the hard state, then the entries.
+// batch is the content of a log record. The reset applies first, then the hard state, then the entries.
 type batch struct {
-	Last      core.LogIndex   `msgpack:"last"` // in the first record of a segment: the last entry before it
+	Last      core.LogIndex   `msgpack:"last"` // in the first record of a segment: index of the last entry before the segment
 	Reset     *raft.Reset     `msgpack:"reset"`
 	HardState *raft.HardState `msgpack:"hard-state"`
 	Entries   []raft.Entry    `msgpack:"entries"`
@@ -48,24 +48,24 @@
 
 type segment struct {
 	number    uint64
-	lastIndex core.LogIndex // greatest index of any of its entries
+	lastIndex core.LogIndex // greatest index of the entries in the segment
 	size      uint64
 }
 
-// Store writes to an opened data folder. SaveSnapshot may run beside the other methods, which need one caller at a time.
+// Store writes to an opened data folder. SaveSnapshot may run concurrently with the other methods, which need one caller at a time.
 type Store struct {
 	folder    Folder
 	file      File
-	segments  []segment // the last one is open as file
+	segments  []segment // the last one is open in file
 	hardState raft.HardState
-	lastIndex core.LogIndex // last entry of the log
+	lastIndex core.LogIndex // of the last entry of the log
 
 	mu     sync.Mutex // guards failed
 	failed error
 }
 
-// Open reads the data folder of an instance and creates its identity if the folder is empty; newIdentity returns a
-// random identity. It returns ErrCorrupt if the folder is damaged.
+// Open reads an instance's data folder. If the folder is empty, it creates an identity with newIdentity, which returns a
+// random one. It returns ErrCorrupt if the folder is damaged.
 func Open(folder Folder, self core.ControlID, newIdentity func() raft.Identity) (*Store, Contents, error) {
 	s := &Store{
 		folder: folder,
@@ -96,7 +96,7 @@
 	return s, found, nil
 }
 
-// listFiles returns the files of the folder after it has removed those that an interrupted write has left.
+// listFiles returns the names of the files, sorted, after removing temporary files that an interrupted write has left.
 func (s *Store) listFiles() ([]string, error) {
 	names, err := s.folder.List()
 	if err != nil {
@@ -136,12 +136,12 @@
 	return found, s.SaveIdentity(found.Identity)
 }
 
-// SaveIdentity replaces the identity.
+// SaveIdentity replaces the stored identity.
 func (s *Store) SaveIdentity(identity Identity) error {
 	return s.replaceFile(identityName, identity)
 }
 
-// readRecordFile reads a file that holds one record.
+// readRecordFile reads and decodes a file that holds one record.
 func readRecordFile(folder Folder, name string, target any) error {
 	data, err := folder.Read(name)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// replaceFile writes a file that holds one record.
+// replaceFile atomically replaces a file that holds one record. After an error the store refuses all further calls.
 func (s *Store) replaceFile(name string, content any) error {
 	if err := s.checkFailed(); err != nil {
 		return err
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// writeRecordFile writes under a temporary name first, so that the file is whole or absent.
+// writeRecordFile writes to a temporary file and renames it, so that after a crash the file is complete or absent.
 func writeRecordFile(folder Folder, name string, content any) error {
 	record, err := encodeRecord(0, 0, content)
 	if err != nil {
@@ -203,7 +203,7 @@
 	return newest, nil
 }
 
-// SaveSnapshot stores a snapshot; the log behind it may be removed with Compact afterwards.
+// SaveSnapshot stores a snapshot. Compact may then remove the log entries that it covers.
 func (s *Store) SaveSnapshot(snapshot raft.Snapshot) error {
 	return s.replaceFile(snapshotName(snapshot.Index), snapshot)
 }
@@ -216,7 +216,7 @@
 	return fmt.Sprintf("%s%020d", segmentPrefix, number)
 }
 
-// join cuts the log to what follows the snapshot.
+// alignLog restores the entries that follow the snapshot, and resets a log that does not contain the snapshot's last entry.
 func (s *Store) alignLog(restored *raft.Restored, log *replay) error {
 	snapshot := restored.Snapshot
 	if log.firstIndex() > snapshot.Index+1 {
@@ -242,7 +242,7 @@
 	return s.failed
 }
 
-// fail makes the store refuse everything from now on.
+// fail makes the store return ErrFailed from now on.
 func (s *Store) fail(cause error, action, name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,7 +252,7 @@
 	return s.failed
 }
 
-// Close releases the folder; what was not synced may be lost.
+// Close closes the folder without a sync.
 func (s *Store) Close() error {
 	if s.file != nil {
 		_ = s.file.Close()
--- a/io/disk/store_test.go
+++ b/io/disk/store_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// filled returns a folder with three records of one entry each, and the size of the log before each record.
+// filled returns a folder with three records of one entry each, and the size of the log before each record and at the end.
 func filled(c *qt.C) (*disktest.Memory, []int) {
 	folder := disktest.NewMemory()
 	store, found := mustOpen(c, folder)
@@ -56,8 +56,8 @@
 	return folder, append(sizes, folder.Size(firstSegment))
 }
 
-// Guards against a start that is refused, or that keeps damaged data, after the write of the last record was cut.
-func TestTornTailIsTruncated(t *testing.T) {
+// Guards against an Open that fails, or that keeps damaged data, after the write of the last record was interrupted.
+func TestTornWriteIsTruncated(t *testing.T) {
 	c := qt.New(t)
 	_, sizes := filled(c)
 	for size := sizes[2]; size < sizes[3]; size++ {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against synced entries that are dropped silently because a record before them is damaged.
-func TestCorruptMiddleRefusesToStart(t *testing.T) {
+// Guards against silently dropping synced entries because an earlier record is damaged.
+func TestOpenRefusesDamageBeforeValidRecords(t *testing.T) {
 	c := qt.New(t)
 	_, sizes := filled(c)
 	for offset := range sizes[2] {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Guards against a start with files that are missing or damaged, which would forget a vote or entries.
-func TestDamagedFilesRefuseToStart(t *testing.T) {
+// Guards against an Open that succeeds with missing or damaged files, which would lose a vote or entries.
+func TestOpenRefusesDamagedFiles(t *testing.T) {
 	c := qt.New(t)
 	for name, damage := range map[string]func(folder *disktest.Memory){
 		"identity lost":      func(folder *disktest.Memory) { _ = folder.Remove("identity") },
@@ -108,7 +108,7 @@
 		c.Assert(store.SaveSnapshot(raft.Snapshot{Index: 3, Term: 1}), qt.IsNil)
 		c.Assert(store.Compact(3), qt.IsNil)
 		c.Assert(store.Write(nil, nil, []raft.Entry{entry(4, 1)}), qt.IsNil)
-		c.Assert(store.Compact(0), qt.IsNil) // begins a segment, removes nothing
+		c.Assert(store.Compact(0), qt.IsNil) // begins a new segment and removes nothing
 		damage(folder)
 		_, _, err := open(folder)
 		c.Assert(errors.Is(err, disk.ErrCorrupt), qt.IsTrue, qt.Commentf("%s: %v", name, err))
@@ -118,8 +118,8 @@
 	c.Assert(err, qt.ErrorMatches, `data folder belongs to "c1" and not to "c2"`)
 }
 
-// Guards against a store that goes on after a failed write or sync, whose effect on the disk is unknown.
-func TestFaultIsFinal(t *testing.T) {
+// Guards against a store that continues after a failed write or sync, whose effect on the disk is unknown.
+func TestStoreRefusesCallsAfterFailure(t *testing.T) {
 	c := qt.New(t)
 	for name, fault := range map[string][2]func(folder *disktest.Memory){
 		"full disk":   {func(f *disktest.Memory) { f.SetCapacity(1) }, func(f *disktest.Memory) { f.SetCapacity(0) }},
@@ -143,8 +143,8 @@
 	}
 }
 
-// Guards against a loss of what a call has reported as synced, at a crash between any two operations or within one. After
-// a crash the folder must hold the state before or after the operation that failed, and nothing else.
+// Guards against losing data that a call has reported as synced, after a crash between two operations or during one. After a
+// crash the folder must hold the state before or after the operation that failed, and nothing else.
 func TestCrashKeepsWhatWasSynced(t *testing.T) {
 	for seed := range *crashSeeds {
 		c := qt.New(t)
@@ -175,7 +175,7 @@
 	}
 }
 
-// model is what a folder must hold.
+// model is the expected content of a folder.
 type model struct {
 	snapshot core.LogIndex
 	entries  []raft.Entry // after snapshot
@@ -187,7 +187,7 @@
 	})
 }
 
-// operate does one random operation and returns the model after it.
+// operate performs one random operation and returns the model after it.
 func (m model) operate(store *disk.Store, random *rand.Rand) (model, error) {
 	if random.IntN(8) == 0 && len(m.entries) > 0 {
 		count := 1 + random.IntN(len(m.entries))
@@ -199,7 +199,7 @@
 			return after, err
 		}
 		if random.IntN(2) == 0 {
-			return after, nil // a crash may come before the log is compacted
+			return after, nil // a crash may occur before the log is compacted
 		}
 		return after, store.Compact(after.snapshot)
 	}
@@ -212,7 +212,7 @@
 	}, store.Write(nil, nil, added)
 }
 
-// BenchmarkOpen measures a restart by the number of entries of 1,000 bytes behind the snapshot.
+// BenchmarkOpen measures opening a folder by the number of entries of 1,000 bytes after the snapshot.
 func BenchmarkOpen(b *testing.B) {
 	for _, count := range []core.LogIndex{100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
