--- a/core/raft/bootstrap.go
+++ b/core/raft/bootstrap.go
@@ -36,10 +36,10 @@
 
 // NewBootstrap returns the state for a data folder that has stored the initial membership (empty if it has none) and that
 // holds a log or snapshot if started is set.
-func NewBootstrap(self Peer, wanted, initial []Member, started bool) *Bootstrap {
+func NewBootstrap(self Peer, configured, initial []Member, started bool) *Bootstrap {
 	return &Bootstrap{
 		self:        self,
-		configured:  wanted,
+		configured:  configured,
 		initial:     initial,
 		started:     started,
 		identities:  map[core.ControlID]Identity{self.ID: self.Identity},
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -52,8 +52,8 @@
 }
 
 func (n *Node) upToDate(m Message) bool {
-	lastTerm := n.log.lastTerm()
-	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= n.log.last()
+	ownTerm := n.log.lastTerm()
+	return m.LogTerm > ownTerm || m.LogTerm == ownTerm && m.Index >= n.log.last()
 }
 
 func (n *Node) receivePreVote(m Message) {
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -50,7 +50,7 @@
 	random          *rand.Rand
 	trailingEntries core.LogIndex
 	now             time.Time
-	out             Output
+	output          Output
 
 	role          statechart.State
 	hardState     HardState
@@ -62,18 +62,18 @@
 	firstUnwritten   core.LogIndex // first entry that is not yet part of an Output
 	writtenHardState HardState
 	lastSynced       core.LogIndex // last entry that is synced to the local disk
-	commit           core.LogIndex
+	commitIndex      core.LogIndex
 	lastDelivered    core.LogIndex // last entry returned in Output.Committed
 	snapshot         Snapshot
 	memberships      []membership // never empty; the last one is in force, committed or not
 
 	votes map[Peer]bool // granted in the current pre-vote or election
 
-	progress      map[Peer]*progress // nil unless this instance leads
-	round         uint64
-	reads         []pendingRead
-	pendingChange *membershipChange
-	handover      *handover
+	progress       map[Peer]*progress // nil unless this instance leads
+	heartbeatRound uint64
+	pendingReads   []pendingRead
+	pendingChange  *membershipChange
+	handover       *handover
 
 	incoming   *Snapshot // incomplete; the chunks received so far
 	installing *Snapshot // complete; not yet reported as stored
@@ -81,17 +81,17 @@
 
 // NewNode returns a node with the state restored from its data folder. It keeps trailing entries in memory before a snapshot
 // (see TrailingEntries) and uses random for election timeouts only.
-func NewNode(now time.Time, self Peer, restored Restored, trailing core.LogIndex, random *rand.Rand) *Node {
+func NewNode(now time.Time, self Peer, restored Restored, trailingEntries core.LogIndex, random *rand.Rand) *Node {
 	n := &Node{
 		self:             self,
 		random:           random,
-		trailingEntries:  trailing,
+		trailingEntries:  trailingEntries,
 		now:              now,
 		role:             roles.Initial(),
 		hardState:        restored.HardState,
 		writtenHardState: restored.HardState,
 		snapshot:         restored.Snapshot,
-		commit:           restored.Snapshot.Index,
+		commitIndex:      restored.Snapshot.Index,
 		lastDelivered:    restored.Snapshot.Index,
 		log: entryLog{
 			base:     restored.Snapshot.Index,
@@ -121,8 +121,8 @@
 	}
 	n.checkTimeouts()
 	n.completeOutput()
-	out := n.out
-	n.out = Output{}
+	out := n.output
+	n.output = Output{}
 	return out
 }
 
@@ -243,9 +243,9 @@
 	case KindAppendAnswer:
 		n.receiveAppendAnswer(m)
 	case KindSnapshotChunk:
-		n.receiveChunk(m)
+		n.receiveSnapshotChunk(m)
 	case KindSnapshotChunkAnswer:
-		n.receiveChunkAnswer(m)
+		n.receiveSnapshotChunkAnswer(m)
 	case KindTimeoutNow:
 		n.receiveTimeoutNow(m)
 	case KindStepDown:
@@ -266,7 +266,7 @@
 	case KindRead:
 		n.requestRead(m.Request, m.From)
 	case KindReadAnswer:
-		n.out.Reads = append(n.out.Reads, ReadResult{
+		n.output.Reads = append(n.output.Reads, ReadResult{
 			Request: m.Request,
 			Index:   m.Index,
 		})
@@ -285,15 +285,16 @@
 
 // send queues a message that may leave before the sync.
 func (n *Node) send(to Peer, m Message) {
-	n.out.Messages = append(n.out.Messages, n.addressed(to, m))
+	n.output.Messages = append(n.output.Messages, n.withAddresses(to, m))
 }
 
 // sendSynced queues a message that must not leave before the sync, because it acknowledges what is written to the local disk.
 func (n *Node) sendSynced(to Peer, m Message) {
-	n.out.AfterSync = append(n.out.AfterSync, n.addressed(to, m))
+	n.output.AfterSync = append(n.output.AfterSync, n.withAddresses(to, m))
 }
 
-func (n *Node) addressed(to Peer, m Message) Message {
+// withAddresses sets the sender and the receiver and, unless the message has one, the current term.
+func (n *Node) withAddresses(to Peer, m Message) Message {
 	m.From, m.To = n.self, to
 	if m.Term == 0 {
 		m.Term = n.hardState.Term
@@ -304,7 +305,7 @@
 // refuse tells the origin of a request that this instance has not appended it.
 func (n *Node) refuse(origin Peer, request RequestID, reason string) {
 	if origin == n.self {
-		n.out.Refused = append(n.out.Refused, Refusal{
+		n.output.Refused = append(n.output.Refused, Refusal{
 			Request: request,
 			Reason:  reason,
 		})
@@ -326,20 +327,20 @@
 		}
 	}
 	if n.firstUnwritten <= n.log.last() {
-		n.out.Entries = n.log.slice(n.firstUnwritten, n.log.last())
+		n.output.Entries = n.log.slice(n.firstUnwritten, n.log.last())
 		n.firstUnwritten = n.log.last() + 1
 	}
 	if n.hardState != n.writtenHardState {
-		hard := n.hardState
-		n.out.HardState, n.writtenHardState = &hard, hard
+		hardState := n.hardState
+		n.output.HardState, n.writtenHardState = &hardState, hardState
 	}
-	n.out.Token = SyncToken{
+	n.output.Token = SyncToken{
 		HardState: n.hardState,
 		Index:     n.log.last(),
 		Term:      n.log.lastTerm(),
 	}
-	n.out.Committed = n.log.slice(n.lastDelivered+1, n.commit)
-	n.lastDelivered = max(n.lastDelivered, n.commit)
+	n.output.Committed = n.log.slice(n.lastDelivered+1, n.commitIndex)
+	n.lastDelivered = max(n.lastDelivered, n.commitIndex)
 }
 
 // recordSync counts the entries and the instance's own vote that are synced now.
@@ -408,7 +409,7 @@
 		Role:   string(n.role),
 		Term:   n.hardState.Term,
 		Leader: n.leader.ID,
-		Commit: n.commit,
+		Commit: n.commitIndex,
 	}
 	for _, member := range n.currentMembership().members {
 		if member.Voter {
--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -54,7 +54,7 @@
 	return node, out
 }
 
-func answer(from core.ControlID, kind raft.Kind, term core.Term, index core.LogIndex) raft.Received {
+func answer(from core.ControlID, kind raft.MessageKind, term core.Term, index core.LogIndex) raft.Received {
 	return raft.Received{
 		Message: raft.Message{
 			Kind:  kind,
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -76,7 +76,7 @@
 	}
 	if p.snapshot != nil {
 		if heartbeat {
-			n.sendChunk(to, p)
+			n.sendSnapshotChunk(to, p)
 		}
 		return
 	}
@@ -84,10 +84,10 @@
 	if p.next <= p.match+maxInFlightEntries {
 		entries = n.log.batchFrom(p.next)
 	}
-	if len(entries) == 0 && !heartbeat && p.sentCommit >= n.commit {
+	if len(entries) == 0 && !heartbeat && p.sentCommit >= n.commitIndex {
 		return
 	}
-	p.sentCommit = n.commit
+	p.sentCommit = n.commitIndex
 	previous := p.next - 1
 	term, _ := n.log.term(previous)
 	n.send(to, Message{
@@ -95,13 +95,13 @@
 		Index:   previous,
 		LogTerm: term,
 		Entries: entries,
-		Commit:  n.commit,
-		Round:   n.round,
+		Commit:  n.commitIndex,
+		Round:   n.heartbeatRound,
 	})
 	p.next += core.LogIndex(len(entries))
 }
 
-func (n *Node) sendChunk(to Peer, p *progress) {
+func (n *Node) sendSnapshotChunk(to Peer, p *progress) {
 	data := p.snapshot.Data
 	from := min(p.chunkOffset, uint64(len(data)))
 	n.send(to, Message{
@@ -114,12 +114,12 @@
 		},
 		Offset: from,
 		Size:   uint64(len(data)),
-		Round:  n.round,
+		Round:  n.heartbeatRound,
 	})
 }
 
 // followLeader accepts the sender as the leader of its term. It rejects a sender of an earlier term.
-func (n *Node) followLeader(m Message, answer Kind) bool {
+func (n *Node) followLeader(m Message, answer MessageKind) bool {
 	if m.Term < n.hardState.Term {
 		n.sendSynced(m.From, Message{
 			Kind:   answer,
@@ -148,11 +148,11 @@
 	}
 	switch {
 	case n.installing != nil: // a snapshot is about to replace the log; a rejection would make the leader resend entries
-		answer.Index = n.commit
+		answer.Index = n.commitIndex
 	case m.Index > n.log.last():
 		answer.Reject, answer.Index = true, n.log.last()
 	case m.Index >= n.log.base && !n.log.matches(m.Index, m.LogTerm):
-		answer.Reject, answer.Index = true, max(n.log.firstOfTerm(m.Index)-1, n.commit)
+		answer.Reject, answer.Index = true, max(n.log.firstOfTerm(m.Index)-1, n.commitIndex)
 	default:
 		answer.Index = n.appendNew(m)
 	}
@@ -181,7 +181,7 @@
 		break
 	}
 	matching := m.Index + core.LogIndex(len(m.Entries))
-	n.commit = max(n.commit, min(m.Commit, matching))
+	n.commitIndex = max(n.commitIndex, min(m.Commit, matching))
 	return matching
 }
 
@@ -189,7 +189,7 @@
 	if from > n.log.last() {
 		return
 	}
-	if from <= n.commit {
+	if from <= n.commitIndex {
 		panic(fmt.Sprintf("raft instance %q: entry %d is committed and would be overwritten", n.self.ID, from))
 	}
 	n.log.truncate(from)
@@ -207,7 +207,7 @@
 	}
 	p.lastContact = n.now
 	p.answeredRound = max(p.answeredRound, m.Round)
-	n.finishReads()
+	n.answerConfirmedReads()
 	return p
 }
 
@@ -241,10 +241,10 @@
 		return
 	}
 	index := n.quorumMatch()
-	if term, _ := n.log.term(index); index <= n.commit || term != n.hardState.Term {
+	if term, _ := n.log.term(index); index <= n.commitIndex || term != n.hardState.Term {
 		return
 	}
-	n.commit = index
+	n.commitIndex = index
 	n.stepDownIfRemoved()
 }
 
@@ -264,7 +264,7 @@
 
 // stepDownIfRemoved makes a leader step down once the entry that took its vote is committed.
 func (n *Node) stepDownIfRemoved() {
-	if n.currentMembership().index <= n.commit && !n.currentMembership().isVoter(n.self) {
+	if n.currentMembership().index <= n.commitIndex && !n.currentMembership().isVoter(n.self) {
 		n.broadcast() // tells the members the new commit index
 		n.changeRole(onLostVote)
 		n.resetLeadership()
--- a/core/raft/requests.go
+++ b/core/raft/requests.go
@@ -60,7 +60,7 @@
 		})
 	case n.handover != nil:
 		n.refuse(origin, p.Request, reasonHandingOver)
-	case n.log.last() >= n.commit+maxUncommittedEntries:
+	case n.log.last() >= n.commitIndex+maxUncommittedEntries:
 		n.refuse(origin, p.Request, reasonBusy)
 	case p.Change != nil:
 		n.changeMembers(p, origin)
@@ -76,7 +76,7 @@
 // changeMembers allows one membership change at a time, and none before the leader has committed an entry of its own term: a
 // membership entry of an earlier term that this instance lacks could otherwise form a majority that does not overlap.
 func (n *Node) changeMembers(p Proposed, origin Peer) {
-	if n.currentMembership().index > n.commit || !n.committedInTerm() {
+	if n.currentMembership().index > n.commitIndex || !n.committedInTerm() {
 		n.refuse(origin, p.Request, reasonChangePending)
 		return
 	}
@@ -94,7 +94,7 @@
 		change:  *p.Change,
 	}
 	if p.Change.Kind == ChangePromote {
-		n.pendingChange.catchUpIndex = n.commit
+		n.pendingChange.catchUpIndex = n.commitIndex
 	}
 	n.tryPendingChange()
 }
@@ -122,14 +122,14 @@
 }
 
 func (n *Node) committedInTerm() bool {
-	term, _ := n.log.term(n.commit)
+	term, _ := n.log.term(n.commitIndex)
 	return term == n.hardState.Term
 }
 
 func (n *Node) requestRead(request RequestID, origin Peer) {
 	switch {
-	case n.role == Leader && len(n.reads) < maxPendingReads:
-		n.reads = append(n.reads, pendingRead{
+	case n.role == Leader && len(n.pendingReads) < maxPendingReads:
+		n.pendingReads = append(n.pendingReads, pendingRead{
 			request: request,
 			origin:  origin,
 		})
@@ -154,22 +154,22 @@
 		return
 	}
 	started := false
-	for i := range n.reads {
-		if n.reads[i].round == 0 {
-			n.reads[i].round, n.reads[i].index = n.round+1, n.commit
+	for i := range n.pendingReads {
+		if n.pendingReads[i].round == 0 {
+			n.pendingReads[i].round, n.pendingReads[i].index = n.heartbeatRound+1, n.commitIndex
 			started = true
 		}
 	}
 	if started {
-		n.round++
+		n.heartbeatRound++
 		n.broadcast()
-		n.finishReads()
+		n.answerConfirmedReads()
 	}
 }
 
-// finishReads answers the reads whose heartbeat round has been answered by a majority.
-func (n *Node) finishReads() {
-	n.reads = lo.Reject(n.reads, func(read pendingRead, _ int) bool {
+// answerConfirmedReads answers the reads whose heartbeat round has been answered by a majority.
+func (n *Node) answerConfirmedReads() {
+	n.pendingReads = lo.Reject(n.pendingReads, func(read pendingRead, _ int) bool {
 		if read.round == 0 || !n.roundConfirmed(read.round) {
 			return false
 		}
@@ -186,7 +186,7 @@
 
 func (n *Node) answerRead(read pendingRead) {
 	if read.origin == n.self {
-		n.out.Reads = append(n.out.Reads, ReadResult{
+		n.output.Reads = append(n.output.Reads, ReadResult{
 			Request: read.request,
 			Index:   read.index,
 		})
@@ -200,8 +200,8 @@
 }
 
 func (n *Node) failReads() {
-	for _, read := range n.reads {
+	for _, read := range n.pendingReads {
 		n.refuse(read.origin, read.request, reasonSteppedDown)
 	}
-	n.reads = nil
+	n.pendingReads = nil
 }
--- a/core/raft/snapshot.go
+++ b/core/raft/snapshot.go
@@ -6,11 +6,11 @@
 	"parsleyport/core"
 )
 
-func (n *Node) receiveChunk(m Message) {
+func (n *Node) receiveSnapshotChunk(m Message) {
 	if m.Snapshot == nil || m.Size > maxSnapshotBytes || !n.followLeader(m, KindSnapshotChunkAnswer) {
 		return
 	}
-	if m.Snapshot.Index <= n.commit {
+	if m.Snapshot.Index <= n.commitIndex {
 		n.incoming = nil
 		n.sendSynced(m.From, Message{
 			Kind:  KindAppendAnswer,
@@ -45,12 +45,12 @@
 	received := uint64(len(n.incoming.Data))
 	if received >= m.Size {
 		n.installing, n.incoming = n.incoming, nil
-		n.out.Install = n.installing
+		n.output.Install = n.installing
 	}
 	return received
 }
 
-func (n *Node) receiveChunkAnswer(m Message) {
+func (n *Node) receiveSnapshotChunkAnswer(m Message) {
 	p := n.recordAnswer(m)
 	if p == nil || p.snapshot == nil || m.Index != p.snapshot.Index {
 		return
@@ -58,7 +58,7 @@
 	advanced := m.Offset > p.chunkOffset
 	p.chunkOffset = m.Offset // goes back if the member has restarted and lost its chunks
 	if advanced && p.chunkOffset < uint64(len(p.snapshot.Data)) {
-		n.sendChunk(m.From, p)
+		n.sendSnapshotChunk(m.From, p)
 	}
 }
 
@@ -90,11 +90,11 @@
 
 // install starts the log at a stored snapshot. Later entries stay only if the log matches the snapshot's last entry.
 func (n *Node) install(stored Snapshot) {
-	if stored.Index <= n.commit {
+	if stored.Index <= n.commitIndex {
 		return
 	}
 	n.snapshot = stored
-	n.commit, n.lastDelivered = stored.Index, stored.Index
+	n.commitIndex, n.lastDelivered = stored.Index, stored.Index
 	if n.log.matches(stored.Index, stored.Term) {
 		n.compact(stored.Index)
 		n.lastSynced = max(n.lastSynced, stored.Index)
@@ -120,7 +120,7 @@
 		members: stored.Members,
 	}}
 	n.firstUnwritten, n.lastSynced = stored.Index+1, stored.Index
-	n.out.Reset = &Reset{
+	n.output.Reset = &Reset{
 		Index: stored.Index,
 		Term:  stored.Term,
 	}
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -91,11 +91,11 @@
 }
 
 // Kind is the kind of a message between control instances.
-type Kind uint8
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	KindPreVote Kind = iota + 1
+	KindPreVote MessageKind = iota + 1
 	KindPreVoteAnswer
 	KindVote
 	KindVoteAnswer
@@ -113,7 +113,7 @@
 
 // Message is one message between control instances. Which fields are set depends on Kind.
 type Message struct {
-	Kind     Kind          `msgpack:"kind"`
+	Kind     MessageKind   `msgpack:"kind"`
 	From     Peer          `msgpack:"from"`
 	To       Peer          `msgpack:"to"`
 	Term     core.Term     `msgpack:"term"`
--- a/io/disk/segment.go
+++ b/io/disk/segment.go
@@ -180,8 +180,8 @@
 	s.segments = append(s.segments, segment{
 		number: number,
 	})
-	hard := s.hardState
-	if err := s.write(batch{HardState: &hard, Last: s.lastIndex}); err != nil {
+	hardState := s.hardState
+	if err := s.write(batch{HardState: &hardState, Last: s.lastIndex}); err != nil {
 		return err
 	}
 	if err := s.folder.Sync(); err != nil {
@@ -191,12 +191,12 @@
 }
 
 // Write appends one record and returns once it is synced. After an error the store refuses all further calls.
-func (s *Store) Write(reset *raft.Reset, hard *raft.HardState, entries []raft.Entry) error {
+func (s *Store) Write(reset *raft.Reset, hardState *raft.HardState, entries []raft.Entry) error {
 	if err := s.checkFailed(); err != nil {
 		return err
 	}
-	if hard != nil {
-		s.hardState = *hard
+	if hardState != nil {
+		s.hardState = *hardState
 	}
 	if newest := s.segments[len(s.segments)-1]; newest.size > maxSegmentBytes {
 		if err := s.beginSegment(newest.number + 1); err != nil {
@@ -205,7 +205,7 @@
 	}
 	return s.write(batch{
 		Reset:     reset,
-		HardState: hard,
+		HardState: hardState,
 		Entries:   entries,
 	})
 }
--- a/io/raftpeer/applier.go
+++ b/io/raftpeer/applier.go
@@ -22,12 +22,12 @@
 	finishRequest func(request raft.RequestID, result []byte)
 }
 
-func newApplier(store *disk.Store, machine core.StateMachine, from raft.Snapshot, done func(raft.RequestID, []byte)) (*applier, error) {
+func newApplier(store *disk.Store, machine core.StateMachine, from raft.Snapshot, finishRequest func(raft.RequestID, []byte)) (*applier, error) {
 	a := &applier{
 		store:            store,
 		machine:          machine,
 		snapshotInterval: raft.SnapshotIntervalEntries,
-		finishRequest:    done,
+		finishRequest:    finishRequest,
 	}
 	if from.Index == 0 {
 		return a, nil
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -248,16 +248,16 @@
 		t.Run(fmt.Sprint(incoming), func(t *testing.T) {
 			c := qt.New(t)
 			w, leader := startedSimulation(t, 3)
-			away := w.others(leader.options.Self)[0]
+			partitioned := w.others(leader.options.Self)[0]
 			term := leader.engine.node.Status().Term
-			w.isolate(away, incoming, true)
+			w.isolate(partitioned, incoming, true)
 			w.advance(30 * time.Second)
 			w.write("away=1")
 			w.heal()
 			w.advance(5 * time.Second)
 			c.Assert(leader.isLeader(), qt.IsTrue)
 			c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
-			c.Assert(w.instances[away].machine["away"], qt.Equals, "1")
+			c.Assert(w.instances[partitioned].machine["away"], qt.Equals, "1")
 		})
 	}
 }
@@ -266,10 +266,10 @@
 func TestInstancePartitionedFromLeaderDoesNotDisturb(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
-	away := w.others(leader.options.Self)[0]
+	partitioned := w.others(leader.options.Self)[0]
 	term := leader.engine.node.Status().Term
-	w.blocked[[2]core.ControlID{leader.options.Self, away}] = true
-	w.blocked[[2]core.ControlID{away, leader.options.Self}] = true
+	w.blocked[[2]core.ControlID{leader.options.Self, partitioned}] = true
+	w.blocked[[2]core.ControlID{partitioned, leader.options.Self}] = true
 	w.advance(10 * time.Second)
 	c.Assert(leader.isLeader(), qt.IsTrue)
 	c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
@@ -323,15 +323,15 @@
 func TestSnapshotReachesLaggingInstance(t *testing.T) {
 	c := qt.New(t)
 	w, leader := startedSimulation(t, 3)
-	away := w.others(leader.options.Self)[0]
-	w.instances[away].crash()
+	lagging := w.others(leader.options.Self)[0]
+	w.instances[lagging].crash()
 	for n := range 60 {
 		w.write(fmt.Sprintf("n%d=%010000d", n, n)) // the snapshot needs more than one chunk
 	}
-	restored := w.instances[away].machine
+	restored := w.instances[lagging].machine
 	w.heal()
 	w.converge()
 	c.Assert(len(restored), qt.Equals, 1)
-	c.Assert(len(w.instances[away].machine), qt.Equals, 62)
-	c.Assert(w.instances[away].applier.snapshotIndex > 0, qt.IsTrue)
+	c.Assert(len(w.instances[lagging].machine), qt.Equals, 62)
+	c.Assert(w.instances[lagging].applier.snapshotIndex > 0, qt.IsTrue)
 }
--- a/io/raftpeer/hello.go
+++ b/io/raftpeer/hello.go
@@ -47,7 +47,7 @@
 func (r *Replica) sendHello(to core.ControlID, asAnswer bool) {
 	hello := r.engine.hello(asAnswer)
 	if r.options.AcceptUnknown {
-		self := r.options.self()
+		self := r.options.selfMember()
 		hello.Address, hello.DataCentre = self.Address, self.DataCentre
 		if asAnswer {
 			hello.Members = r.engine.node.Members()
@@ -87,8 +87,8 @@
 		return false
 	}
 	r.mu.Lock()
-	_, heard := r.introductions[hello.From.ID]
-	if !known && !heard && len(r.introductions) >= maxMembers {
+	_, introduced := r.introductions[hello.From.ID]
+	if !known && !introduced && len(r.introductions) >= maxMembers {
 		r.mu.Unlock()
 		return false
 	}
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -14,7 +14,7 @@
 	"parsleyport/io/frame"
 )
 
-// Frame types of messages that are not raft.Message; for those the frame type is the raft.Kind.
+// Frame types of messages that are not raft.Message; for those the frame type is the raft.MessageKind.
 const (
 	typeHello frame.Type = 100 + iota
 	typePing
@@ -111,7 +111,7 @@
 func (r *Replica) refuseUndelivered(m raft.Message) {
 	if m.Kind == raft.KindPropose || m.Kind == raft.KindRead {
 		r.requests.finish(m.Request, answer{
-			refused: "the leader cannot be reached",
+			refusal: "the leader cannot be reached",
 		})
 	}
 }
@@ -220,7 +220,7 @@
 			if r.context.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			r.pause(r.context)
+			r.waitToRetry(r.context)
 			continue
 		}
 		select {
--- a/io/raftpeer/options.go
+++ b/io/raftpeer/options.go
@@ -85,7 +85,7 @@
 }
 
 // self returns this instance's entry in the settings.
-func (o *Options) self() Member {
+func (o *Options) selfMember() Member {
 	member, _ := lo.Find(o.Members, func(m Member) bool { return m.ID == o.Self })
 	return member
 }
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -209,7 +209,7 @@
 			r.introduce()
 		case <-timer.C:
 		}
-		if err := r.handle(batch); err != nil {
+		if err := r.handleBatch(batch); err != nil {
 			r.fail(err)
 			return
 		}
@@ -230,7 +230,7 @@
 	return batch
 }
 
-func (r *Replica) handle(batch []input) error {
+func (r *Replica) handleBatch(batch []input) error {
 	events := make([]raft.Event, 0, len(batch))
 	for _, in := range batch {
 		if in.introduceTo != nil {
@@ -260,7 +260,7 @@
 	}
 	for _, refusal := range result.refused {
 		r.requests.finish(refusal.Request, answer{
-			refused: refusal.Reason,
+			refusal: refusal.Reason,
 		})
 	}
 	result.refused = nil
--- a/io/raftpeer/replica_test.go
+++ b/io/raftpeer/replica_test.go
@@ -205,14 +205,14 @@
 }
 
 // refusing is a state machine that cannot apply any command.
-type refusing struct{ registers }
+type failingMachine struct{ registers }
 
-func (refusing) Apply(core.LogIndex, []byte) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
+func (failingMachine) Apply(core.LogIndex, []byte) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
 
 // Guards against a replica that continues after a command that its state machine cannot apply.
 func TestApplyErrorStopsTheReplica(t *testing.T) {
 	c := qt.New(t)
-	a, err := newApplier(nil, refusing{}, raft.Snapshot{}, func(raft.RequestID, []byte) { t.Error("the command was answered") })
+	a, err := newApplier(nil, failingMachine{}, raft.Snapshot{}, func(raft.RequestID, []byte) { t.Error("the command was answered") })
 	c.Assert(err, qt.IsNil)
 	_, err = a.apply(stepResult{committed: []raft.Entry{{Index: 1, Kind: raft.EntryCommand}}})
 	c.Assert(errors.Is(err, io.ErrUnexpectedEOF), qt.IsTrue)
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -13,7 +13,7 @@
 
 type answer struct {
 	result  []byte
-	refused string
+	refusal string
 }
 
 // requests holds this process's proposals, reads and membership changes that wait for an answer.
@@ -21,13 +21,13 @@
 	mu       sync.Mutex
 	run      uint64
 	sequence uint64
-	waiting  map[raft.RequestID]chan answer
+	pending  map[raft.RequestID]chan answer
 }
 
 func newRequests(run uint64) *requests {
 	return &requests{
 		run:     run,
-		waiting: make(map[raft.RequestID]chan answer),
+		pending: make(map[raft.RequestID]chan answer),
 	}
 }
 
@@ -35,7 +35,7 @@
 func (r *requests) add() (raft.RequestID, chan answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.waiting) >= maxOutstandingRequests {
+	if len(r.pending) >= maxOutstandingRequests {
 		return raft.RequestID{}, nil, false
 	}
 	r.sequence++
@@ -44,14 +44,14 @@
 		Sequence: r.sequence,
 	}
 	answered := make(chan answer, 1)
-	r.waiting[id] = answered
+	r.pending[id] = answered
 	return id, answered, true
 }
 
 func (r *requests) remove(id raft.RequestID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.waiting, id)
+	delete(r.pending, id)
 }
 
 func (r *requests) finish(id raft.RequestID, a answer) {
@@ -60,8 +60,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if answered, exists := r.waiting[id]; exists {
-		delete(r.waiting, id)
+	if answered, exists := r.pending[id]; exists {
+		delete(r.pending, id)
 		answered <- a
 	}
 }
@@ -112,14 +112,14 @@
 		if err != nil {
 			return nil, err
 		}
-		if a.refused == "" {
+		if a.refusal == "" {
 			return a.result, nil
 		}
 		if !retry && r.Status().Leader != "" {
-			return nil, raft.RefusalError(a.refused)
+			return nil, raft.RefusalError(a.refusal)
 		}
-		if !r.pause(ctx) {
-			return nil, errors.Annotate(core.ErrNoLeader, a.refused)
+		if !r.waitToRetry(ctx) {
+			return nil, errors.Annotate(core.ErrNoLeader, a.refusal)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	if !accepted {
 		r.counters.refused.Inc()
 		return answer{
-			refused: "too many requests are outstanding",
+			refusal: "too many requests are outstanding",
 		}, nil
 	}
 	defer r.requests.remove(id)
@@ -142,12 +142,12 @@
 	if err := r.inputs.Push(ctx, input{event: event(id)}); err != nil {
 		return answer{}, errors.Annotate(core.ErrNoLeader, err.Error())
 	}
-	return r.wait(ctx, answered)
+	return r.awaitAnswer(ctx, answered)
 }
 
 // wait returns early if the leader has changed and the new one has not committed the request for a while, so that the
 // client can ask again before its deadline.
-func (r *Replica) wait(ctx context.Context, answered <-chan answer) (answer, error) {
+func (r *Replica) awaitAnswer(ctx context.Context, answered <-chan answer) (answer, error) {
 	term, changed := r.Status().Term, 0
 	poll := time.NewTicker(leaderPollInterval)
 	defer poll.Stop()
@@ -170,7 +170,7 @@
 	}
 }
 
-func (r *Replica) pause(ctx context.Context) bool {
+func (r *Replica) waitToRetry(ctx context.Context) bool {
 	select {
 	case <-time.After(retryDelay):
 		return true
@@ -194,10 +194,10 @@
 			}
 		})
 		end()
-		if err == nil && a.refused == "" {
+		if err == nil && a.refusal == "" {
 			return nil
 		}
-		if !r.pause(ctx) {
+		if !r.waitToRetry(ctx) {
 			return errors.Annotate(core.ErrNoLeader, "read is not confirmed")
 		}
 	}
@@ -217,7 +217,7 @@
 		if status.Role == string(raft.Leader) { // the node ignores this while a transfer is in progress
 			_ = r.inputs.Push(ctx, input{event: raft.HandOverRequested{}})
 		}
-		if !r.pause(ctx) {
+		if !r.waitToRetry(ctx) {
 			return errors.Annotate(core.ErrNoLeader, "no other instance leads")
 		}
 	}
--- a/io/raftpeer/schedule_test.go
+++ b/io/raftpeer/schedule_test.go
@@ -28,15 +28,15 @@
 	simulation *simulation
 	operations []porcupine.Operation
 	clients    []*client
-	values     int
+	writes     int
 }
 
 type client struct {
-	id      int
-	busy    bool
-	next    time.Time
-	timeout time.Time
-	giveUp  func()
+	id            int
+	busy          bool
+	nextOperation time.Time
+	timeout       time.Time
+	giveUp        func()
 }
 
 var registerModel = porcupine.Model{
@@ -67,7 +67,7 @@
 		switch {
 		case c.busy && h.simulation.now.After(c.timeout):
 			c.giveUp()
-		case !c.busy && h.simulation.now.After(c.next):
+		case !c.busy && h.simulation.now.After(c.nextOperation):
 			h.begin(c)
 		}
 	}
@@ -77,7 +77,7 @@
 func (h *history) begin(c *client) {
 	w := h.simulation
 	at := w.instances[w.ids[w.random.IntN(len(w.ids))]]
-	c.next = w.now.Add(time.Duration(w.random.IntN(150)) * time.Millisecond)
+	c.nextOperation = w.now.Add(time.Duration(w.random.IntN(150)) * time.Millisecond)
 	if !at.up {
 		return
 	}
@@ -98,7 +98,7 @@
 	c.busy, c.timeout = true, w.now.Add(2*time.Second)
 	var request raft.RequestID
 	c.giveUp = func() {
-		delete(w.done, request)
+		delete(w.onDone, request)
 		c.busy = false
 		if o.write {
 			record("", math.MaxInt64)
@@ -111,8 +111,8 @@
 		}
 	}
 	if o.write {
-		h.values++
-		o.value = fmt.Sprint(h.values)
+		h.writes++
+		o.value = fmt.Sprint(h.writes)
 		request = at.propose(o.register+"="+o.value, done)
 		return
 	}
--- a/io/raftpeer/simulation_test.go
+++ b/io/raftpeer/simulation_test.go
@@ -48,7 +48,7 @@
 	leaders     map[core.Term]core.ControlID
 	applied     map[core.LogIndex]raft.Entry
 	sequence    uint64
-	done        map[raft.RequestID]func(refused string)
+	onDone      map[raft.RequestID]func(refused string)
 	loseMessage func(raft.Message) bool // called for each message sent; true drops it
 	onDelivery  func(from, to core.ControlID)
 }
@@ -85,7 +85,7 @@
 		blocked:   make(map[[2]core.ControlID]bool),
 		leaders:   make(map[core.Term]core.ControlID),
 		applied:   make(map[core.LogIndex]raft.Entry),
-		done:      make(map[raft.RequestID]func(string)),
+		onDone:    make(map[raft.RequestID]func(string)),
 	}
 	for n := range size {
 		w.ids = append(w.ids, core.ControlID(fmt.Sprintf("c%d", n+1)))
@@ -151,8 +151,8 @@
 func (w *simulation) finish(request raft.RequestID, _ []byte) { w.answer(request, "") }
 
 func (w *simulation) answer(request raft.RequestID, refused string) {
-	if done, exists := w.done[request]; exists {
-		delete(w.done, request)
+	if done, exists := w.onDone[request]; exists {
+		delete(w.onDone, request)
 		done(refused)
 	}
 }
@@ -328,7 +328,7 @@
 		Run:      1,
 		Sequence: i.simulation.sequence,
 	}
-	i.simulation.done[id] = done
+	i.simulation.onDone[id] = done
 	i.localEvents = append(i.localEvents, event(id))
 	return id
 }
