--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -107,7 +107,7 @@
 	n.becomeLeader()
 }
 
-// becomeLeader appends a no-op entry, since entries of earlier terms are committed only by one of the leader's own term.
+// becomeLeader appends a no-op entry, since a leader commits entries of earlier terms only together with one of its own term.
 func (n *Node) becomeLeader() {
 	n.changeRole(onVoteWon)
 	n.votes = nil
--- a/core/raft/handover.go
+++ b/core/raft/handover.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// receiveTimeoutNow starts an election without a pre-vote, which protects a working leader: here that leader asked for it.
+// receiveTimeoutNow starts an election without a pre-vote. A pre-vote protects a working leader, but here the leader itself
+// has asked for the election.
 func (n *Node) receiveTimeoutNow(m Message) {
 	if n.role != Follower || m.From != n.leader || m.Term != n.hardState.Term {
 		return
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -73,6 +73,7 @@
 	return m.checkVoters(sortMembers(append(rest, member)))
 }
 
+// checkVoters refuses a membership without a voter.
 func (m membership) checkVoters(members []Member) ([]Member, error) {
 	if len((membership{members: members}).voters()) == 0 {
 		return nil, errors.NotValidf("membership without a voter")
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -121,9 +121,9 @@
 	}
 	n.checkTimeouts()
 	n.completeOutput()
-	out := n.output
+	output := n.output
 	n.output = Output{}
-	return out
+	return output
 }
 
 // NextDeadline returns the latest time at which Step must be called again.
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -119,10 +119,10 @@
 }
 
 // followLeader accepts the sender as the leader of its term. It rejects a sender of an earlier term.
-func (n *Node) followLeader(m Message, answer MessageKind) bool {
+func (n *Node) followLeader(m Message, answerKind MessageKind) bool {
 	if m.Term < n.hardState.Term {
 		n.sendSynced(m.From, Message{
-			Kind:   answer,
+			Kind:   answerKind,
 			Reject: true,
 		})
 		return false
@@ -235,7 +235,8 @@
 	}
 }
 
-// advanceCommit commits the entries synced by a majority, this instance included, once the last is of the leader's own term.
+// advanceCommit commits the entries that a majority has synced, counting this instance's own disk, if the last of them is of
+// the current term.
 func (n *Node) advanceCommit() {
 	if n.role != Leader {
 		return
--- a/io/disk/archive_test.go
+++ b/io/disk/archive_test.go
@@ -15,8 +15,8 @@
 	"parsleyport/io/disk/disktest"
 )
 
-// fill applies commands numbered from first to before end. Each one adds one audit entry.
-func fill(c *qt.C, records *catalog.Catalog, first, end int) {
+// applyAborts applies commands numbered from first to before end. Each one adds one audit entry.
+func applyAborts(c *qt.C, records *catalog.Catalog, first, end int) {
 	for i := first; i < end; i++ {
 		command, err := catalog.EncodeAbort(time.Unix(0, 0), catalog.Abort{
 			ID:       core.SubmissionID(fmt.Sprint(i)),
@@ -34,7 +34,7 @@
 	return archive
 }
 
-func restored(c *qt.C, folder disk.Folder, snapshot []byte) *catalog.Catalog {
+func restoreCatalog(c *qt.C, folder disk.Folder, snapshot []byte) *catalog.Catalog {
 	records := catalog.NewArchived(openArchive(c, folder))
 	c.Assert(records.Restore(snapshot), qt.IsNil)
 	return records
@@ -49,13 +49,13 @@
 	const kept, total = 10_000, 12_345
 	var snapshot []byte
 	for first := 0; first < total; first += 2_500 {
-		fill(c, records, first, min(first+2_500, total))
+		applyAborts(c, records, first, min(first+2_500, total))
 		var err error
 		snapshot, err = records.Snapshot()
 		c.Assert(err, qt.IsNil)
 	}
 	folder.Crash(rand.New(rand.NewPCG(1, 1)))
-	records = restored(c, folder, snapshot)
+	records = restoreCatalog(c, folder, snapshot)
 	c.Assert(records.Audit(catalog.AuditFilter{}), qt.HasLen, kept)
 	all, err := records.AuditAll(catalog.AuditFilter{})
 	c.Assert(err, qt.IsNil)
@@ -68,7 +68,7 @@
 	c.Assert(latest, qt.DeepEquals, all[total-kept-1:])
 
 	// An instance with a new disk has only the entries in the snapshot, and reports that older ones are missing.
-	fresh := restored(c, disktest.NewMemory(), snapshot)
+	fresh := restoreCatalog(c, disktest.NewMemory(), snapshot)
 	_, err = fresh.AuditAll(catalog.AuditFilter{})
 	c.Assert(errors.Is(err, catalog.ErrAuditIncomplete), qt.IsTrue)
 	first, end := fresh.MissingAudit()
@@ -80,11 +80,11 @@
 func TestInstalledSnapshotLosesNoEntries(t *testing.T) {
 	c := qt.New(t)
 	leader := catalog.New()
-	fill(c, leader, 0, 11_000)
+	applyAborts(c, leader, 0, 11_000)
 	snapshot, err := leader.Snapshot()
 	c.Assert(err, qt.IsNil)
 	late := catalog.NewArchived(openArchive(c, disktest.NewMemory()))
-	fill(c, late, 0, 400)
+	applyAborts(c, late, 0, 400)
 	c.Assert(late.Restore(snapshot), qt.IsNil)
 	first, end := late.MissingAudit()
 	c.Assert([]uint64{first, end}, qt.DeepEquals, []uint64{400, 1_000})
@@ -97,7 +97,7 @@
 	folder := disktest.NewMemory()
 	archive := openArchive(c, folder)
 	records := catalog.NewArchived(archive)
-	fill(c, records, 0, 10_500)
+	applyAborts(c, records, 0, 10_500)
 	folder.FailSyncs(true)
 	_, err := records.Snapshot()
 	c.Assert(errors.Is(err, disk.ErrFailed), qt.IsTrue)
--- a/io/disk/segment.go
+++ b/io/disk/segment.go
@@ -190,7 +190,8 @@
 	return nil
 }
 
-// Write appends one record and returns once it is synced. After an error the store refuses all further calls.
+// Write appends one record and returns once it is synced. After a failed write or sync it returns ErrFailed, as do all later
+// calls.
 func (s *Store) Write(reset *raft.Reset, hardState *raft.HardState, entries []raft.Entry) error {
 	if err := s.checkFailed(); err != nil {
 		return err
--- a/io/disk/store_test.go
+++ b/io/disk/store_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// filled returns a folder with three records of one entry each, and the size of the log before each record and at the end.
-func filled(c *qt.C) (*disktest.Memory, []int) {
+// folderWithRecords returns a folder with three records of one entry each, and the size of the log before each record and at the end.
+func folderWithRecords(c *qt.C) (*disktest.Memory, []int) {
 	folder := disktest.NewMemory()
 	store, found := mustOpen(c, folder)
 	c.Assert(found.Created, qt.IsTrue)
@@ -59,9 +59,9 @@
 // Guards against an Open that fails, or that keeps damaged data, after the write of the last record was interrupted.
 func TestTornWriteIsTruncated(t *testing.T) {
 	c := qt.New(t)
-	_, sizes := filled(c)
+	_, sizes := folderWithRecords(c)
 	for size := sizes[2]; size < sizes[3]; size++ {
-		folder, _ := filled(c)
+		folder, _ := folderWithRecords(c)
 		c.Assert(folder.Truncate(firstSegment, int64(size)), qt.IsNil)
 		store, found := mustOpen(c, folder)
 		c.Assert(found.Restored.Entries, qt.DeepEquals, []raft.Entry{entry(1, 1), entry(2, 1)})
@@ -72,7 +72,7 @@
 		c.Assert(found.Restored.Entries[2], qt.DeepEquals, entry(3, 2))
 	}
 	for offset := sizes[2]; offset < sizes[3]; offset++ {
-		folder, _ := filled(c)
+		folder, _ := folderWithRecords(c)
 		folder.Corrupt(firstSegment, offset)
 		_, found := mustOpen(c, folder)
 		c.Assert(found.Restored.Entries, qt.HasLen, 2)
@@ -82,9 +82,9 @@
 // Guards against silently dropping synced entries because an earlier record is damaged.
 func TestOpenRefusesDamageBeforeValidRecords(t *testing.T) {
 	c := qt.New(t)
-	_, sizes := filled(c)
+	_, sizes := folderWithRecords(c)
 	for offset := range sizes[2] {
-		folder, _ := filled(c)
+		folder, _ := folderWithRecords(c)
 		folder.Corrupt(firstSegment, offset)
 		_, _, err := open(folder)
 		c.Assert(errors.Is(err, disk.ErrCorrupt), qt.IsTrue, qt.Commentf("offset %d", offset))
@@ -103,7 +103,7 @@
 		"log lost":           func(folder *disktest.Memory) { _ = folder.Remove("log-00000000000000000002") },
 		"older segment torn": func(folder *disktest.Memory) { _ = folder.Truncate("log-00000000000000000002", 90) },
 	} {
-		folder, _ := filled(c)
+		folder, _ := folderWithRecords(c)
 		store, _ := mustOpen(c, folder)
 		c.Assert(store.SaveSnapshot(raft.Snapshot{Index: 3, Term: 1}), qt.IsNil)
 		c.Assert(store.Compact(3), qt.IsNil)
@@ -113,7 +113,7 @@
 		_, _, err := open(folder)
 		c.Assert(errors.Is(err, disk.ErrCorrupt), qt.IsTrue, qt.Commentf("%s: %v", name, err))
 	}
-	folder, _ := filled(c)
+	folder, _ := folderWithRecords(c)
 	_, _, err := disk.Open(folder, "c2", nil)
 	c.Assert(err, qt.ErrorMatches, `data folder belongs to "c1" and not to "c2"`)
 }
@@ -125,7 +125,7 @@
 		"full disk":   {func(f *disktest.Memory) { f.SetCapacity(1) }, func(f *disktest.Memory) { f.SetCapacity(0) }},
 		"failed sync": {func(f *disktest.Memory) { f.FailSyncs(true) }, func(f *disktest.Memory) { f.FailSyncs(false) }},
 	} {
-		folder, _ := filled(c)
+		folder, _ := folderWithRecords(c)
 		store, _ := mustOpen(c, folder)
 		fault[0](folder)
 		err := store.Write(nil, nil, []raft.Entry{entry(4, 1)})
@@ -155,7 +155,7 @@
 		for range 60 {
 			fail := random.IntN(8) == 0
 			folder.FailSyncs(fail)
-			after, err := before.operate(store, random)
+			after, err := before.applyRandomOperation(store, random)
 			c.Assert(err != nil, qt.Equals, fail)
 			if !fail {
 				before = after
@@ -187,8 +187,8 @@
 	})
 }
 
-// operate performs one random operation and returns the model after it.
-func (m model) operate(store *disk.Store, random *rand.Rand) (model, error) {
+// applyRandomOperation performs one random operation and returns the model after it.
+func (m model) applyRandomOperation(store *disk.Store, random *rand.Rand) (model, error) {
 	if random.IntN(8) == 0 && len(m.entries) > 0 {
 		count := 1 + random.IntN(len(m.entries))
 		after := model{
