--- a/core/raft/bootstrap.go
+++ b/core/raft/bootstrap.go
@@ -8,46 +8,47 @@
 	"parsleyport/core"
 )
 
-// Hello tells other instances of an identity, and of the initial membership that its data folder has stored.
+// Hello announces an instance's identity and the initial membership that its data folder has stored.
 type Hello struct {
 	From    Peer     `msgpack:"from"`
 	Initial []Member `msgpack:"initial,omitempty"`
-	Started bool     `msgpack:"started"` // the deployment is known to have started
+	Started bool     `msgpack:"started"` // the sender knows that the deployment has started
 	Answer  bool     `msgpack:"answer"`
 
-	Address    string          `msgpack:"address,omitempty"` // of the sender, for instances whose settings do not name it
+	Address    string          `msgpack:"address,omitempty"` // of the sender, for receivers whose settings do not list it
 	DataCentre core.DataCentre `msgpack:"data-centre,omitempty"`
-	Members    []Member        `msgpack:"members,omitempty"` // of an answer: whom to introduce oneself to
+	Members    []Member        `msgpack:"members,omitempty"` // in answers: the members that the receiver should send its hello to
 }
 
 // Bootstrap agrees on the identities of the initial members. An instance starts only after every initial member has
-// stored the same identities, so a disk that is wiped at any time after that is recognised even if the settings still
+// stored the same identities. A disk that is wiped at any later time is therefore recognised, even if the settings still
 // ask for a bootstrap.
 type Bootstrap struct {
-	self    Peer
-	wanted  []Member // from the settings, without identities; empty unless a bootstrap is asked for
-	initial []Member
-	started bool
-	foreign bool // another instance has stored an initial membership without this identity
-	known   map[core.ControlID]Identity
-	centres map[core.ControlID]core.DataCentre // as the instances say, for settings that do not name them
-	agreed  map[core.ControlID]bool
+	self        Peer
+	configured  []Member // from the settings, without identities; empty if no bootstrap is requested
+	initial     []Member
+	started     bool
+	foreign     bool // another instance has stored an initial membership that lacks this identity
+	identities  map[core.ControlID]Identity
+	dataCentres map[core.ControlID]core.DataCentre // as announced, for members whose data centre the settings do not give
+	agreed      map[core.ControlID]bool
 }
 
-// NewBootstrap returns the decision for a folder that has stored initial (or nothing) and has or has not started.
-func NewBootstrap(self Peer, wanted, initial []Member, started bool) *Bootstrap {
+// NewBootstrap returns the state for a data folder that has stored the initial membership (empty if it has none) and that
+// holds a log or snapshot if started is set.
+func NewBootstrap(self Peer, configured, initial []Member, started bool) *Bootstrap {
 	return &Bootstrap{
-		self:    self,
-		wanted:  wanted,
-		initial: initial,
-		started: started,
-		known:   map[core.ControlID]Identity{self.ID: self.Identity},
-		centres: make(map[core.ControlID]core.DataCentre),
-		agreed:  map[core.ControlID]bool{self.ID: true},
+		self:        self,
+		configured:  configured,
+		initial:     initial,
+		started:     started,
+		identities:  map[core.ControlID]Identity{self.ID: self.Identity},
+		dataCentres: make(map[core.ControlID]core.DataCentre),
+		agreed:      map[core.ControlID]bool{self.ID: true},
 	}
 }
 
-// Step takes a hello, or only checks what is known if it is nil. It returns a membership to be synced before the next
+// Step handles a hello; nil only checks what is known already. It returns a membership that must be synced before the next
 // hello is sent, and whether the instance may start with the initial membership.
 func (b *Bootstrap) Step(hello *Hello) (store []Member, start bool) {
 	if !b.Pending() {
@@ -55,32 +56,32 @@
 	}
 	had := len(b.initial)
 	if hello != nil {
-		b.hear(*hello)
+		b.receive(*hello)
 	}
 	if len(b.initial) == 0 && !b.foreign {
-		b.complete()
+		b.assembleInitial()
 	}
 	if had == 0 {
-		return b.initial, b.finish(hello)
+		return b.initial, b.updateStarted(hello)
 	}
-	return nil, b.finish(hello)
+	return nil, b.updateStarted(hello)
 }
 
-func (b *Bootstrap) hear(hello Hello) {
+func (b *Bootstrap) receive(hello Hello) {
 	if hello.Started && len(hello.Initial) == 0 {
-		b.foreign = true // a learner of a deployment that has started
+		b.foreign = true // the sender is a learner of a deployment that has already started
 		return
 	}
 	if len(hello.Initial) == 0 {
-		b.known[hello.From.ID] = hello.From.Identity
-		b.centres[hello.From.ID] = hello.DataCentre
+		b.identities[hello.From.ID] = hello.From.Identity
+		b.dataCentres[hello.From.ID] = hello.DataCentre
 		return
 	}
 	if !lo.ContainsBy(hello.Initial, func(m Member) bool { return m.Peer == b.self }) {
 		b.foreign = true
 		return
 	}
-	if len(b.initial) == 0 && slices.Equal(names(hello.Initial), names(b.wanted)) {
+	if len(b.initial) == 0 && slices.Equal(names(hello.Initial), names(b.configured)) {
 		b.initial = hello.Initial
 	}
 	if slices.Equal(peers(hello.Initial), peers(b.initial)) {
@@ -88,26 +89,26 @@
 	}
 }
 
-func (b *Bootstrap) complete() {
-	if !lo.EveryBy(b.wanted, func(m Member) bool { return b.known[m.Peer.ID] != "" }) {
+func (b *Bootstrap) assembleInitial() {
+	if !lo.EveryBy(b.configured, func(m Member) bool { return b.identities[m.Peer.ID] != "" }) {
 		return
 	}
-	b.initial = sortMembers(lo.Map(b.wanted, func(m Member, _ int) Member {
-		m.Peer.Identity = b.known[m.Peer.ID]
+	b.initial = sortMembers(lo.Map(b.configured, func(m Member, _ int) Member {
+		m.Peer.Identity = b.identities[m.Peer.ID]
 		m.Voter = true
-		m.DataCentre = lo.CoalesceOrEmpty(m.DataCentre, b.centres[m.Peer.ID])
+		m.DataCentre = lo.CoalesceOrEmpty(m.DataCentre, b.dataCentres[m.Peer.ID])
 		return m
 	}))
 }
 
-func (b *Bootstrap) finish(hello *Hello) bool {
-	told := hello != nil && hello.Started && b.agreed[hello.From.ID]
-	all := lo.EveryBy(b.initial, func(m Member) bool { return b.agreed[m.Peer.ID] })
-	b.started = len(b.initial) > 0 && (all || told)
+func (b *Bootstrap) updateStarted(hello *Hello) bool {
+	startSeen := hello != nil && hello.Started && b.agreed[hello.From.ID]
+	allAgreed := lo.EveryBy(b.initial, func(m Member) bool { return b.agreed[m.Peer.ID] })
+	b.started = len(b.initial) > 0 && (allAgreed || startSeen)
 	return b.started
 }
 
-// Hello returns what the instance tells the others; joined says that it has become a member in another way.
+// Hello returns the announcement to send; joined means that the instance became a member after the bootstrap.
 func (b *Bootstrap) Hello(answer, joined bool) Hello {
 	return Hello{
 		From:    b.self,
@@ -117,24 +118,24 @@
 	}
 }
 
-// Pending reports that the agreement is under way. Until it ends, the instance must not vote or store entries, since
-// it will start with the initial state.
+// Pending reports whether the agreement is in progress. Until it ends, the instance must neither vote nor store entries,
+// since it will start with the initial state.
 func (b *Bootstrap) Pending() bool {
-	return !b.started && !b.foreign && (len(b.wanted) > 0 || len(b.initial) > 0)
+	return !b.started && !b.foreign && (len(b.configured) > 0 || len(b.initial) > 0)
 }
 
-// Foreign reports that the deployment has started without this identity, as after the loss of a disk.
+// Foreign reports whether the deployment has started without this identity, as after the loss of a disk.
 func (b *Bootstrap) Foreign() bool {
 	return b.foreign
 }
 
-// Started reports that the instance has the initial membership.
+// Started reports whether the instance has started with the initial membership.
 func (b *Bootstrap) Started() bool {
 	return b.started
 }
 
-// InitialState returns what the data folder of an initial member holds at its start. The initial membership is the
-// first entry, so that learners receive it with the log.
+// InitialState returns the state that an initial member's data folder starts with. The initial membership is the first log
+// entry, so that learners receive it with the log.
 func InitialState(initial []Member) (HardState, []Entry) {
 	state := HardState{
 		Term: 1,
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -2,79 +2,79 @@
 
 import "parsleyport/core/statechart"
 
-// startPreVote asks whether a majority would vote, without raising the term.
+// startPreVote asks the voters whether they would grant their vote, without raising the term.
 func (n *Node) startPreVote() {
-	n.fire(onElectionTimeout)
-	n.leave()
+	n.changeRole(onElectionTimeout)
+	n.resetLeadership()
 	n.votes = make(map[Peer]bool)
-	n.askForVotes(Message{
+	n.requestVotes(Message{
 		Kind: KindPreVote,
-		Term: n.hard.Term + 1,
+		Term: n.hardState.Term + 1,
 	})
-	n.countVote(n.self) // a pre-vote changes nothing that would have to be synced
+	n.countVote(n.self) // counts at once, since a pre-vote changes no state that must be synced
 }
 
-// startVote raises the term. The own vote counts once it is synced.
-func (n *Node) startVote(cause statechart.Event, handover bool) {
-	n.fire(cause)
+// startElection raises the term and requests votes. The instance's own vote counts once it is synced.
+func (n *Node) startElection(cause statechart.Event, handover bool) {
+	n.changeRole(cause)
 	n.leader = Peer{}
-	n.hard = HardState{
-		Term: n.hard.Term + 1,
+	n.hardState = HardState{
+		Term: n.hardState.Term + 1,
 		Vote: n.self,
 	}
 	n.votes = make(map[Peer]bool)
 	n.resetTimeout()
-	n.askForVotes(Message{
+	n.requestVotes(Message{
 		Kind:     KindVote,
-		Term:     n.hard.Term,
+		Term:     n.hardState.Term,
 		Handover: handover,
 	})
 }
 
-func (n *Node) askForVotes(m Message) {
+func (n *Node) requestVotes(m Message) {
 	m.Index, m.LogTerm = n.log.last(), n.log.lastTerm()
-	for _, member := range n.current().voters() {
+	for _, member := range n.currentMembership().voters() {
 		if member.Peer != n.self {
 			n.sendSynced(member.Peer, m)
 		}
 	}
 }
 
-// hearsLeader reports whether a leader was heard from within an election timeout.
-func (n *Node) hearsLeader() bool {
-	return n.role == Leader || n.leader != Peer{} && n.now.Before(n.contact.Add(ElectionTimeout))
+// hasLeaderContact reports whether a message from the leader arrived within the last election timeout.
+func (n *Node) hasLeaderContact() bool {
+	return n.role == Leader || n.leader != Peer{} && n.now.Before(n.leaderContact.Add(ElectionTimeout))
 }
 
-// ignoresVote keeps a candidate that cannot hear the leader from raising the term of those that can. A leader that hands
-// over has asked for the vote itself.
-func (n *Node) ignoresVote(m Message) bool {
-	return m.Kind == KindVote && !m.Handover && m.Term > n.hard.Term && n.hearsLeader()
+// ignoresVoteRequest keeps a candidate that cannot reach the leader from raising the term of instances that can. In a
+// leadership transfer, vote requests are not ignored, since the leader has asked for them.
+func (n *Node) ignoresVoteRequest(m Message) bool {
+	return m.Kind == KindVote && !m.Handover && m.Term > n.hardState.Term && n.hasLeaderContact()
 }
 
 func (n *Node) upToDate(m Message) bool {
-	own := n.log.lastTerm()
-	return m.LogTerm > own || m.LogTerm == own && m.Index >= n.log.last()
+	ownTerm := n.log.lastTerm()
+	return m.LogTerm > ownTerm || m.LogTerm == ownTerm && m.Index >= n.log.last()
 }
 
 func (n *Node) receivePreVote(m Message) {
-	grant := m.Term > n.hard.Term && n.upToDate(m) && !n.hearsLeader()
+	grant := m.Term > n.hardState.Term && n.upToDate(m) && !n.hasLeaderContact()
 	answer := Message{
 		Kind:   KindPreVoteAnswer,
 		Term:   m.Term,
 		Reject: !grant,
 	}
 	if !grant {
-		answer.Term = n.hard.Term
+		answer.Term = n.hardState.Term
 	}
 	n.send(m.From, answer)
 }
 
-// receiveVote grants at most one vote in a term; the answer waits for the sync of the vote.
+// receiveVote grants at most one vote per term. The answer waits until the vote is synced.
 func (n *Node) receiveVote(m Message) {
-	free := n.hard.Vote == Peer{} || n.hard.Vote == m.From
-	grant := m.Term == n.hard.Term && free && n.upToDate(m) && n.role != Leader
+	canVote := n.hardState.Vote == Peer{} || n.hardState.Vote == m.From
+	grant := m.Term == n.hardState.Term && canVote && n.upToDate(m) && n.role != Leader
 	if grant {
-		n.hard.Vote = m.From
+		n.hardState.Vote = m.From
 		n.resetTimeout()
 	}
 	n.sendSynced(m.From, Message{
@@ -87,35 +87,35 @@
 	if m.Reject {
 		return
 	}
-	preVote := m.Kind == KindPreVoteAnswer && n.role == PreCandidate && m.Term == n.hard.Term+1
-	vote := m.Kind == KindVoteAnswer && n.role == Candidate && m.Term == n.hard.Term
+	preVote := m.Kind == KindPreVoteAnswer && n.role == PreCandidate && m.Term == n.hardState.Term+1
+	vote := m.Kind == KindVoteAnswer && n.role == Candidate && m.Term == n.hardState.Term
 	if preVote || vote {
 		n.countVote(m.From)
 	}
 }
 
-// countVote counts the answer of a voter with the identity that the membership names, and of nobody else.
+// countVote counts the vote of a voter only if its identity is the one in the membership.
 func (n *Node) countVote(from Peer) {
 	n.votes[from] = true
-	if !n.current().quorum(func(peer Peer) bool { return n.votes[peer] }) {
+	if !n.currentMembership().quorum(func(peer Peer) bool { return n.votes[peer] }) {
 		return
 	}
 	if n.role == PreCandidate {
-		n.startVote(onPreVoteWon, false)
+		n.startElection(onPreVoteWon, false)
 		return
 	}
-	n.lead()
+	n.becomeLeader()
 }
 
-// lead begins a leadership with a no-op entry: entries of earlier terms commit only together with one of the own term.
-func (n *Node) lead() {
-	n.fire(onVoteWon)
+// becomeLeader appends a no-op entry, since a leader commits entries of earlier terms only together with one of its own term.
+func (n *Node) becomeLeader() {
+	n.changeRole(onVoteWon)
 	n.votes = nil
 	n.leader = n.self
-	n.timeout = n.now.Add(HeartbeatInterval)
+	n.nextTimeout = n.now.Add(HeartbeatInterval)
 	n.progress = make(map[Peer]*progress)
-	n.trackMembers()
-	n.appendOwn(Entry{
+	n.updateProgress()
+	n.appendEntry(Entry{
 		Kind: EntryNoOp,
 	})
 	n.broadcast()
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// membership is the list of members that an entry (or the snapshot) put in force from its index on.
+// membership is the list of members in force from an index on, set by the log entry or the snapshot at that index.
 type membership struct {
 	index   core.LogIndex
 	members []Member
@@ -19,7 +19,7 @@
 	return lo.Find(m.members, func(member Member) bool { return member.Peer == peer })
 }
 
-func (m membership) named(id core.ControlID) (Member, bool) {
+func (m membership) findID(id core.ControlID) (Member, bool) {
 	return lo.Find(m.members, func(member Member) bool { return member.Peer.ID == id })
 }
 
@@ -33,15 +33,15 @@
 }
 
 // quorum reports whether a majority of the voters satisfies the condition.
-func (m membership) quorum(holds func(Peer) bool) bool {
+func (m membership) quorum(satisfies func(Peer) bool) bool {
 	voters := m.voters()
-	count := lo.CountBy(voters, func(member Member) bool { return holds(member.Peer) })
+	count := lo.CountBy(voters, func(member Member) bool { return satisfies(member.Peer) })
 	return len(voters) > 0 && count > len(voters)/2
 }
 
-// after returns the members after a change, or why the change is not possible.
-func (m membership) after(change Change) ([]Member, error) {
-	old, exists := m.named(change.Peer.ID)
+// apply returns the members after a change, or an error that says why the change is not possible.
+func (m membership) apply(change Change) ([]Member, error) {
+	old, exists := m.findID(change.Peer.ID)
 	rest := lo.Reject(m.members, func(member Member, _ int) bool { return member.Peer.ID == change.Peer.ID })
 	member := Member{
 		Peer:       change.Peer,
@@ -73,6 +73,7 @@
 	return m.checkVoters(sortMembers(append(rest, member)))
 }
 
+// checkVoters refuses a membership without a voter.
 func (m membership) checkVoters(members []Member) ([]Member, error) {
 	if len((membership{members: members}).voters()) == 0 {
 		return nil, errors.NotValidf("membership without a voter")
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -8,25 +8,25 @@
 	"parsleyport/core"
 )
 
-// progress is what a leader knows about one member.
+// progress is the leader's view of one member.
 type progress struct {
-	match   core.LogIndex // last entry that the member has reported as synced
-	next    core.LogIndex
-	contact time.Time     // of the last answer
-	commit  core.LogIndex // last commit index that was sent
-	round   uint64        // last heartbeat round that was answered
-	chunk   uint64        // offset of the snapshot chunk to send
-	sending *Snapshot     // nil unless the member needs a snapshot
+	match         core.LogIndex // last entry known to match the leader's log and to be synced
+	next          core.LogIndex
+	lastContact   time.Time     // when the last answer arrived
+	sentCommit    core.LogIndex // last commit index sent
+	answeredRound uint64        // last heartbeat round answered
+	chunkOffset   uint64        // offset of the next snapshot chunk to send
+	snapshot      *Snapshot     // being sent; nil if the member receives entries
 }
 
-func (n *Node) trackMembers() {
-	tracked := make(map[Peer]*progress, len(n.current().members))
-	for _, member := range n.current().members {
+func (n *Node) updateProgress() {
+	tracked := make(map[Peer]*progress, len(n.currentMembership().members))
+	for _, member := range n.currentMembership().members {
 		p, exists := n.progress[member.Peer]
 		if !exists {
 			p = &progress{
-				next:    n.log.last() + 1,
-				contact: n.now,
+				next:        n.log.last() + 1,
+				lastContact: n.now,
 			}
 		}
 		tracked[member.Peer] = p
@@ -34,60 +34,60 @@
 	n.progress = tracked
 }
 
-// quorumContact returns the newest time by which a majority had answered; the leader answers itself.
+// quorumContact returns the latest time since which a majority has answered. The leader counts itself as answering now.
 func (n *Node) quorumContact() time.Time {
-	voters := n.current().voters()
+	voters := n.currentMembership().voters()
 	contacts := make([]time.Time, 0, len(voters))
 	for _, member := range voters {
 		if member.Peer == n.self {
 			contacts = append(contacts, n.now)
 		} else if p := n.progress[member.Peer]; p != nil {
-			contacts = append(contacts, p.contact)
+			contacts = append(contacts, p.lastContact)
 		}
 	}
 	slices.SortFunc(contacts, func(a, b time.Time) int { return b.Compare(a) })
 	return contacts[len(contacts)/2]
 }
 
-func (n *Node) appendOwn(entry Entry) {
+func (n *Node) appendEntry(entry Entry) {
 	entry.Index = n.log.last() + 1
-	entry.Term = n.hard.Term
+	entry.Term = n.hardState.Term
 	n.log.append(entry)
-	n.noteMemberships([]Entry{entry})
+	n.adoptMemberships([]Entry{entry})
 }
 
 func (n *Node) broadcast() {
-	for _, member := range n.current().members {
+	for _, member := range n.currentMembership().members {
 		n.replicate(member.Peer, true)
 	}
 }
 
-// replicate sends a member what it lacks; a heartbeat is sent even if that is nothing. A new commit index is sent at once,
-// since a proposal at a follower waits for it.
+// replicate sends a member the entries it lacks; with heartbeat set it sends a message even if there are none. A new commit
+// index is sent at once, since a follower needs it to answer the proposals that it has forwarded.
 func (n *Node) replicate(to Peer, heartbeat bool) {
 	p := n.progress[to]
 	if to == n.self || p == nil {
 		return
 	}
-	if p.sending == nil && p.next <= n.log.base {
+	if p.snapshot == nil && p.next <= n.log.base {
 		snapshot := n.snapshot
-		p.sending, p.chunk = &snapshot, 0
+		p.snapshot, p.chunkOffset = &snapshot, 0
 		heartbeat = true
 	}
-	if p.sending != nil {
+	if p.snapshot != nil {
 		if heartbeat {
-			n.sendChunk(to, p)
+			n.sendSnapshotChunk(to, p)
 		}
 		return
 	}
 	var entries []Entry
-	if p.next <= p.match+maxInFlight {
-		entries = n.log.page(p.next)
+	if p.next <= p.match+maxInFlightEntries {
+		entries = n.log.batchFrom(p.next)
 	}
-	if len(entries) == 0 && !heartbeat && p.commit >= n.commit {
+	if len(entries) == 0 && !heartbeat && p.sentCommit >= n.commitIndex {
 		return
 	}
-	p.commit = n.commit
+	p.sentCommit = n.commitIndex
 	previous := p.next - 1
 	term, _ := n.log.term(previous)
 	n.send(to, Message{
@@ -95,34 +95,34 @@
 		Index:   previous,
 		LogTerm: term,
 		Entries: entries,
-		Commit:  n.commit,
-		Round:   n.round,
+		Commit:  n.commitIndex,
+		Round:   n.heartbeatRound,
 	})
 	p.next += core.LogIndex(len(entries))
 }
 
-func (n *Node) sendChunk(to Peer, p *progress) {
-	data := p.sending.Data
-	from := min(p.chunk, uint64(len(data)))
+func (n *Node) sendSnapshotChunk(to Peer, p *progress) {
+	data := p.snapshot.Data
+	from := min(p.chunkOffset, uint64(len(data)))
 	n.send(to, Message{
 		Kind: KindSnapshotChunk,
 		Snapshot: &Snapshot{
-			Index:   p.sending.Index,
-			Term:    p.sending.Term,
-			Members: p.sending.Members,
-			Data:    data[from:min(from+chunkBytes, uint64(len(data)))],
+			Index:   p.snapshot.Index,
+			Term:    p.snapshot.Term,
+			Members: p.snapshot.Members,
+			Data:    data[from:min(from+snapshotChunkBytes, uint64(len(data)))],
 		},
 		Offset: from,
 		Size:   uint64(len(data)),
-		Round:  n.round,
+		Round:  n.heartbeatRound,
 	})
 }
 
-// followLeader accepts the sender as the leader of its term, or tells it of a newer term.
-func (n *Node) followLeader(m Message, answer Kind) bool {
-	if m.Term < n.hard.Term {
+// followLeader accepts the sender as the leader of its term. It rejects a sender of an earlier term.
+func (n *Node) followLeader(m Message, answerKind MessageKind) bool {
+	if m.Term < n.hardState.Term {
 		n.sendSynced(m.From, Message{
-			Kind:   answer,
+			Kind:   answerKind,
 			Reject: true,
 		})
 		return false
@@ -130,10 +130,10 @@
 	if n.role == Leader {
 		panic(fmt.Sprintf("raft instance %q: %q also leads in term %d", n.self.ID, m.From.ID, m.Term))
 	}
-	n.fire(onLeaderSeen)
+	n.changeRole(onLeaderSeen)
 	n.votes = nil
 	n.leader = m.From
-	n.contact = n.now
+	n.leaderContact = n.now
 	n.resetTimeout()
 	return true
 }
@@ -147,19 +147,19 @@
 		Round: m.Round,
 	}
 	switch {
-	case n.installed != nil: // the log is about to be replaced; the leader must not resend entries until then
-		answer.Index = n.commit
+	case n.installing != nil: // a snapshot is about to replace the log; a rejection would make the leader resend entries
+		answer.Index = n.commitIndex
 	case m.Index > n.log.last():
 		answer.Reject, answer.Index = true, n.log.last()
 	case m.Index >= n.log.base && !n.log.matches(m.Index, m.LogTerm):
-		answer.Reject, answer.Index = true, max(n.log.firstOfTerm(m.Index)-1, n.commit)
+		answer.Reject, answer.Index = true, max(n.log.firstOfTerm(m.Index)-1, n.commitIndex)
 	default:
-		answer.Index = n.store(m)
+		answer.Index = n.appendNew(m)
 	}
 	n.sendSynced(m.From, answer)
 }
 
-// contiguous reports whether the entries of a message follow its index without a gap.
+// contiguous reports whether the entries of a message directly follow its Index without a gap.
 func contiguous(m Message) bool {
 	for i := range m.Entries {
 		if m.Entries[i].Index != m.Index+core.LogIndex(i)+1 {
@@ -169,19 +169,19 @@
 	return true
 }
 
-// store appends the entries that are new and returns the last index at which the log matches the leader's.
-func (n *Node) store(m Message) core.LogIndex {
+// appendNew appends the entries that the log lacks and returns the last index at which it matches the leader's log.
+func (n *Node) appendNew(m Message) core.LogIndex {
 	for i, entry := range m.Entries {
 		if entry.Index <= n.log.base || n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
 		n.truncate(entry.Index)
 		n.log.append(m.Entries[i:]...)
-		n.noteMemberships(m.Entries[i:])
+		n.adoptMemberships(m.Entries[i:])
 		break
 	}
 	matching := m.Index + core.LogIndex(len(m.Entries))
-	n.commit = max(n.commit, min(m.Commit, matching))
+	n.commitIndex = max(n.commitIndex, min(m.Commit, matching))
 	return matching
 }
 
@@ -189,35 +189,35 @@
 	if from > n.log.last() {
 		return
 	}
-	if from <= n.commit {
+	if from <= n.commitIndex {
 		panic(fmt.Sprintf("raft instance %q: entry %d is committed and would be overwritten", n.self.ID, from))
 	}
 	n.log.truncate(from)
 	n.dropMemberships(from)
-	n.unwritten = min(n.unwritten, from)
-	n.stable = min(n.stable, from-1)
-	n.followMembership()
+	n.firstUnwritten = min(n.firstUnwritten, from)
+	n.lastSynced = min(n.lastSynced, from-1)
+	n.updateVoterRole()
 }
 
-// answered notes that a member has answered in the current term; it returns nil for answers that do not count.
-func (n *Node) answered(m Message) *progress {
+// recordAnswer records contact with a member. It returns nil if the answer does not belong to the current leadership.
+func (n *Node) recordAnswer(m Message) *progress {
 	p := n.progress[m.From]
-	if n.role != Leader || m.Term != n.hard.Term || p == nil {
+	if n.role != Leader || m.Term != n.hardState.Term || p == nil {
 		return nil
 	}
-	p.contact = n.now
-	p.round = max(p.round, m.Round)
-	n.finishReads()
+	p.lastContact = n.now
+	p.answeredRound = max(p.answeredRound, m.Round)
+	n.answerConfirmedReads()
 	return p
 }
 
 func (n *Node) receiveAppendAnswer(m Message) {
-	p := n.answered(m)
+	p := n.recordAnswer(m)
 	if p == nil {
 		return
 	}
 	if m.Reject {
-		if p.sending == nil {
+		if p.snapshot == nil {
 			p.next = max(p.match+1, min(p.next, m.Index+1))
 			n.replicate(m.From, false)
 		}
@@ -225,35 +225,36 @@
 	}
 	p.match = max(p.match, m.Index)
 	p.next = max(p.next, p.match+1)
-	if p.sending != nil && p.match >= p.sending.Index {
-		p.sending = nil
+	if p.snapshot != nil && p.match >= p.snapshot.Index {
+		p.snapshot = nil
 	}
 	n.advanceCommit()
-	n.tryPromotion()
-	if n.handover != nil && m.From == n.handover.to {
-		n.tryHandover()
+	n.tryPendingChange()
+	if n.handover != nil && m.From == n.handover.successor {
+		n.continueHandover()
 	}
 }
 
-// advanceCommit commits what a majority has synced, the leader's own disk included, if it ends with an own entry.
+// advanceCommit commits the entries that a majority has synced, counting this instance's own disk, if the last of them is of
+// the current term.
 func (n *Node) advanceCommit() {
 	if n.role != Leader {
 		return
 	}
 	index := n.quorumMatch()
-	if term, _ := n.log.term(index); index <= n.commit || term != n.hard.Term {
+	if term, _ := n.log.term(index); index <= n.commitIndex || term != n.hardState.Term {
 		return
 	}
-	n.commit = index
-	n.afterCommit()
+	n.commitIndex = index
+	n.stepDownIfRemoved()
 }
 
 func (n *Node) quorumMatch() core.LogIndex {
-	voters := n.current().voters()
+	voters := n.currentMembership().voters()
 	matches := make([]core.LogIndex, 0, len(voters))
 	for _, member := range voters {
 		if member.Peer == n.self {
-			matches = append(matches, n.stable)
+			matches = append(matches, n.lastSynced)
 		} else {
 			matches = append(matches, n.progress[member.Peer].match)
 		}
@@ -262,11 +263,11 @@
 	return matches[(len(matches)-1)/2]
 }
 
-// afterCommit ends a leadership whose instance lost its vote with a committed entry.
-func (n *Node) afterCommit() {
-	if n.current().index <= n.commit && !n.current().isVoter(n.self) {
-		n.broadcast() // tells the others of the commit
-		n.fire(onLostVote)
-		n.leave()
+// stepDownIfRemoved makes a leader step down once the entry that took its vote is committed.
+func (n *Node) stepDownIfRemoved() {
+	if n.currentMembership().index <= n.commitIndex && !n.currentMembership().isVoter(n.self) {
+		n.broadcast() // tells the members the new commit index
+		n.changeRole(onLostVote)
+		n.resetLeadership()
 	}
 }
--- a/core/raft/requests.go
+++ b/core/raft/requests.go
@@ -7,7 +7,7 @@
 	"parsleyport/core"
 )
 
-// pendingRead waits for a heartbeat round; Round is zero until that round is sent.
+// pendingRead is a read that waits for a heartbeat round; round is zero until that round has been sent.
 type pendingRead struct {
 	request RequestID
 	origin  Peer
@@ -15,37 +15,37 @@
 	round   uint64
 }
 
-// promotion waits for a learner to hold all that was committed when it was asked for.
-type promotion struct {
-	request RequestID
-	origin  Peer
-	change  Change
-	target  core.LogIndex
+// membershipChange is a pending change; a promotion waits until the learner has caught up to catchUpIndex.
+type membershipChange struct {
+	request      RequestID
+	origin       Peer
+	change       Change
+	catchUpIndex core.LogIndex
 }
 
-// Reasons of refusals that more than one place gives.
+// Reasons for refusals.
 const (
-	reasonNoLeader    = "no leader is known"
-	reasonNotLeader   = "not the leader"
-	reasonBusy        = "too many requests are outstanding"
-	reasonSteppedDown = "the leader has stepped down"
-	reasonHandingOver = "the leader hands over"
-	reasonUnderWay    = "another membership change is under way"
+	reasonNoLeader      = "no leader is known"
+	reasonNotLeader     = "not the leader"
+	reasonBusy          = "too many requests are outstanding"
+	reasonSteppedDown   = "the leader has stepped down"
+	reasonHandingOver   = "the leader hands over"
+	reasonChangePending = "another membership change is under way"
 )
 
 // ErrTransient means that a request was not appended and that the same request may succeed later.
 const ErrTransient = errors.ConstError("request is not possible now")
 
-// RefusalError returns the reason of a Refusal as an error, ErrTransient if it does not lie in the request.
+// RefusalError converts the reason of a Refusal to an error. It returns ErrTransient if the request itself is valid.
 func RefusalError(reason string) error {
 	switch reason {
-	case reasonNoLeader, reasonNotLeader, reasonBusy, reasonSteppedDown, reasonUnderWay, reasonHandingOver:
+	case reasonNoLeader, reasonNotLeader, reasonBusy, reasonSteppedDown, reasonChangePending, reasonHandingOver:
 		return errors.Annotate(ErrTransient, reason)
 	}
 	return errors.New(reason)
 }
 
-func (n *Node) proposed(p Proposed, origin Peer) {
+func (n *Node) propose(p Proposed, origin Peer) {
 	switch {
 	case n.role != Leader && origin != n.self:
 		n.refuse(origin, p.Request, reasonNotLeader)
@@ -60,12 +60,12 @@
 		})
 	case n.handover != nil:
 		n.refuse(origin, p.Request, reasonHandingOver)
-	case n.log.last() >= n.commit+maxUncommitted:
+	case n.log.last() >= n.commitIndex+maxUncommittedEntries:
 		n.refuse(origin, p.Request, reasonBusy)
 	case p.Change != nil:
 		n.changeMembers(p, origin)
 	default:
-		n.appendOwn(Entry{
+		n.appendEntry(Entry{
 			Kind:    EntryCommand,
 			Request: p.Request,
 			Command: p.Command,
@@ -73,63 +73,63 @@
 	}
 }
 
-// changeMembers allows one membership change at a time, and none before an entry of the own term is committed, since a
-// membership of an earlier term that the instance has not seen could otherwise form another majority.
+// changeMembers allows one membership change at a time, and none before the leader has committed an entry of its own term: a
+// membership entry of an earlier term that this instance lacks could otherwise form a majority that does not overlap.
 func (n *Node) changeMembers(p Proposed, origin Peer) {
-	if n.current().index > n.commit || !n.committedInTerm() {
-		n.refuse(origin, p.Request, reasonUnderWay)
+	if n.currentMembership().index > n.commitIndex || !n.committedInTerm() {
+		n.refuse(origin, p.Request, reasonChangePending)
 		return
 	}
-	if n.promote != nil {
-		n.refuse(n.promote.origin, n.promote.request, "replaced by a later membership change")
-		n.promote = nil
+	if n.pendingChange != nil {
+		n.refuse(n.pendingChange.origin, n.pendingChange.request, "replaced by a later membership change")
+		n.pendingChange = nil
 	}
-	if _, err := n.current().after(*p.Change); err != nil {
+	if _, err := n.currentMembership().apply(*p.Change); err != nil {
 		n.refuse(origin, p.Request, err.Error())
 		return
 	}
-	n.promote = &promotion{
+	n.pendingChange = &membershipChange{
 		request: p.Request,
 		origin:  origin,
 		change:  *p.Change,
 	}
 	if p.Change.Kind == ChangePromote {
-		n.promote.target = n.commit
+		n.pendingChange.catchUpIndex = n.commitIndex
 	}
-	n.tryPromotion()
+	n.tryPendingChange()
 }
 
-// tryPromotion appends the membership that is asked for once a learner to be promoted has caught up.
-func (n *Node) tryPromotion() {
-	if n.promote == nil {
+// tryPendingChange appends the requested membership; for a promotion, only once the learner has caught up.
+func (n *Node) tryPendingChange() {
+	if n.pendingChange == nil {
 		return
 	}
-	asked := n.promote
-	if p := n.progress[asked.change.Peer]; asked.target > 0 && (p == nil || p.match < asked.target) {
+	pending := n.pendingChange
+	if p := n.progress[pending.change.Peer]; pending.catchUpIndex > 0 && (p == nil || p.match < pending.catchUpIndex) {
 		return
 	}
-	n.promote = nil
-	members, err := n.current().after(asked.change)
+	n.pendingChange = nil
+	members, err := n.currentMembership().apply(pending.change)
 	if err != nil {
-		n.refuse(asked.origin, asked.request, err.Error())
+		n.refuse(pending.origin, pending.request, err.Error())
 		return
 	}
-	n.appendOwn(Entry{
+	n.appendEntry(Entry{
 		Kind:    EntryMembers,
-		Request: asked.request,
+		Request: pending.request,
 		Members: members,
 	})
 }
 
 func (n *Node) committedInTerm() bool {
-	term, _ := n.log.term(n.commit)
-	return term == n.hard.Term
+	term, _ := n.log.term(n.commitIndex)
+	return term == n.hardState.Term
 }
 
-func (n *Node) readRequested(request RequestID, origin Peer) {
+func (n *Node) requestRead(request RequestID, origin Peer) {
 	switch {
-	case n.role == Leader && len(n.reads) < maxPendingReads:
-		n.reads = append(n.reads, pendingRead{
+	case n.role == Leader && len(n.pendingReads) < maxPendingReads:
+		n.pendingReads = append(n.pendingReads, pendingRead{
 			request: request,
 			origin:  origin,
 		})
@@ -147,29 +147,29 @@
 	}
 }
 
-// startReads begins one heartbeat round for all reads of a step. They wait for an entry of the own term to be committed,
-// because a new leader does not know before that which entries were committed.
+// startReads starts one heartbeat round for all reads of a step. Reads wait until an entry of the leader's own term is
+// committed, because before that a new leader does not know which entries are committed.
 func (n *Node) startReads() {
 	if n.role != Leader || !n.committedInTerm() {
 		return
 	}
 	started := false
-	for i := range n.reads {
-		if n.reads[i].round == 0 {
-			n.reads[i].round, n.reads[i].index = n.round+1, n.commit
+	for i := range n.pendingReads {
+		if n.pendingReads[i].round == 0 {
+			n.pendingReads[i].round, n.pendingReads[i].index = n.heartbeatRound+1, n.commitIndex
 			started = true
 		}
 	}
 	if started {
-		n.round++
+		n.heartbeatRound++
 		n.broadcast()
-		n.finishReads()
+		n.answerConfirmedReads()
 	}
 }
 
-// finishReads answers the reads whose round a majority has answered.
-func (n *Node) finishReads() {
-	n.reads = lo.Reject(n.reads, func(read pendingRead, _ int) bool {
+// answerConfirmedReads answers the reads whose heartbeat round has been answered by a majority.
+func (n *Node) answerConfirmedReads() {
+	n.pendingReads = lo.Reject(n.pendingReads, func(read pendingRead, _ int) bool {
 		if read.round == 0 || !n.roundConfirmed(read.round) {
 			return false
 		}
@@ -179,14 +179,14 @@
 }
 
 func (n *Node) roundConfirmed(round uint64) bool {
-	return n.current().quorum(func(peer Peer) bool {
-		return peer == n.self || n.progress[peer].round >= round
+	return n.currentMembership().quorum(func(peer Peer) bool {
+		return peer == n.self || n.progress[peer].answeredRound >= round
 	})
 }
 
 func (n *Node) answerRead(read pendingRead) {
 	if read.origin == n.self {
-		n.out.Reads = append(n.out.Reads, ReadResult{
+		n.output.Reads = append(n.output.Reads, ReadResult{
 			Request: read.request,
 			Index:   read.index,
 		})
@@ -200,8 +200,8 @@
 }
 
 func (n *Node) failReads() {
-	for _, read := range n.reads {
+	for _, read := range n.pendingReads {
 		n.refuse(read.origin, read.request, reasonSteppedDown)
 	}
-	n.reads = nil
+	n.pendingReads = nil
 }
--- a/io/disk/archive.go
+++ b/io/disk/archive.go
@@ -13,32 +13,32 @@
 
 const archivePrefix = "audit-"
 
-// archived is the content of one archive file.
-type archived struct {
+// archiveContent is the content of one archive file.
+type archiveContent struct {
 	Entries [][]byte `msgpack:"entries"`
 }
 
-// span is one archive file: the entries from first to before end.
-type span struct {
+// entryRange is the numbers of the entries in one archive file, from first to before end.
+type entryRange struct {
 	first, end uint64
 }
 
-func (s span) name() string {
+func (s entryRange) name() string {
 	return fmt.Sprintf("%s%020d-%020d", archivePrefix, s.first, s.end)
 }
 
-// Archive keeps numbered entries for good in the data folder. Each batch is a file that is written once, whole or not at
-// all, and never changed; its name says which entries it holds, so opening reads no content.
+// Archive keeps numbered audit entries permanently in the data folder. Each batch is one file, which is written atomically and
+// never changed. The file name holds the range of the entries, so that OpenArchive need not read any content.
 type Archive struct {
 	folder Folder
-	mu     sync.Mutex // guards spans and failed
-	spans  []span     // by first, without overlaps
+	mu     sync.Mutex   // guards ranges and failed
+	ranges []entryRange // sorted by first, without overlaps
 	failed error
 }
 
 var _ catalog.Archive = (*Archive)(nil)
 
-// OpenArchive lists what the folder holds; it returns ErrCorrupt if batches overlap. The folder stays the caller's.
+// OpenArchive lists the archive files of the folder. It returns ErrCorrupt if batches overlap. The caller still owns the folder.
 func OpenArchive(folder Folder) (*Archive, error) {
 	names, err := folder.List()
 	if err != nil {
@@ -49,10 +49,10 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if !strings.HasPrefix(name, archivePrefix) || strings.HasSuffix(name, temporary) {
+		if !strings.HasPrefix(name, archivePrefix) || strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
-		var s span
+		var s entryRange
 		if _, err := fmt.Sscanf(name, archivePrefix+"%d-%d", &s.first, &s.end); err != nil || s.name() != name || s.end <= s.first {
 			return nil, errors.Annotatef(ErrCorrupt, "archive name %q", name)
 		}
@@ -63,25 +63,25 @@
 	return a, nil
 }
 
-func (a *Archive) add(s span) bool {
-	at, _ := slices.BinarySearchFunc(a.spans, s.first, func(x span, first uint64) int {
+func (a *Archive) add(s entryRange) bool {
+	at, _ := slices.BinarySearchFunc(a.ranges, s.first, func(x entryRange, first uint64) int {
 		if x.end <= first {
 			return -1
 		}
 		return 1
 	})
-	if at < len(a.spans) && a.spans[at].first < s.end {
+	if at < len(a.ranges) && a.ranges[at].first < s.end {
 		return false
 	}
-	a.spans = slices.Insert(a.spans, at, s)
+	a.ranges = slices.Insert(a.ranges, at, s)
 	return true
 }
 
-// Append implements catalog.Archive. After a failed write or sync it refuses everything with ErrFailed.
+// Append implements catalog.Archive. After a failed write or sync it always returns ErrFailed.
 func (a *Archive) Append(first uint64, entries [][]byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := span{
+	s := entryRange{
 		first: first,
 		end:   first + uint64(len(entries)),
 	}
@@ -91,7 +91,7 @@
 	if !a.add(s) {
 		return errors.AlreadyExistsf("archive entry from %d to %d", s.first, s.end)
 	}
-	if err := writeWhole(a.folder, s.name(), archived{Entries: entries}); err != nil {
+	if err := writeRecordFile(a.folder, s.name(), archiveContent{Entries: entries}); err != nil {
 		a.failed = errors.Annotatef(ErrFailed, "%v", err)
 	}
 	return a.failed
@@ -101,7 +101,7 @@
 func (a *Archive) Missing(from, to uint64) (first, end uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, s := range a.spans {
+	for _, s := range a.ranges {
 		if s.first > from {
 			return min(from, to), min(s.first, to)
 		}
@@ -110,18 +110,18 @@
 	return min(from, to), to
 }
 
-// Batch implements catalog.Archive; it returns ErrCorrupt if the file is damaged.
+// Batch implements catalog.Archive. It returns ErrCorrupt if the file is damaged.
 func (a *Archive) Batch(number uint64) (first uint64, entries [][]byte, err error) {
 	a.mu.Lock()
-	at := slices.IndexFunc(a.spans, func(s span) bool { return s.first <= number && number < s.end })
+	at := slices.IndexFunc(a.ranges, func(s entryRange) bool { return s.first <= number && number < s.end })
 	if a.failed != nil || at < 0 {
 		defer a.mu.Unlock()
 		return 0, nil, errors.NotFoundf("archive entry %d", number)
 	}
-	s := a.spans[at]
+	s := a.ranges[at]
 	a.mu.Unlock()
-	var content archived
-	if err := readWhole(a.folder, s.name(), &content); err != nil {
+	var content archiveContent
+	if err := readRecordFile(a.folder, s.name(), &content); err != nil {
 		return 0, nil, err
 	}
 	if uint64(len(content.Entries)) != s.end-s.first {
--- a/io/disk/store.go
+++ b/io/disk/store.go
@@ -13,90 +13,90 @@
 	"parsleyport/core/raft"
 )
 
-// ErrFailed means that an earlier write or sync failed; the process must end.
+// ErrFailed means that an earlier write or sync has failed. The process must exit.
 const ErrFailed = errors.ConstError("data folder has failed")
 
 const (
-	identityName   = "identity"
-	segmentPrefix  = "log-"
-	snapshotPrefix = "snapshot-"
-	temporary      = ".tmp"
-	segmentBytes   = 16 << 20 // a new segment is begun behind this size
+	identityName    = "identity"
+	segmentPrefix   = "log-"
+	snapshotPrefix  = "snapshot-"
+	temporarySuffix = ".tmp"
+	maxSegmentBytes = 16 << 20 // the next write begins a new segment once a segment is larger
 )
 
-// Identity names the data folder; Initial is the initial membership once it is agreed.
+// Identity is the identity of the data folder. Initial is the initial membership once it has been agreed on.
 type Identity struct {
 	Self    raft.Peer     `msgpack:"self"`
 	Initial []raft.Member `msgpack:"initial"`
 }
 
-// Found is what a data folder held when it was opened.
-type Found struct {
+// Contents is what a data folder holds when it is opened.
+type Contents struct {
 	Identity Identity
-	Fresh    bool // the identity was created by this Open
-	Used     bool // the folder holds a log or a snapshot
+	Created  bool // the identity was created by this call of Open
+	HasState bool // the folder holds a log or a snapshot
 	Restored raft.Restored
 }
 
-// batch is the content of a log record: first the reset, then the hard state, then the entries.
+// batch is the content of a log record. The reset applies first, then the hard state, then the entries.
 type batch struct {
-	Last      core.LogIndex   `msgpack:"last"` // in the first record of a segment: the last entry before it
+	Last      core.LogIndex   `msgpack:"last"` // in the first record of a segment: index of the last entry before the segment
 	Reset     *raft.Reset     `msgpack:"reset"`
 	HardState *raft.HardState `msgpack:"hard-state"`
 	Entries   []raft.Entry    `msgpack:"entries"`
 }
 
 type segment struct {
-	number uint64
-	last   core.LogIndex // greatest index of any of its entries
-	size   uint64
+	number    uint64
+	lastIndex core.LogIndex // greatest index of the entries in the segment
+	size      uint64
 }
 
-// Store writes to an opened data folder. SaveSnapshot may run beside the other methods, which need one caller at a time.
+// Store writes to an opened data folder. SaveSnapshot may run concurrently with the other methods, which need one caller at a time.
 type Store struct {
-	folder   Folder
-	file     File
-	segments []segment // the last one is open as file
-	hard     raft.HardState
-	last     core.LogIndex // last entry of the log
+	folder    Folder
+	file      File
+	segments  []segment // the last one is open in file
+	hardState raft.HardState
+	lastIndex core.LogIndex // of the last entry of the log
 
 	mu     sync.Mutex // guards failed
 	failed error
 }
 
-// Open reads the data folder of an instance and creates its identity if the folder is empty; newIdentity returns a
-// random identity. It returns ErrCorrupt if the folder is damaged.
-func Open(folder Folder, self core.ControlID, newIdentity func() raft.Identity) (*Store, Found, error) {
+// Open reads an instance's data folder. If the folder is empty, it creates an identity with newIdentity, which returns a
+// random one. It returns ErrCorrupt if the folder is damaged.
+func Open(folder Folder, self core.ControlID, newIdentity func() raft.Identity) (*Store, Contents, error) {
 	s := &Store{
 		folder: folder,
 	}
 	names, err := s.listFiles()
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
 	found, err := s.openIdentity(names, self, newIdentity)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
-	if found.Restored.Snapshot, err = s.readSnapshots(names); err != nil {
-		return nil, Found{}, err
+	if found.Restored.Snapshot, err = s.readNewestSnapshot(names); err != nil {
+		return nil, Contents{}, err
 	}
 	log, err := s.readSegments(names)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
 	if len(s.segments) == 0 && (found.Restored.Snapshot.Index > 0 || len(found.Identity.Initial) > 0) {
-		return nil, Found{}, errors.Annotate(ErrCorrupt, "log segments are missing")
+		return nil, Contents{}, errors.Annotate(ErrCorrupt, "log segments are missing")
 	}
-	found.Restored.HardState = s.hard
-	found.Used = len(log.entries) > 0 || found.Restored.Snapshot.Index > 0 || s.hard != raft.HardState{}
-	if err := s.join(&found.Restored, log); err != nil {
-		return nil, Found{}, err
+	found.Restored.HardState = s.hardState
+	found.HasState = len(log.entries) > 0 || found.Restored.Snapshot.Index > 0 || s.hardState != raft.HardState{}
+	if err := s.alignLog(&found.Restored, log); err != nil {
+		return nil, Contents{}, err
 	}
 	return s, found, nil
 }
 
-// listFiles returns the files of the folder after it has removed those that an interrupted write has left.
+// listFiles returns the names of the files, sorted, after removing temporary files that an interrupted write has left.
 func (s *Store) listFiles() ([]string, error) {
 	names, err := s.folder.List()
 	if err != nil {
@@ -105,7 +105,7 @@
 	slices.Sort(names)
 	kept := names[:0]
 	for _, name := range names {
-		if !strings.HasSuffix(name, temporary) {
+		if !strings.HasSuffix(name, temporarySuffix) {
 			kept = append(kept, name)
 		} else if err := s.folder.Remove(name); err != nil {
 			return nil, errors.Annotatef(err, "remove %q", name)
@@ -114,10 +114,10 @@
 	return kept, nil
 }
 
-func (s *Store) openIdentity(names []string, self core.ControlID, newIdentity func() raft.Identity) (Found, error) {
-	var found Found
+func (s *Store) openIdentity(names []string, self core.ControlID, newIdentity func() raft.Identity) (Contents, error) {
+	var found Contents
 	if slices.Contains(names, identityName) {
-		if err := readWhole(s.folder, identityName, &found.Identity); err != nil {
+		if err := readRecordFile(s.folder, identityName, &found.Identity); err != nil {
 			return found, err
 		}
 		if found.Identity.Self.ID != self {
@@ -128,7 +128,7 @@
 	if len(names) > 0 {
 		return found, errors.Annotatef(ErrCorrupt, "identity is missing beside %q", names[0])
 	}
-	found.Fresh = true
+	found.Created = true
 	found.Identity.Self = raft.Peer{
 		ID:       self,
 		Identity: newIdentity(),
@@ -136,19 +136,19 @@
 	return found, s.SaveIdentity(found.Identity)
 }
 
-// SaveIdentity replaces the identity.
+// SaveIdentity replaces the stored identity.
 func (s *Store) SaveIdentity(identity Identity) error {
 	return s.replaceFile(identityName, identity)
 }
 
-// readWhole reads a file that holds one record.
-func readWhole(folder Folder, name string, target any) error {
+// readRecordFile reads and decodes a file that holds one record.
+func readRecordFile(folder Folder, name string, target any) error {
 	data, err := folder.Read(name)
 	if err != nil {
 		return errors.Annotatef(err, "read %q", name)
 	}
 	payload, valid := recordAt(0, data, 0)
-	if !valid || len(payload)+headBytes != len(data) {
+	if !valid || len(payload)+recordHeaderBytes != len(data) {
 		return errors.Annotatef(ErrCorrupt, "checksum of %q does not match", name)
 	}
 	if err := packed.Decode(payload, target); err != nil {
@@ -157,24 +157,24 @@
 	return nil
 }
 
-// replaceFile writes a file that holds one record.
+// replaceFile atomically replaces a file that holds one record. After an error the store refuses all further calls.
 func (s *Store) replaceFile(name string, content any) error {
 	if err := s.checkFailed(); err != nil {
 		return err
 	}
-	if err := writeWhole(s.folder, name, content); err != nil {
+	if err := writeRecordFile(s.folder, name, content); err != nil {
 		return s.fail(err, "replace", name)
 	}
 	return nil
 }
 
-// writeWhole writes under a temporary name first, so that the file is whole or absent.
-func writeWhole(folder Folder, name string, content any) error {
+// writeRecordFile writes to a temporary file and renames it, so that after a crash the file is complete or absent.
+func writeRecordFile(folder Folder, name string, content any) error {
 	record, err := encodeRecord(0, 0, content)
 	if err != nil {
 		return err
 	}
-	file, err := folder.Create(name + temporary)
+	file, err := folder.Create(name + temporarySuffix)
 	if err != nil {
 		return errors.Annotatef(err, "create %q", name)
 	}
@@ -187,23 +187,23 @@
 	if err := file.Close(); err != nil {
 		return errors.Annotatef(err, "close %q", name)
 	}
-	if err := folder.Rename(name+temporary, name); err != nil {
+	if err := folder.Rename(name+temporarySuffix, name); err != nil {
 		return errors.Annotatef(err, "rename %q", name)
 	}
 	return errors.Annotatef(folder.Sync(), "sync folder of %q", name)
 }
 
-func (s *Store) readSnapshots(names []string) (raft.Snapshot, error) {
+func (s *Store) readNewestSnapshot(names []string) (raft.Snapshot, error) {
 	var newest raft.Snapshot
 	for _, name := range slices.Backward(names) {
 		if strings.HasPrefix(name, snapshotPrefix) {
-			return newest, readWhole(s.folder, name, &newest)
+			return newest, readRecordFile(s.folder, name, &newest)
 		}
 	}
 	return newest, nil
 }
 
-// SaveSnapshot stores a snapshot; the log behind it may be removed with Compact afterwards.
+// SaveSnapshot stores a snapshot. Compact may then remove the log entries that it covers.
 func (s *Store) SaveSnapshot(snapshot raft.Snapshot) error {
 	return s.replaceFile(snapshotName(snapshot.Index), snapshot)
 }
@@ -216,17 +216,17 @@
 	return fmt.Sprintf("%s%020d", segmentPrefix, number)
 }
 
-// join cuts the log to what follows the snapshot.
-func (s *Store) join(restored *raft.Restored, log *replay) error {
+// alignLog restores the entries that follow the snapshot, and resets a log that does not contain the snapshot's last entry.
+func (s *Store) alignLog(restored *raft.Restored, log *replay) error {
 	snapshot := restored.Snapshot
-	if log.first() > snapshot.Index+1 {
+	if log.firstIndex() > snapshot.Index+1 {
 		return errors.Annotatef(ErrCorrupt, "log begins with entry %d, but the newest snapshot ends with entry %d",
-			log.first(), snapshot.Index)
+			log.firstIndex(), snapshot.Index)
 	}
 	if err := s.openSegment(); err != nil {
 		return err
 	}
-	if entries, joined := log.after(snapshot); joined {
+	if entries, joined := log.entriesAfter(snapshot); joined {
 		restored.Entries = entries
 		return nil
 	}
@@ -242,7 +242,7 @@
 	return s.failed
 }
 
-// fail makes the store refuse everything from now on.
+// fail makes the store return ErrFailed from now on.
 func (s *Store) fail(cause error, action, name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,7 +252,7 @@
 	return s.failed
 }
 
-// Close releases the folder; what was not synced may be lost.
+// Close closes the folder without a sync.
 func (s *Store) Close() error {
 	if s.file != nil {
 		_ = s.file.Close()
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -14,41 +14,41 @@
 	"parsleyport/io/disk"
 )
 
-// startedWorld has a leader and one committed write.
-func startedWorld(t *testing.T, size int) (*world, *instance) {
-	w := newWorld(t, 7, size)
+// startedSimulation returns a simulation with one committed write, and its leader.
+func startedSimulation(t *testing.T, size int) (*simulation, *instance) {
+	w := newSimulation(t, 7, size)
 	w.write("first=1")
 	w.advance(time.Second)
 	return w, w.leader()
 }
 
-// Guards against an instance that votes with a new disk after it has voted with the old one.
+// Guards against an instance that votes with a new disk although it may have voted with the old one.
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	lagging, wiped := w.instances[rest[0]], w.instances[rest[1]]
 
-	// The entry is on the leader and on the instance that loses its disk, and the instance that is left lacks it.
+	// The leader and the instance that loses its disk store the entry; the third instance lacks it.
 	w.isolate(rest[0], true, true)
 	w.write("kept=1")
 	leader.crash()
 	wiped.wipe()
 	wiped.start()
 	w.isolate(rest[0], false, false)
-	w.lose = func(m raft.Message) bool {
+	w.loseMessage = func(m raft.Message) bool {
 		if m.From.ID == rest[1] && (m.Kind == raft.KindVoteAnswer || m.Kind == raft.KindPreVoteAnswer) && !m.Reject {
 			t.Fatalf("the wiped instance granted %+v", m)
 		}
 		return false
 	}
 	w.advance(10 * time.Second)
-	c.Assert(lagging.leads(), qt.IsFalse)
+	c.Assert(lagging.isLeader(), qt.IsFalse)
 
-	// With the old leader back, the entry is still there, and the wiped instance is known as a nonMember.
+	// After the old leader's restart the entry still exists, and the wiped instance knows that it is not a member.
 	leader.start()
-	w.until(5*time.Second, "leader after restart", leader.leads)
-	w.until(5*time.Second, "entry is kept", func() bool { return lagging.machine["kept"] == "1" })
+	w.advanceUntil(5*time.Second, "leader after restart", leader.isLeader)
+	w.advanceUntil(5*time.Second, "entry is kept", func() bool { return lagging.machine["kept"] == "1" })
 	c.Assert(wiped.engine.bootstrap.Foreign(), qt.IsTrue)
 	w.change(raft.ChangeReplace, rest[1])
 	w.change(raft.ChangePromote, rest[1])
@@ -56,11 +56,11 @@
 	c.Assert(wiped.machine["kept"], qt.Equals, "1")
 }
 
-// Guards against a loss when a second disk is lost right after the repair of a first one, whichever of the others it is.
+// Guards against data loss when another disk is lost right after the first one was replaced, whichever disk it is.
 func TestSecondDiskLostAfterRepair(t *testing.T) {
 	for order := range 2 {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
-			w, leader := startedWorld(t, 3)
+			w, leader := startedSimulation(t, 3)
 			rest := w.others(leader.options.Self)
 			first := rest[0]
 			second := []core.ControlID{leader.options.Self, rest[1]}[order]
@@ -73,12 +73,12 @@
 			w.instances[second].wipe()
 			w.write("after=1")
 			w.instances[second].start()
-			w.advance(3 * time.Second) // it tries to bootstrap, and must not
+			w.advance(3 * time.Second) // the instance tries to bootstrap, which must not succeed
 			w.change(raft.ChangeReplace, second)
 			w.change(raft.ChangePromote, second)
 			third := w.others(first, second)[0]
 			w.instances[third].wipe()
-			w.instances[third].start() // no instance is left that has taken part in the bootstrap
+			w.instances[third].start() // now no instance has the disk with which it took part in the bootstrap
 			w.change(raft.ChangeReplace, third)
 			w.change(raft.ChangePromote, third)
 			w.converge()
@@ -87,10 +87,10 @@
 	}
 }
 
-// Guards against a promotion that counts a learner towards the majority before it holds what was committed.
+// Guards against a promotion that counts a learner towards the majority before it stores all committed entries.
 func TestPromotionWaitsForTheLearner(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	w.instances[rest[0]].wipe()
 	w.instances[rest[0]].start()
@@ -102,17 +102,17 @@
 	w.changeOnce(leader, raft.ChangePromote, rest[0], func(string) { promoted = true })
 	w.advance(5 * time.Second)
 	c.Assert(promoted, qt.IsFalse)
-	c.Assert(leader.engine.node.Describe().Learners, qt.DeepEquals, []core.ControlID{rest[0]})
-	w.write("possible=1") // the two voters still are a majority
+	c.Assert(leader.engine.node.Status().Learners, qt.DeepEquals, []core.ControlID{rest[0]})
+	w.write("possible=1") // the two voters are still a majority
 	w.heal()
-	w.until(5*time.Second, "promotion", func() bool { return promoted })
-	c.Assert(leader.engine.node.Describe().Voters, qt.HasLen, 3)
+	w.advanceUntil(5*time.Second, "promotion", func() bool { return promoted })
+	c.Assert(leader.engine.node.Status().Voters, qt.HasLen, 3)
 }
 
-// Guards against an added instance that does not count, and a removed one that leads on or disturbs the others.
+// Guards against an added voter that is not counted, and a removed member that still leads or disturbs the others.
 func TestMembershipGrowsAndShrinks(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	for _, id := range []core.ControlID{"c4", "c5"} {
 		w.ids = append(w.ids, id)
 		w.add(id, false)
@@ -127,19 +127,19 @@
 	w.converge()
 
 	w.change(raft.ChangeRemove, leader.options.Self)
-	w.until(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
+	w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
 	w.write("after=1")
 	next := w.leader()
 	w.advance(10 * time.Second)
 	c.Assert(w.leader(), qt.Equals, next)
-	c.Assert(next.engine.node.Describe().Voters, qt.DeepEquals, w.others(leader.options.Self))
+	c.Assert(next.engine.node.Status().Voters, qt.DeepEquals, w.others(leader.options.Self))
 	c.Assert(leader.machine["after"], qt.Equals, "")
 }
 
-// Guards against a second membership change while one is not committed: their majorities need not overlap.
+// Guards against a second membership change before the first is committed: their majorities need not overlap.
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 5)
+	w, leader := startedSimulation(t, 5)
 	rest := w.others(leader.options.Self)
 	for _, id := range rest {
 		w.isolate(id, true, false)
@@ -152,8 +152,8 @@
 	c.Assert(refusals, qt.DeepEquals, []string{"another membership change is under way"})
 }
 
-// Guards against a leader that goes on, or serves a stale read as current, while it is cut off in any direction.
-func TestCutOffLeaderStepsDown(t *testing.T) {
+// Guards against a leader that stays leader, or confirms stale reads, while it is partitioned in any direction.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	for _, cut := range []struct {
 		name               string
 		outgoing, incoming bool
@@ -164,18 +164,18 @@
 	} {
 		t.Run(cut.name, func(t *testing.T) {
 			c := qt.New(t)
-			w, leader := startedWorld(t, 3)
+			w, leader := startedSimulation(t, 3)
 			w.isolate(leader.options.Self, cut.outgoing, cut.incoming)
 			begun := w.now
-			w.until(raft.ElectionTimeout+tick, "step-down", func() bool {
+			w.advanceUntil(raft.ElectionTimeout+tick, "step-down", func() bool {
 				leader.read(func(refused string) {
-					if refused == "" && w.now.After(begun.Add(3*tick)) { // answers that were under way at the cut
+					if refused == "" && w.now.After(begun.Add(3*tick)) { // earlier answers were sent before the partition
 						t.Errorf("read confirmed %v after the cut", w.now.Sub(begun))
 					}
 				})
-				return !leader.leads()
+				return !leader.isLeader()
 			})
-			w.until(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
+			w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil && w.leader() != leader })
 			w.write("newer=1")
 			stale := false
 			leader.read(func(refused string) { stale = refused == "" && leader.machine["newer"] != "1" })
@@ -185,100 +185,100 @@
 	}
 }
 
-// Guards against a process that was frozen and acts on its old leadership when it continues.
+// Guards against a process that is suspended and, when it resumes, acts as a leader that it no longer is.
 func TestFrozenLeaderServesNoStaleRead(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	leader.propose("sent=1", func(string) {})
 	w.advance(tick)
-	leader.frozen = w.now.Add(4 * time.Second)
-	w.until(4*time.Second, "new leader", func() bool {
-		return w.instances[w.others(leader.options.Self)[0]].leads() || w.instances[w.others(leader.options.Self)[1]].leads()
+	leader.frozenUntil = w.now.Add(4 * time.Second)
+	w.advanceUntil(4*time.Second, "new leader", func() bool {
+		return w.instances[w.others(leader.options.Self)[0]].isLeader() || w.instances[w.others(leader.options.Self)[1]].isLeader()
 	})
 	w.checkLeaders()
 	for _, id := range w.others(leader.options.Self) {
-		if w.instances[id].leads() {
+		if w.instances[id].isLeader() {
 			w.instances[id].propose("newer=1", func(string) {})
 		}
 	}
 	w.advance(time.Second)
-	leader.frozen = time.Time{}
+	leader.frozenUntil = time.Time{}
 	answered := ""
 	leader.read(func(refused string) { answered = refused + leader.machine["newer"] })
-	// Only answers that were waiting when it froze reach it, and nothing tells it of the new leader.
+	// It receives only answers that were queued before it froze, none of which tells it of the new leader.
 	leader.inbox = lo.Filter(leader.inbox, func(p packet, _ int) bool {
-		return p.message.Kind == raft.KindAppendAnswer && p.message.Term == leader.engine.node.Describe().Term
+		return p.message.Kind == raft.KindAppendAnswer && p.message.Term == leader.engine.node.Status().Term
 	})
 	c.Assert(len(leader.inbox) >= 2, qt.IsTrue)
 	leader.run()
-	c.Assert(leader.leads(), qt.IsFalse)
+	c.Assert(leader.isLeader(), qt.IsFalse)
 	w.advance(time.Second)
 	c.Assert(answered, qt.Not(qt.Equals), "")
 }
 
-// Guards against a new leader that answers reads before it knows which entries were committed.
+// Guards against a new leader that answers reads before it knows which entries are committed.
 func TestNewLeaderReadsAfterItsNoOp(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
-	// The others store the entry, but do not learn that it is committed.
+	// The followers store the entry but do not learn that it is committed.
 	leader.propose("late=1", func(string) {})
 	w.advance(2 * tick)
-	w.lose = func(m raft.Message) bool { return m.Kind == raft.KindAppend }
+	w.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindAppend }
 	w.advance(2 * tick)
 	leader.crash()
 	c.Assert(w.instances[rest[0]].machine["late"], qt.Equals, "")
 
-	// The new leader's no-op is lost, while its heartbeats are answered.
-	w.lose = func(m raft.Message) bool { return len(m.Entries) > 0 }
-	w.until(5*time.Second, "new leader", func() bool { return w.leader() != nil })
+	// The new leader's no-op entry is lost, while its heartbeats are answered.
+	w.loseMessage = func(m raft.Message) bool { return len(m.Entries) > 0 }
+	w.advanceUntil(5*time.Second, "new leader", func() bool { return w.leader() != nil })
 	next, answered := w.leader(), false
 	next.read(func(refused string) {
 		answered = true
 		c.Check(next.machine["late"], qt.Equals, "1", qt.Commentf("refused: %q", refused))
 	})
 	w.advance(700 * time.Millisecond)
-	w.lose = nil
-	w.until(time.Second, "read", func() bool { return answered })
+	w.loseMessage = nil
+	w.advanceUntil(time.Second, "read", func() bool { return answered })
 }
 
-// Guards against an instance that raises the term when it returns, and so ends a leadership that works.
+// Guards against an instance that raises the term when a partition heals, which would depose a working leader.
 func TestReturningInstanceDoesNotDisturb(t *testing.T) {
 	for _, incoming := range []bool{true, false} {
 		t.Run(fmt.Sprint(incoming), func(t *testing.T) {
 			c := qt.New(t)
-			w, leader := startedWorld(t, 3)
-			away := w.others(leader.options.Self)[0]
-			term := leader.engine.node.Describe().Term
-			w.isolate(away, incoming, true)
+			w, leader := startedSimulation(t, 3)
+			partitioned := w.others(leader.options.Self)[0]
+			term := leader.engine.node.Status().Term
+			w.isolate(partitioned, incoming, true)
 			w.advance(30 * time.Second)
 			w.write("away=1")
 			w.heal()
 			w.advance(5 * time.Second)
-			c.Assert(leader.leads(), qt.IsTrue)
-			c.Assert(leader.engine.node.Describe().Term, qt.Equals, term)
-			c.Assert(w.instances[away].machine["away"], qt.Equals, "1")
+			c.Assert(leader.isLeader(), qt.IsTrue)
+			c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
+			c.Assert(w.instances[partitioned].machine["away"], qt.Equals, "1")
 		})
 	}
 }
 
-// Guards against an instance that cannot reach the leader, but can reach the others, and makes them leave that leader.
-func TestInstanceCutFromTheLeaderDoesNotDisturb(t *testing.T) {
+// Guards against an instance that reaches the other followers but not the leader, and makes them leave that leader.
+func TestInstancePartitionedFromLeaderDoesNotDisturb(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
-	away := w.others(leader.options.Self)[0]
-	term := leader.engine.node.Describe().Term
-	w.cut[[2]core.ControlID{leader.options.Self, away}] = true
-	w.cut[[2]core.ControlID{away, leader.options.Self}] = true
+	w, leader := startedSimulation(t, 3)
+	partitioned := w.others(leader.options.Self)[0]
+	term := leader.engine.node.Status().Term
+	w.blocked[[2]core.ControlID{leader.options.Self, partitioned}] = true
+	w.blocked[[2]core.ControlID{partitioned, leader.options.Self}] = true
 	w.advance(10 * time.Second)
-	c.Assert(leader.leads(), qt.IsTrue)
-	c.Assert(leader.engine.node.Describe().Term, qt.Equals, term)
+	c.Assert(leader.isLeader(), qt.IsTrue)
+	c.Assert(leader.engine.node.Status().Term, qt.Equals, term)
 }
 
-// Guards against an acknowledgement of an entry whose sync has failed, or a retry of that sync.
+// Guards against acknowledging an entry whose sync has failed, and against retrying that sync.
 func TestFailedSyncAcknowledgesNothing(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
+	w, leader := startedSimulation(t, 3)
 	rest := w.others(leader.options.Self)
 	for _, id := range rest {
 		w.instances[id].folder.FailSyncs(true)
@@ -295,12 +295,12 @@
 	}
 }
 
-// Guards against a restart that replays the whole log, or that finds less than was committed.
+// Guards against a restart that replays the whole log, or that restores less than was committed.
 func TestRestartUsesTheSnapshot(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(t, 3, 1)
+	w := newSimulation(t, 3, 1)
 	only := w.instances["c1"]
-	only.interval = raft.SnapshotInterval
+	only.snapshotInterval = raft.SnapshotIntervalEntries
 	only.crash()
 	only.start()
 	w.write("first=1")
@@ -319,19 +319,19 @@
 	c.Assert(only.machine["n"], qt.Equals, "1999")
 }
 
-// Guards against a learner that cannot catch up once the entries it lacks are only in the snapshot.
-func TestSnapshotReachesAnInstanceThatLags(t *testing.T) {
+// Guards against a member that cannot catch up once the entries it lacks have been compacted into the snapshot.
+func TestSnapshotReachesLaggingInstance(t *testing.T) {
 	c := qt.New(t)
-	w, leader := startedWorld(t, 3)
-	away := w.others(leader.options.Self)[0]
-	w.instances[away].crash()
+	w, leader := startedSimulation(t, 3)
+	lagging := w.others(leader.options.Self)[0]
+	w.instances[lagging].crash()
 	for n := range 60 {
 		w.write(fmt.Sprintf("n%d=%010000d", n, n)) // the snapshot needs more than one chunk
 	}
-	restored := w.instances[away].machine
+	restored := w.instances[lagging].machine
 	w.heal()
 	w.converge()
 	c.Assert(len(restored), qt.Equals, 1)
-	c.Assert(len(w.instances[away].machine), qt.Equals, 62)
-	c.Assert(w.instances[away].applier.snapshot > 0, qt.IsTrue)
+	c.Assert(len(w.instances[lagging].machine), qt.Equals, 62)
+	c.Assert(w.instances[lagging].applier.snapshotIndex > 0, qt.IsTrue)
 }
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -23,51 +23,51 @@
 	"parsleyport/io/frame"
 )
 
-// input is one item for the loop.
+// input is one item of the loop's queue.
 type input struct {
-	event raft.Event
-	hello *raft.Hello
-	meet  []Member
+	event       raft.Event
+	hello       *raft.Hello
+	introduceTo []Member
 }
 
-// Replica is one control instance's replica of the log; it implements core.Replicator.
+// Replica is a control instance's replica of the log. It implements core.Replicator.
 type Replica struct {
 	packing  *frame.Packing
 	options  Options
 	counters counters
 	engine   *engine
 	applier  *applier
-	random   *rand.Rand // of the loop
+	random   *rand.Rand // used by the loop only
 	requests *requests
 
-	inputs  *ring.Ring[input]
-	applies *ring.Ring[outcome]
-	stored  *ring.Ring[raft.Snapshot]
+	inputs          *ring.Ring[input]
+	applyQueue      *ring.Ring[stepResult]
+	storedSnapshots *ring.Ring[raft.Snapshot]
 
-	links   map[core.ControlID]*link // of the loop and of Send
-	linksMu sync.RWMutex
-	mu      sync.Mutex // guards heard
-	heard   map[core.ControlID]Introduction
-	told    map[core.ControlID]string // of the loop: addresses of members that others have named
+	links            map[core.ControlID]*link // used by the loop and by Send
+	linksMu          sync.RWMutex
+	mu               sync.Mutex // guards introductions
+	introductions    map[core.ControlID]Introduction
+	learnedAddresses map[core.ControlID]string // used by the loop only; addresses of members named by other instances
 
-	introducedAt time.Time // of the loop
-	pending      outcome   // of the loop: results that the applier has not taken
+	introducedAt  time.Time  // used by the loop only
+	pendingResult stepResult // used by the loop only; not yet passed to the applier
 
 	status  atomic.Pointer[core.ReplicatorStatus]
 	members atomic.Pointer[[]raft.Member]
 	applied atomic.Uint64
 
-	listener net.Listener
-	context  context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	stopped  chan struct{} // closed when the loop has ended
-	failed   chan error
+	listener   net.Listener
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	loopEnded  chan struct{} // closed when the loop has ended
+	failed     chan error
 }
 
 var _ core.Replicator = (*Replica)(nil)
 
-// New opens the data folder, restores the state machine and starts the replica. The returned function stops it and
+// New opens the data folder, restores the state machine and starts the replica. The returned function stops the replica and
 // closes the folder. It returns disk.ErrCorrupt if the folder is damaged.
 func New(options Options, machine core.StateMachine) (*Replica, func(), error) {
 	if err := options.check(); err != nil {
@@ -100,19 +100,19 @@
 func newReplica(options Options) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Replica{
-		options:  options,
-		random:   rand.New(rand.NewPCG(randomNumber(), randomNumber())),
-		requests: newRequests(randomNumber()),
-		inputs:   ring.New[input](inputCapacity),
-		applies:  ring.New[outcome](applyCapacity),
-		stored:   ring.New[raft.Snapshot](applyCapacity),
-		links:    make(map[core.ControlID]*link),
-		heard:    make(map[core.ControlID]Introduction),
-		told:     make(map[core.ControlID]string),
-		context:  ctx,
-		cancel:   cancel,
-		stopped:  make(chan struct{}),
-		failed:   make(chan error, 1),
+		options:          options,
+		random:           rand.New(rand.NewPCG(randomNumber(), randomNumber())),
+		requests:         newRequests(randomNumber()),
+		inputs:           ring.New[input](inputCapacity),
+		applyQueue:       ring.New[stepResult](applyCapacity),
+		storedSnapshots:  ring.New[raft.Snapshot](applyCapacity),
+		links:            make(map[core.ControlID]*link),
+		introductions:    make(map[core.ControlID]Introduction),
+		learnedAddresses: make(map[core.ControlID]string),
+		context:          ctx,
+		cancel:           cancel,
+		loopEnded:        make(chan struct{}),
+		failed:           make(chan error, 1),
 	}
 	r.options.Logger = options.Logger.With().Str("instance", string(options.Self)).Logger()
 	r.status.Store(&core.ReplicatorStatus{
@@ -141,7 +141,7 @@
 		return err
 	}
 	r.applied.Store(uint64(r.applier.applied))
-	r.publish()
+	r.publishStatus()
 	return nil
 }
 
@@ -154,10 +154,10 @@
 	for _, member := range r.options.Members {
 		r.connect(member.ID, member.Address)
 	}
-	r.running.Go(r.applyLoop)
-	r.running.Go(r.acceptLoop)
-	r.running.Go(func() {
-		defer close(r.stopped)
+	r.goroutines.Go(r.applyLoop)
+	r.goroutines.Go(r.acceptLoop)
+	r.goroutines.Go(func() {
+		defer close(r.loopEnded)
 		r.loop()
 	})
 }
@@ -165,42 +165,42 @@
 func (r *Replica) close() {
 	r.cancel()
 	_ = r.listener.Close()
-	r.running.Wait()
+	r.goroutines.Wait()
 	if err := r.engine.store.Close(); err != nil {
-		r.options.Logger.Warn().Err(err).Msg("data folder not closed")
+		r.options.Logger.Warn().Err(err).Msg("failed to close data folder")
 	}
 }
 
-// Failed delivers the fault, of the disk or the state machine, that has stopped the replica; the process must exit.
+// Failed delivers the disk or state machine error that has stopped the replica. The process must then exit.
 func (r *Replica) Failed() <-chan error {
 	return r.failed
 }
 
-// fail stops everything at the first fault.
+// fail reports the first fatal error and stops the replica.
 func (r *Replica) fail(err error) {
 	select {
 	case r.failed <- err:
-		r.options.Logger.Error().Err(err).Msg("replica stopped by a fault")
+		r.options.Logger.Error().Err(err).Msg("replica stopped by a fatal error")
 	default:
 	}
 	r.cancel()
 	_ = r.listener.Close()
 }
 
-// loop is the only goroutine that decides and writes the log.
+// loop runs the Raft node. It is the only goroutine that writes the log.
 func (r *Replica) loop() {
 	timer := time.NewTimer(0)
 	hellos := time.NewTicker(bootstrapInterval)
 	defer hellos.Stop()
 	for {
-		timer.Reset(min(slowestTick, max(time.Until(r.engine.node.NextDeadline()), 0)))
+		timer.Reset(min(maxTimerInterval, max(time.Until(r.engine.node.NextDeadline()), 0)))
 		var batch []input
 		select {
 		case <-r.context.Done():
 			return
 		case first := <-r.inputs.Items():
-			batch = r.drain(first)
-		case snapshot := <-r.stored.Items():
+			batch = r.collectBatch(first)
+		case snapshot := <-r.storedSnapshots.Items():
 			if err := r.snapshotStored(snapshot); err != nil {
 				r.fail(err)
 				return
@@ -209,17 +209,17 @@
 			r.introduce()
 		case <-timer.C:
 		}
-		if err := r.handle(batch); err != nil {
+		if err := r.handleBatch(batch); err != nil {
 			r.fail(err)
 			return
 		}
 	}
 }
 
-// drain takes what waits, so that one sync serves many events.
-func (r *Replica) drain(first input) []input {
+// collectBatch returns the waiting inputs, so that one sync covers many events.
+func (r *Replica) collectBatch(first input) []input {
 	batch := []input{first}
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchEvents {
 		select {
 		case next := <-r.inputs.Items():
 			batch = append(batch, next)
@@ -230,11 +230,11 @@
 	return batch
 }
 
-func (r *Replica) handle(batch []input) error {
+func (r *Replica) handleBatch(batch []input) error {
 	events := make([]raft.Event, 0, len(batch))
 	for _, in := range batch {
-		if in.meet != nil {
-			r.follow(lo.Map(in.meet, func(m Member, _ int) raft.Member {
+		if in.introduceTo != nil {
+			r.learnMembers(lo.Map(in.introduceTo, func(m Member, _ int) raft.Member {
 				return raft.Member{
 					Peer: raft.Peer{
 						ID: m.ID,
@@ -246,7 +246,7 @@
 		}
 		if in.hello == nil {
 			events = append(events, in.event)
-		} else if err := r.hear(in.hello); err != nil {
+		} else if err := r.receiveHello(in.hello); err != nil {
 			return err
 		}
 	}
@@ -260,29 +260,29 @@
 	}
 	for _, refusal := range result.refused {
 		r.requests.finish(refusal.Request, answer{
-			refused: refusal.Reason,
+			refusal: refusal.Reason,
 		})
 	}
 	result.refused = nil
-	r.publish()
-	r.handOver(result)
+	r.publishStatus()
+	r.passToApplier(result)
 	return nil
 }
 
-// handOver gives results to the applier. While that is busy, as during a snapshot, they are joined and the loop goes on,
-// so that heartbeats are not late; it waits only once very many entries are left.
-func (r *Replica) handOver(result outcome) {
-	r.pending.join(result)
-	if r.pending.isEmpty() {
+// passToApplier queues results for the applier. While the queue is full, as during a snapshot, the results are joined and
+// the loop continues, so that heartbeats are on time. It blocks only to install a snapshot or with maxPendingEntries pending.
+func (r *Replica) passToApplier(result stepResult) {
+	r.pendingResult.join(result)
+	if r.pendingResult.isEmpty() {
 		return
 	}
-	if r.pending.install == nil && len(r.pending.committed) < maxPendingEntries && r.applies.Len() == applyCapacity {
+	if r.pendingResult.install == nil && len(r.pendingResult.committed) < maxPendingEntries && r.applyQueue.Len() == applyCapacity {
 		return
 	}
-	if err := r.applies.Push(r.context, r.pending); err != nil {
-		return // the replica is being stopped
+	if err := r.applyQueue.Push(r.context, r.pendingResult); err != nil {
+		return // the replica is stopping
 	}
-	r.pending = outcome{}
+	r.pendingResult = stepResult{}
 }
 
 func (r *Replica) snapshotStored(snapshot raft.Snapshot) error {
@@ -294,7 +294,7 @@
 
 func (r *Replica) applyLoop() {
 	for {
-		next, err := r.applies.Pop(r.context)
+		next, err := r.applyQueue.Pop(r.context)
 		if err != nil {
 			return
 		}
@@ -304,15 +304,15 @@
 			return
 		}
 		r.applied.Store(uint64(r.applier.applied))
-		if snapshot != nil && r.stored.Push(r.context, *snapshot) != nil {
+		if snapshot != nil && r.storedSnapshots.Push(r.context, *snapshot) != nil {
 			return
 		}
 	}
 }
 
-// publish makes the status readable and logs changes of role, leader and membership.
-func (r *Replica) publish() {
-	status := r.engine.node.Describe()
+// publishStatus publishes the node's status and logs changes of role, leader and membership.
+func (r *Replica) publishStatus() {
+	status := r.engine.node.Status()
 	before := r.status.Swap(&status)
 	members := r.engine.node.Members()
 	previous := r.members.Swap(&members)
@@ -335,7 +335,7 @@
 	}
 }
 
-// sameSlice is enough to see a change, since a membership is never changed in place.
+// sameSlice compares by identity, which detects every change, since a membership is never modified in place.
 func sameSlice(a, b []raft.Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -347,7 +347,7 @@
 	return status
 }
 
-// Members returns the newest membership with identities; the slice must not be changed.
+// Members returns the latest membership with identities. The slice must not be changed.
 func (r *Replica) Members() []raft.Member {
 	return *r.members.Load()
 }
@@ -357,29 +357,29 @@
 	return r.engine.identity.Self
 }
 
-// Introduction is what an instance has said of itself.
+// Introduction is what an instance has announced in its last hello.
 type Introduction struct {
 	Peer       raft.Peer
-	Address    string // peer address; empty if only the settings have it
+	Address    string // peer address; empty if only the settings give it
 	DataCentre core.DataCentre
 	At         time.Time
 }
 
-// NonMembers returns the instances that have introduced themselves and are not members: those to add or to replace.
+// NonMembers returns the instances that have introduced themselves and are not members. They can be added or replace a member.
 func (r *Replica) NonMembers() []raft.Peer {
-	return lo.Map(r.introduced(func(Introduction) bool { return true }), func(i Introduction, _ int) raft.Peer { return i.Peer })
+	return lo.Map(r.nonMembers(func(Introduction) bool { return true }), func(i Introduction, _ int) raft.Peer { return i.Peer })
 }
 
-// Newcomers returns the introductions of the last seconds from instances that are not members.
-func (r *Replica) Newcomers(now time.Time) []Introduction {
-	return r.introduced(func(i Introduction) bool { return now.Sub(i.At) <= introducedAge })
+// RecentNonMembers returns the introductions of non-members that are not older than introductionMaxAge.
+func (r *Replica) RecentNonMembers(now time.Time) []Introduction {
+	return r.nonMembers(func(i Introduction) bool { return now.Sub(i.At) <= introductionMaxAge })
 }
 
-func (r *Replica) introduced(selected func(Introduction) bool) []Introduction {
+func (r *Replica) nonMembers(selected func(Introduction) bool) []Introduction {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []Introduction
-	for _, each := range r.heard {
+	for _, each := range r.introductions {
 		if selected(each) && !lo.ContainsBy(r.Members(), func(m raft.Member) bool { return m.Peer == each.Peer }) {
 			list = append(list, each)
 		}
@@ -395,7 +395,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.heard[change.Peer.ID].Peer.Identity
+	return r.introductions[change.Peer.ID].Peer.Identity
 }
 
 func randomNumber() uint64 {
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -13,29 +13,29 @@
 
 type answer struct {
 	result  []byte
-	refused string
+	refusal string
 }
 
-// requests holds the proposals, reads and changes of this process that wait for an answer.
+// requests holds this process's proposals, reads and membership changes that wait for an answer.
 type requests struct {
 	mu       sync.Mutex
 	run      uint64
 	sequence uint64
-	waiting  map[raft.RequestID]chan answer
+	pending  map[raft.RequestID]chan answer
 }
 
 func newRequests(run uint64) *requests {
 	return &requests{
 		run:     run,
-		waiting: make(map[raft.RequestID]chan answer),
+		pending: make(map[raft.RequestID]chan answer),
 	}
 }
 
-// add returns false if too many requests wait already.
+// add registers a request. It returns false if too many requests are waiting.
 func (r *requests) add() (raft.RequestID, chan answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.waiting) >= maxOutstanding {
+	if len(r.pending) >= maxOutstandingRequests {
 		return raft.RequestID{}, nil, false
 	}
 	r.sequence++
@@ -44,14 +44,14 @@
 		Sequence: r.sequence,
 	}
 	answered := make(chan answer, 1)
-	r.waiting[id] = answered
+	r.pending[id] = answered
 	return id, answered, true
 }
 
 func (r *requests) remove(id raft.RequestID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.waiting, id)
+	delete(r.pending, id)
 }
 
 func (r *requests) finish(id raft.RequestID, a answer) {
@@ -60,8 +60,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if answered, exists := r.waiting[id]; exists {
-		delete(r.waiting, id)
+	if answered, exists := r.pending[id]; exists {
+		delete(r.pending, id)
 		answered <- a
 	}
 }
@@ -70,7 +70,7 @@
 	if _, limited := ctx.Deadline(); limited {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, defaultTimeout)
+	return context.WithTimeout(ctx, defaultRequestTimeout)
 }
 
 // Propose implements core.Replicator.
@@ -84,9 +84,9 @@
 	}, true)
 }
 
-// Change commits a membership change; a promotion waits for the learner to catch up. An empty identity stands for the
-// member's, or for the one with which a new or replaced instance introduced itself last. It returns ErrNoLeader,
-// raft.ErrTransient, ErrOutcomeUnknown or why it was refused.
+// Change commits a membership change; a promotion waits until the learner has caught up. An empty identity means the
+// member's current one or, for an added or replaced instance, the one in its last introduction. It returns ErrNoLeader,
+// raft.ErrTransient, ErrOutcomeUnknown or the reason of the refusal.
 func (r *Replica) Change(ctx context.Context, change raft.Change) error {
 	if change.Peer.Identity == "" {
 		change.Peer.Identity = r.identityFor(change)
@@ -100,7 +100,7 @@
 	return err
 }
 
-// propose asks until the request is appended. A refusal says that it was not, so it can be asked again.
+// propose repeats refused requests until one is appended. A refused request was not appended, so a retry cannot duplicate it.
 func (r *Replica) propose(ctx context.Context, proposed raft.Proposed, retry bool) ([]byte, error) {
 	ctx, cancel := withTimeout(ctx)
 	defer cancel()
@@ -112,44 +112,44 @@
 		if err != nil {
 			return nil, err
 		}
-		if a.refused == "" {
+		if a.refusal == "" {
 			return a.result, nil
 		}
 		if !retry && r.Status().Leader != "" {
-			return nil, raft.RefusalError(a.refused)
+			return nil, raft.RefusalError(a.refusal)
 		}
-		if !r.pause(ctx) {
-			return nil, errors.Annotate(core.ErrNoLeader, a.refused)
+		if !r.waitToRetry(ctx) {
+			return nil, errors.Annotate(core.ErrNoLeader, a.refusal)
 		}
 	}
 }
 
-// attempt hands one event to the loop and waits for its answer.
+// attempt queues one event for the loop and waits for its answer.
 func (r *Replica) attempt(ctx context.Context, event func(raft.RequestID) raft.Event) (answer, error) {
 	id, answered, accepted := r.requests.add()
 	if !accepted {
 		r.counters.refused.Inc()
 		return answer{
-			refused: "too many requests are outstanding",
+			refusal: "too many requests are outstanding",
 		}, nil
 	}
 	defer r.requests.remove(id)
 	select {
-	case <-r.stopped:
+	case <-r.loopEnded:
 		return answer{}, errors.Annotate(core.ErrNoLeader, "replica has stopped")
 	default:
 	}
 	if err := r.inputs.Push(ctx, input{event: event(id)}); err != nil {
 		return answer{}, errors.Annotate(core.ErrNoLeader, err.Error())
 	}
-	return r.wait(ctx, answered)
+	return r.awaitAnswer(ctx, answered)
 }
 
-// wait ends early if the leader has changed and the new one has not committed the request for a while: the client can
-// then ask again instead of waiting for the whole deadline.
-func (r *Replica) wait(ctx context.Context, answered <-chan answer) (answer, error) {
+// wait returns early if the leader has changed and the new one has not committed the request for a while, so that the
+// client can ask again before its deadline.
+func (r *Replica) awaitAnswer(ctx context.Context, answered <-chan answer) (answer, error) {
 	term, changed := r.Status().Term, 0
-	poll := time.NewTicker(leaderPoll)
+	poll := time.NewTicker(leaderPollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -157,7 +157,7 @@
 			return a, nil
 		case <-ctx.Done():
 			return answer{}, errors.Annotate(core.ErrOutcomeUnknown, ctx.Err().Error())
-		case <-r.stopped:
+		case <-r.loopEnded:
 			return answer{}, errors.Annotate(core.ErrOutcomeUnknown, "replica has stopped")
 		case <-poll.C:
 			if status := r.Status(); status.Term > term && status.Leader != "" {
@@ -170,13 +170,13 @@
 	}
 }
 
-func (r *Replica) pause(ctx context.Context) bool {
+func (r *Replica) waitToRetry(ctx context.Context) bool {
 	select {
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 		return true
 	case <-ctx.Done():
 		return false
-	case <-r.stopped:
+	case <-r.loopEnded:
 		return false
 	}
 }
@@ -187,24 +187,24 @@
 	defer cancel()
 	r.counters.reads.Inc()
 	for {
-		attempt, end := context.WithTimeout(ctx, readAttempt)
+		attempt, end := context.WithTimeout(ctx, readAttemptTimeout)
 		a, err := r.attempt(attempt, func(id raft.RequestID) raft.Event {
 			return raft.ReadRequested{
 				Request: id,
 			}
 		})
 		end()
-		if err == nil && a.refused == "" {
+		if err == nil && a.refusal == "" {
 			return nil
 		}
-		if !r.pause(ctx) {
+		if !r.waitToRetry(ctx) {
 			return errors.Annotate(core.ErrNoLeader, "read is not confirmed")
 		}
 	}
 }
 
-// HandOver gives the leadership, if this instance has it, to the most advanced voter, and returns once another instance
-// leads. It returns ErrNoLeader if the context ends before; a sole voter has nobody to hand over to.
+// HandOver transfers the leadership, if this instance has it, to the most up-to-date voter, and returns once another instance
+// leads. It returns ErrNoLeader if the context ends first, and nil at once if this instance is the only voter.
 func (r *Replica) HandOver(ctx context.Context) error {
 	if r.Status().Role != string(raft.Leader) || len(r.Status().Voters) < 2 {
 		return nil
@@ -214,10 +214,10 @@
 		if status.Leader != "" && status.Leader != status.Self {
 			return nil
 		}
-		if status.Role == string(raft.Leader) { // an attempt that is under way is not disturbed
+		if status.Role == string(raft.Leader) { // the node ignores this while a transfer is in progress
 			_ = r.inputs.Push(ctx, input{event: raft.HandOverRequested{}})
 		}
-		if !r.pause(ctx) {
+		if !r.waitToRetry(ctx) {
 			return errors.Annotate(core.ErrNoLeader, "no other instance leads")
 		}
 	}
