--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -122,7 +122,7 @@
 		halfLife = remoteHalfLife
 	}
 	m.observeLoad(now, result.Route, result.Load, halfLife)
-	if result.Unneeded {
+	if result.Discarded {
 		if result.Latency.Seconds() > m.latency {
 			m.observeLatency(now, result.Latency) // it would have taken even longer
 		}
--- a/core/balancer/expected.go
+++ b/core/balancer/expected.go
@@ -55,8 +55,8 @@
 	if len(routes) >= maxRoutes {
 		clear(routes)
 	}
-	if load.Route > 0 && route != "" {
-		routes[route] = load.Route
+	if load.RouteServiceTime > 0 && route != "" {
+		routes[route] = load.RouteServiceTime
 	}
 	m.load = reportedLoad{
 		Load:        load,
@@ -97,7 +97,7 @@
 // expect works out the time to an answer. A call waits for its turn among those that exceed the slots, and takes longer at a
 // backend server that is nearly full, cold or failing.
 func (m *member) expect(now time.Time, route core.RouteName, usual time.Duration) expectation {
-	service := m.load.Service
+	service := m.load.ServiceTime
 	if service == 0 {
 		service = usual
 	}
@@ -126,7 +126,7 @@
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
 		return m.endpoint.DataCentre == b.options.DataCentre
 	})
-	aim := request.Aim
+	aim := request.SoftDeadline
 	if aim.IsZero() || now.After(aim) {
 		aim = request.Deadline
 	}
@@ -137,7 +137,7 @@
 	}
 	far, farAt := b.soonest(now, request.Route, remote, usual, inTime)
 	switch {
-	case near == nil && request.NoRoom && !farAt.hasRoom():
+	case near == nil && request.CapacityRefused && !farAt.hasRoom():
 		return nil
 	case near == nil:
 		return far
@@ -188,9 +188,9 @@
 
 // usualService is the average of what the endpoints have reported.
 func usualService(members []*member) time.Duration {
-	known := lo.Filter(members, func(m *member, _ int) bool { return m.load.Service > 0 })
+	known := lo.Filter(members, func(m *member, _ int) bool { return m.load.ServiceTime > 0 })
 	if len(known) == 0 {
 		return unknownService
 	}
-	return lo.SumBy(known, func(m *member) time.Duration { return m.load.Service }) / time.Duration(len(known))
+	return lo.SumBy(known, func(m *member) time.Duration { return m.load.ServiceTime }) / time.Duration(len(known))
 }
--- a/core/balancer/expected_test.go
+++ b/core/balancer/expected_test.go
@@ -24,7 +24,7 @@
 		}
 		others := lessNode(all, endpoint.Node)
 		if _, picked := b.Pick(start, core.PickRequest{Service: "transcripts", Route: "r", Tried: others}, all); picked {
-			b.Done(start, core.PickResult{Endpoint: endpoint, Route: "r", Outcome: core.OutcomeAnswered, Latency: load.Service, Load: load})
+			b.Done(start, core.PickResult{Endpoint: endpoint, Route: "r", Outcome: core.OutcomeAnswered, Latency: load.ServiceTime, Load: load})
 		}
 	}
 	return b, all
@@ -47,14 +47,14 @@
 		endpoint, picked := b.Pick(start, request, all)
 		if picked {
 			got[endpoint.Node] += 0.001
-			b.Done(start, core.PickResult{Endpoint: endpoint, Unneeded: true})
+			b.Done(start, core.PickResult{Endpoint: endpoint, Discarded: true})
 		}
 	}
 	return got
 }
 
 func load(running, waiting int, service time.Duration) core.Load {
-	return core.Load{Running: running, Waiting: waiting, Limit: 10, Service: service, Route: service}
+	return core.Load{Running: running, Waiting: waiting, Limit: 10, ServiceTime: service, RouteServiceTime: service}
 }
 
 // Guards against calls that leave a data centre which can serve them in time, that stay in a full one while there is room
@@ -62,7 +62,7 @@
 func TestCallsLeaveTheirDataCentreForRoomOnly(t *testing.T) {
 	c := qt.New(t)
 	idle, full := load(1, 0, 100*time.Millisecond), load(10, 30, 100*time.Millisecond)
-	request := core.PickRequest{Service: "transcripts", Route: "r", Aim: start.Add(300 * time.Millisecond), Deadline: start.Add(2 * time.Second)}
+	request := core.PickRequest{Service: "transcripts", Route: "r", SoftDeadline: start.Add(300 * time.Millisecond), Deadline: start.Add(2 * time.Second)}
 	for _, test := range []struct {
 		name       string
 		home, away core.Load
@@ -96,7 +96,7 @@
 	full := load(10, 30, 100*time.Millisecond)
 	b, all := expectedWorld(map[core.NodeID]core.Load{"home-0": full, "home-1": full, "away-0": full, "away-1": full})
 	got := share(b, all, core.PickRequest{
-		Service: "transcripts", Route: "r", Deadline: start.Add(2 * time.Second), NoRoom: true, Tried: []core.NodeID{"home-0", "home-1"},
+		Service: "transcripts", Route: "r", Deadline: start.Add(2 * time.Second), CapacityRefused: true, Tried: []core.NodeID{"home-0", "home-1"},
 	})
 	c.Assert(got, qt.HasLen, 0)
 }
--- a/core/call.go
+++ b/core/call.go
@@ -13,13 +13,13 @@
 const (
 	// OutcomeAnswered means that the backend server's answer has begun to arrive.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeNotRun means that the backend server has not seen the call and never will.
+	// OutcomeNotRun means that the backend server has not received the call and never will.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the backend server may have run the call.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// RefusalCause says why a call was not run; it is a label of the refusal counters.
+// RefusalCause says why a call was refused without being run. The refusal counters use it as a label.
 type RefusalCause string
 
 // The causes of a refusal.
@@ -44,7 +44,7 @@
 	CauseTooLarge       RefusalCause = "request-too-large"
 )
 
-// Call is one request on its way to a backend server; Deadline is a point in time on the local clock.
+// Call is one request on its way to a backend server. Its deadlines are points in time on the local clock.
 type Call struct {
 	ID             CallID
 	Tenant         TenantID
@@ -56,28 +56,28 @@
 	Target         string // path and query
 	Host           string
 	Header         http.Header
-	Body           []byte // buffered up to the entry node's limit so that an attempt can be repeated
+	Body           []byte // buffered up to the entry node's limit so that an attempt can be retried
 	Idempotent     bool
 	IdempotencyKey IdempotencyKey
 	Priority       Priority
-	Aim            time.Time // by which an answer is of full use, zero if not stated
+	SoftDeadline   time.Time // an answer after it counts as late; zero if none is set
 	Deadline       time.Time
-	StartBy        time.Time // after which a call that still waits for a slot is refused, zero for its deadline
+	StartBy        time.Time // a call still queued at this time is refused; zero means Deadline
 	Depth          int
 	AttemptsLeft   int
-	Hedge          bool // a second attempt beside a first: refused unless it can start at once
+	Hedge          bool // a hedged attempt: refused unless it can start at once
 }
 
-// Load is what the node beside a backend server knows of the backend server's work; a zero Limit means nothing is known.
+// Load is the load of a backend server as the node beside it reports it. A zero Limit means that nothing is known.
 type Load struct {
-	Running int           // calls that hold a slot
-	Waiting int           // calls that wait for one
-	Limit   int           // calls that may run at the same time
-	Service time.Duration // average time for which a call holds a slot, zero if not known
-	Route   time.Duration // the same for calls of the route of the call that the report answers
+	Running          int           // calls that hold a slot
+	Waiting          int           // calls that wait for a slot
+	Limit            int           // concurrency limit
+	ServiceTime      time.Duration // average time for which a call holds a slot, zero if unknown
+	RouteServiceTime time.Duration // average for calls of the route of the call that carries the report, zero if unknown
 }
 
-// Answer is a backend server's answer; Body returns io.EOF only after length and checksum were verified.
+// Answer is a backend server's answer. Body returns io.EOF only after its length and checksum have been verified.
 type Answer struct {
 	Status int
 	Header http.Header
--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -252,11 +252,11 @@
 	now := c.replay.clock.now
 	c.open = lo.Without(c.open, a)
 	c.entry.balancer.Done(now, core.PickResult{
-		Endpoint: a.to,
-		Outcome:  r.outcome,
-		Failed:   r.failed,
-		Unneeded: a.hedge && r.outcome == core.OutcomeNotRun,
-		Latency:  now.Sub(a.began),
+		Endpoint:  a.to,
+		Outcome:   r.outcome,
+		Failed:    r.failed,
+		Discarded: a.hedge && r.outcome == core.OutcomeNotRun,
+		Latency:   now.Sub(a.began),
 	})
 	switch {
 	case r.outcome == core.OutcomeNotRun || retry.Overloaded(r.status):
@@ -312,10 +312,10 @@
 	now := c.replay.clock.now
 	for _, a := range c.open {
 		c.entry.balancer.Done(now, core.PickResult{
-			Endpoint: a.to,
-			Outcome:  core.OutcomeUnknown,
-			Unneeded: true,
-			Latency:  now.Sub(a.began),
+			Endpoint:  a.to,
+			Outcome:   core.OutcomeUnknown,
+			Discarded: true,
+			Latency:   now.Sub(a.began),
 		})
 		c.replay.clock.after(a.oneWay, func() {
 			if a.server != nil {
--- a/core/catalog/moves.go
+++ b/core/catalog/moves.go
@@ -58,12 +58,12 @@
 	request.Deadline = request.Deadline.UTC()
 	started := move{
 		Move: core.Move{
-			MoveID:    id,
-			Request:   request,
-			State:     core.MoveProposed,
-			StartedAt: e.At,
-			SteppedAt: e.At,
-			Original:  c.weightsBefore(request.Service),
+			MoveID:          id,
+			Request:         request,
+			State:           core.MoveProposed,
+			StartedAt:       e.At,
+			SteppedAt:       e.At,
+			OriginalWeights: c.weightsBefore(request.Service),
 		},
 		Fair: e.Limits != nil,
 	}
@@ -221,7 +221,7 @@
 			From:    request.From,
 			To:      request.To,
 			Open:    !Ended(m.Move.State),
-			Weights: movedWeights(m.Move.Original, request, m.Move.Share),
+			Weights: movedWeights(m.Move.OriginalWeights, request, m.Move.Share),
 		})
 	}
 	if m.Previous != nil {
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,3 +1,3 @@
-// Package core is the root package of parsleyport: named ids and units, the data that crosses package borders,
-// and the interfaces that the packages below it implement. It has no sockets, clocks or goroutines.
+// Package core is the root package of parsleyport. It declares the identifiers, units and data types that several packages
+// share, and the interfaces that the packages below it implement. It has no sockets, clocks or goroutines.
 package core
--- a/core/endpoint.go
+++ b/core/endpoint.go
@@ -10,7 +10,7 @@
 	EndpointLeaving  EndpointState = "leaving"
 )
 
-// Endpoint is a backend server as its node announces it.
+// Endpoint is a backend server as announced by its node.
 type Endpoint struct {
 	Node        NodeID        `json:"node" msgpack:"node"`
 	Incarnation Incarnation   `json:"incarnation" msgpack:"incarnation"`
@@ -23,7 +23,7 @@
 	State       EndpointState `json:"state" msgpack:"state"`
 }
 
-// Newer reports whether e was announced after other by the same node.
+// Newer reports whether e supersedes other, an announcement of the same node: incarnations are compared first, then sequence numbers.
 func (e Endpoint) Newer(other Endpoint) bool {
 	if e.Incarnation != other.Incarnation {
 		return e.Incarnation > other.Incarnation
@@ -31,8 +31,8 @@
 	return e.Sequence > other.Sequence
 }
 
-// CrashReport says that a request was running when the process of a backend server ended; Run is the run that the
-// backend server had announced, Fingerprint identifies requests that are the same to a backend server.
+// CrashReport says that a request was running when the process of a backend server ended. Run is the run that the backend
+// server had announced; Fingerprint is equal for requests that a backend server handles alike.
 type CrashReport struct {
 	Node        NodeID `msgpack:"node"`
 	Run         string `msgpack:"run"`
--- a/core/headers.go
+++ b/core/headers.go
@@ -1,27 +1,27 @@
 package core
 
-// HeaderNames are the names of the HTTP headers between callers, nodes and backend servers. A header without a name is not
-// used.
+// HeaderNames holds the names of the HTTP headers exchanged between callers, nodes and backend servers. A header with an empty
+// name is not used.
 type HeaderNames struct {
-	CallID         string // identifies the call to its caller and to the backend server
+	CallID         string // identifies the call towards its caller and the backend server
 	Deadline       string // remaining time in milliseconds
-	Attempts       string // attempts that are left to the calls below
+	Attempts       string // attempts left for nested calls
 	Depth          string // number of nested calls
 	Tenant         string
 	Session        string
 	IdempotencyKey string
 
-	Outcome  string // of an answer: what is known about the call
-	Cause    string // of a refusal
-	Release  string // of an answer: the release that gave it
-	Revision string // of an answer: the configuration by which the call was routed
+	Outcome  string // in answers: the core.Outcome of the call
+	Cause    string // in refusals: the core.RefusalCause
+	Release  string // in answers: the release that answered
+	Revision string // in answers: the configuration revision by which the call was routed
 
-	CallerService    string // to the backend server: the service beside whose node the call began
-	ExpectedInstance string // to the backend server: the instance for which the call is meant
-	NotRun           string // of a backend server's answer: it has not run the call
+	CallerService    string // to backend servers: the service whose node accepted the call
+	ExpectedInstance string // to backend servers: the instance that the call is addressed to
+	NotRun           string // from backend servers: the call has not been run
 }
 
-// DefaultHeaderNames returns the names of parsleyport's own interface.
+// DefaultHeaderNames returns the names of parsleyport's own HTTP interface.
 func DefaultHeaderNames() HeaderNames {
 	return HeaderNames{
 		CallID:         "Parsleyport-Call-Id",
--- a/core/ids.go
+++ b/core/ids.go
@@ -9,7 +9,7 @@
 // DataCentre names a data centre.
 type DataCentre string
 
-// TenantID names an organisation whose callers share the platform with others.
+// TenantID names an organisation whose callers share the deployment with those of others.
 type TenantID string
 
 // ServiceName names a service.
@@ -27,7 +27,7 @@
 // Operator names the person or program that submitted a change.
 type Operator string
 
-// SubmissionID makes a submission idempotent: the same id always gets the verdict of its first submission.
+// SubmissionID makes a submission idempotent: resubmissions under the same id get the verdict of the first one.
 type SubmissionID string
 
 // MoveID names a move of traffic between two releases.
@@ -39,19 +39,19 @@
 // IdempotencyKey is chosen by a caller so that resends of one request run at most once.
 type IdempotencyKey string
 
-// Revision counts accepted changes of the configuration; zero means none yet.
+// Revision counts the accepted changes of the configuration. Zero means that none has been accepted.
 type Revision uint64
 
-// Incarnation distinguishes the runs of one node; a later run has a greater value (Unix nanoseconds at start).
+// Incarnation identifies one run of a node by its start in Unix nanoseconds, so that later runs have greater values.
 type Incarnation uint64
 
 // SchemaVersion numbers the format of a record's body, starting at 1.
 type SchemaVersion uint32
 
-// RulesVersion numbers the rules by which commands in the replicated log are decided, starting at 1.
+// RulesVersion numbers the rules that the state machine applies to commands of the replicated log, starting at 1.
 type RulesVersion uint32
 
-// RecordVersion is the operators' version number of one record, starting at 1.
+// RecordVersion is the version that operators assign to a record, starting at 1.
 type RecordVersion uint64
 
 // Hash is an xxhash64 sum.
@@ -60,7 +60,7 @@
 // PerMille is a share of traffic in thousandths, from 0 to 1000.
 type PerMille uint32
 
-// Priority orders calls when a backend server is short of capacity; greater is more important, from 0 to 9.
+// Priority ranks calls when a backend server is overloaded, from 0 to 9. Higher values are served first.
 type Priority uint8
 
 // Term is a raft term.
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -145,11 +145,11 @@
 // Load describes the running and waiting calls, and how long calls of a class usually take.
 func (l *Limiter) Load(class core.RouteName) core.Load {
 	return core.Load{
-		Running: len(l.running),
-		Waiting: l.waiting,
-		Limit:   l.Limit(),
-		Service: time.Duration(l.average * float64(time.Second)),
-		Route:   time.Duration(l.serviceOf(class) * float64(time.Second)),
+		Running:          len(l.running),
+		Waiting:          l.waiting,
+		Limit:            l.Limit(),
+		ServiceTime:      time.Duration(l.average * float64(time.Second)),
+		RouteServiceTime: time.Duration(l.serviceOf(class) * float64(time.Second)),
 	}
 }
 
--- a/core/limits.go
+++ b/core/limits.go
@@ -1,13 +1,13 @@
 package core
 
-// Limits that apply to more than one package.
+// Limits shared by several packages.
 const (
-	// MaxDepth is the greatest number of nested calls; a deeper call is refused as a loop.
+	// MaxDepth is the maximum depth of nested calls. A deeper call is refused, since it most likely is part of a call loop.
 	MaxDepth = 12
-	// MaxFrameBytes bounds one frame between processes, so that a broken length prefix cannot exhaust memory.
+	// MaxFrameBytes limits one frame between processes, so that a corrupt length prefix cannot exhaust memory.
 	MaxFrameBytes = 16 << 20
-	// MaxChunkBytes bounds the body bytes in one frame of a call, so that long bodies do not delay other calls.
+	// MaxChunkBytes limits the body bytes in one frame of a call, so that long bodies do not delay other calls on the connection.
 	MaxChunkBytes = 32 << 10
-	// FullShare is the share of all traffic.
+	// FullShare stands for all traffic.
 	FullShare PerMille = 1000
 )
--- a/core/move.go
+++ b/core/move.go
@@ -13,7 +13,7 @@
 	MaxRiskShare PerMille     `json:"max-risk-per-mille,omitempty" msgpack:"max-risk-per-mille"`
 }
 
-// MoveState is a state of the move chart.
+// MoveState is a state of the state chart of moves.
 type MoveState string
 
 // The states of a move.
@@ -26,21 +26,21 @@
 	MoveExpired   MoveState = "expired"
 )
 
-// Move is a move with its progress; State and Verdict change only through the replicated log.
+// Move is a move and its progress. It changes only through the replicated log.
 type Move struct {
-	MoveID    MoveID      `json:"move-id" msgpack:"move-id"`
-	Request   MoveRequest `json:"request" msgpack:"request"`
-	State     MoveState   `json:"state" msgpack:"state"`
-	Share     PerMille    `json:"share-per-mille" msgpack:"share-per-mille"`
-	Step      uint64      `json:"step" msgpack:"step"`
-	StartedAt time.Time   `json:"started-at" msgpack:"started-at"`
-	SteppedAt time.Time   `json:"stepped-at" msgpack:"stepped-at"`
-	Cause     string      `json:"cause,omitempty" msgpack:"cause"`
-	Evidence  string      `json:"evidence,omitempty" msgpack:"evidence"`
-	Original  []Weight    `json:"original-weights" msgpack:"original-weights"`
+	MoveID          MoveID      `json:"move-id" msgpack:"move-id"`
+	Request         MoveRequest `json:"request" msgpack:"request"`
+	State           MoveState   `json:"state" msgpack:"state"`
+	Share           PerMille    `json:"share-per-mille" msgpack:"share-per-mille"`
+	Step            uint64      `json:"step" msgpack:"step"`
+	StartedAt       time.Time   `json:"started-at" msgpack:"started-at"`
+	SteppedAt       time.Time   `json:"stepped-at" msgpack:"stepped-at"`
+	Cause           string      `json:"cause,omitempty" msgpack:"cause"`
+	Evidence        string      `json:"evidence,omitempty" msgpack:"evidence"`
+	OriginalWeights []Weight    `json:"original-weights" msgpack:"original-weights"`
 }
 
-// MoveStep is the leader's proposal to bring a move one step further; it applies only if Step is the move's Step plus one.
+// MoveStep is the leader's proposal for the next step of a move. It applies only if Step is one greater than the move's Step.
 type MoveStep struct {
 	MoveID   MoveID    `json:"move-id" msgpack:"move-id"`
 	Step     uint64    `json:"step" msgpack:"step"`
@@ -51,20 +51,21 @@
 	Evidence string    `json:"evidence,omitempty" msgpack:"evidence"`
 }
 
-// LatencyBuckets is the number of latency buckets of an EvidenceCount; bucket i counts answers below 2^i milliseconds, the last one all others.
+// LatencyBuckets is the number of latency buckets of an EvidenceCount. Bucket i counts answers that took less than 2^i
+// milliseconds; the last bucket counts all slower ones.
 const LatencyBuckets = 14
 
-// EvidenceCount holds cumulative outcomes of one service, route and release at one run of a node, or of all nodes of a data
-// centre below one run of a control instance; a later count replaces an earlier one.
+// EvidenceCount holds cumulative call counts of one service, route and release. They cover one run of a node, or the sum over
+// all nodes of a data centre as reported by one run of a control instance. A later count replaces an earlier one.
 type EvidenceCount struct {
 	Node        NodeID                 `json:"node" msgpack:"n"`
 	Incarnation Incarnation            `json:"incarnation" msgpack:"i"`
-	DataCentre  DataCentre             `json:"data-centre,omitempty" msgpack:"d,omitempty"` // set in a sum, which has no single node
-	Move        MoveID                 `json:"move,omitempty" msgpack:"m,omitempty"`        // the move during which it was counted
+	DataCentre  DataCentre             `json:"data-centre,omitempty" msgpack:"d,omitempty"` // set in sums, which belong to no single node
+	Move        MoveID                 `json:"move,omitempty" msgpack:"m,omitempty"`        // the move that was open at the time
 	Service     ServiceName            `json:"service" msgpack:"s"`
 	Route       RouteName              `json:"route" msgpack:"r"`
 	Release     Release                `json:"release" msgpack:"v"`
-	Calls       uint64                 `json:"calls" msgpack:"c"` // those that were turned away included, which have no latency
+	Calls       uint64                 `json:"calls" msgpack:"c"` // includes rejected calls, which have no latency
 	Failures    uint64                 `json:"failures" msgpack:"f"`
 	Crashes     uint64                 `json:"crashes" msgpack:"x"`
 	Latency     [LatencyBuckets]uint64 `json:"latency" msgpack:"l"`
--- a/core/record.go
+++ b/core/record.go
@@ -11,23 +11,23 @@
 	KindUpstream Kind = "upstream"
 	KindRoute    Kind = "route"
 	KindPolicy   Kind = "policy"
-	// KindDeclaration numbers a configuration that is submitted as a whole; its record's version is the operators' number.
+	// KindDeclaration versions a configuration that is submitted as a whole. The record's version is the operators' number for it.
 	KindDeclaration Kind = "declaration"
 )
 
-// Record is one versioned configuration record; Body stays raw so that a relay forwards fields it does not know.
+// Record is one versioned configuration record. Body stays undecoded so that relays pass on fields that they do not know.
 type Record struct {
 	Kind          Kind            `json:"kind" msgpack:"kind"`
 	Name          string          `json:"name" msgpack:"name"`
 	SchemaVersion SchemaVersion   `json:"schema-version" msgpack:"schema-version"`
 	Version       RecordVersion   `json:"version" msgpack:"version"`
 	Body          json.RawMessage `json:"body" msgpack:"body"`
-	// SinceMS is when a record of this kind and name was first accepted, in Unix milliseconds on the proposer's clock; zero
-	// if one was deleted before. The catalog sets it.
+	// SinceMS is the time at which a record of this kind and name was first accepted, in Unix milliseconds on the proposer's
+	// clock. It is zero if such a record was deleted before. The catalog sets it.
 	SinceMS int64 `json:"-" msgpack:"since-ms,omitempty"`
 }
 
-// RecordKey identifies a record; records of one kind and name may exist in several schema versions.
+// RecordKey identifies a record. Records of the same kind and name may exist in several schema versions.
 type RecordKey struct {
 	Kind          Kind          `json:"kind" msgpack:"kind"`
 	Name          string        `json:"name" msgpack:"name"`
@@ -43,7 +43,7 @@
 	}
 }
 
-// Deletion removes the record with the given key; Version must be greater than the record's version.
+// Deletion removes the record with the given key. Version must be greater than the version of the record.
 type Deletion struct {
 	Kind          Kind          `json:"kind" msgpack:"kind"`
 	Name          string        `json:"name" msgpack:"name"`
@@ -51,17 +51,17 @@
 	Version       RecordVersion `json:"version" msgpack:"version"`
 }
 
-// Submission is a set of records that is accepted or refused as a whole.
+// Submission is a set of changes to records that is accepted or refused as a whole.
 type Submission struct {
 	ID       SubmissionID `json:"submission-id,omitempty" msgpack:"submission-id"`
 	Operator Operator     `json:"operator,omitempty" msgpack:"operator"`
 	Records  []Record     `json:"records" msgpack:"records"`
 	Deletes  []Deletion   `json:"deletes,omitempty" msgpack:"deletes"`
-	// Expect makes the submission conditional; it is refused unless all expectations hold when it is decided.
+	// Expect makes the submission conditional: it is refused unless all expectations hold when it is applied.
 	Expect []Expectation `json:"expect,omitempty" msgpack:"expect,omitempty"`
 }
 
-// Expectation states the version of a record that a submission builds on; version zero means that there is no such record.
+// Expectation states the version of a record on which a submission is based. Version zero means that the record must not exist.
 type Expectation struct {
 	Kind          Kind          `json:"kind" msgpack:"kind"`
 	Name          string        `json:"name" msgpack:"name"`
@@ -79,20 +79,20 @@
 }
 
 // ServiceBody is the body of a service record, schema version 1. With AnyRelease, the service needs no policy and no upstream
-// records: calls go to each release that is announced, but for those that a move holds back.
+// records: calls go to every announced release, except for those that a move holds back.
 type ServiceBody struct {
 	Tenant         TenantID          `json:"tenant"`
 	Priority       Priority          `json:"priority,omitempty"`
 	AnyRelease     bool              `json:"any-release,omitempty"`
-	MaxConnections int               `json:"max-connections,omitempty"` // that one backend server accepts from all nodes together, 0 if not stated
+	MaxConnections int               `json:"max-connections,omitempty"` // limit of one backend server over all nodes, 0 if not stated
 	HealthPath     string            `json:"health-path,omitempty"`
-	Annotations    map[string]string `json:"annotations,omitempty"` // kept for the operators, without effect
+	Annotations    map[string]string `json:"annotations,omitempty"` // stored for operators, without effect
 }
 
-// OtherReleases stands for all releases of a service with AnyRelease that its weights do not name.
+// OtherReleases stands for all releases of a service with AnyRelease that have no weight of their own.
 const OtherReleases Release = "*"
 
-// DeclarationBody is the body of a declaration record, schema version 1. It bounds what callers may send; zero stands for the
+// DeclarationBody is the body of a declaration record, schema version 1. It limits what callers may send; zero selects the
 // node's own limit.
 type DeclarationBody struct {
 	MaxHeaderBytes  int64             `json:"max-header-bytes,omitempty"`
@@ -109,8 +109,8 @@
 	Slots   int         `json:"slots"`
 }
 
-// RouteBody is the body of a route record, schema version 1. A route leads to Service or, in its place, to the services of
-// Split by weight.
+// RouteBody is the body of a route record, schema version 1. A route leads either to Service or, by weight, to the services
+// in Split.
 type RouteBody struct {
 	PathPrefix      string            `json:"path-prefix"`
 	Host            string            `json:"host,omitempty"`
@@ -119,13 +119,13 @@
 	Split           []ServiceShare    `json:"split,omitempty"`
 	Idempotent      bool              `json:"idempotent,omitempty"`
 	TimeoutMS       int64             `json:"timeout-ms"`
-	TargetLatencyMS int64             `json:"target-latency-ms,omitempty"` // within which an answer is of full use, 0 if not stated
-	MaxAttempts     int               `json:"max-attempts,omitempty"`      // replaces that of the policy
+	TargetLatencyMS int64             `json:"target-latency-ms,omitempty"` // soft deadline, 0 if not stated
+	MaxAttempts     int               `json:"max-attempts,omitempty"`      // overrides the policy's value
 	Priority        Priority          `json:"priority,omitempty"`
 	Annotations     map[string]string `json:"annotations,omitempty"`
 }
 
-// ServiceShare gives one service its part of a route's calls.
+// ServiceShare is the weight of one service in the split of a route.
 type ServiceShare struct {
 	Service ServiceName `json:"service"`
 	Weight  int64       `json:"weight"`
@@ -143,25 +143,25 @@
 	return services
 }
 
-// Weight gives one upstream its share of a service's traffic.
+// Weight is the share of one upstream in a service's traffic.
 type Weight struct {
 	Upstream UpstreamName `json:"upstream" msgpack:"upstream"`
 	PerMille PerMille     `json:"per-mille" msgpack:"per-mille"`
 }
 
-// PolicyBody is the body of a policy record, schema version 1; its weights add up to 1000.
+// PolicyBody is the body of a policy record, schema version 1. Its weights add up to 1000.
 type PolicyBody struct {
 	Service     ServiceName `json:"service"`
 	Weights     []Weight    `json:"weights"`
 	MaxAttempts int         `json:"max-attempts,omitempty"`
 }
 
-// Override replaces the weights of a service's policy while a move is under way or after it has ended.
+// Override replaces the weights of a service's policy during a move and after its end.
 type Override struct {
 	Service ServiceName  `json:"service" msgpack:"service"`
 	Move    MoveID       `json:"move" msgpack:"move"`
 	From    UpstreamName `json:"from" msgpack:"from"`
 	To      UpstreamName `json:"to" msgpack:"to"`
-	Open    bool         `json:"open" msgpack:"open"` // the move has not ended
+	Open    bool         `json:"open" msgpack:"open"` // whether the move is still in progress
 	Weights []Weight     `json:"weights" msgpack:"weights"`
 }
--- a/core/rollout/recorder.go
+++ b/core/rollout/recorder.go
@@ -63,8 +63,8 @@
 	c.latency[bucket(latency)].Add(1)
 }
 
-// RecordTurnedAway implements core.EvidenceRecorder.
-func (r *Recorder) RecordTurnedAway(service core.ServiceName, route core.RouteName, release core.Release) {
+// RecordRejected implements core.EvidenceRecorder.
+func (r *Recorder) RecordRejected(service core.ServiceName, route core.RouteName, release core.Release) {
 	c := r.counter(recordKey{
 		service: service,
 		route:   route,
--- a/io/backendhttp/admission.go
+++ b/io/backendhttp/admission.go
@@ -71,11 +71,11 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return core.Load{
-		Running: q.running,
-		Waiting: len(q.waiting),
-		Limit:   q.slots,
-		Service: q.duration,
-		Route:   q.duration,
+		Running:          q.running,
+		Waiting:          len(q.waiting),
+		Limit:            q.slots,
+		ServiceTime:      q.duration,
+		RouteServiceTime: q.duration,
 	}
 }
 
--- a/io/backendhttp/handle.go
+++ b/io/backendhttp/handle.go
@@ -53,7 +53,7 @@
 	event.Str("event", "call-not-answered").Str("call", string(call.ID)).Str("route", string(call.Route)).Str("outcome", string(outcome)).
 		Err(cause).Int64("left-ms", time.Until(call.Deadline).Milliseconds()).Str("run", latest.Run).Str("state", string(latest.State)).
 		Int64("lease-left-ms", time.Until(until).Milliseconds()).Int("running", load.Running).Int("waiting", load.Waiting).
-		Int("slots", load.Limit).Int64("service-ms", load.Service.Milliseconds()).Msg("call not answered by the local backend server")
+		Int("slots", load.Limit).Int64("service-ms", load.ServiceTime.Milliseconds()).Msg("call not answered by the local backend server")
 }
 
 func (s *Server) handle(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
--- a/io/callerhttp/calllog.go
+++ b/io/callerhttp/calllog.go
@@ -38,7 +38,7 @@
 // endpoint's load was.
 func (l callLog) write(q *request, last result, status int) {
 	now := time.Now()
-	late := !q.call.Aim.IsZero() && now.After(q.call.Aim)
+	late := !q.call.SoftDeadline.IsZero() && now.After(q.call.SoftDeadline)
 	log, plain := l.failed, last.outcome == core.OutcomeAnswered && status < 500 && q.tries <= 1 && !late
 	if plain {
 		log = l.answered
@@ -53,7 +53,7 @@
 		Bool("late", late)
 	if last.endpoint.Node != "" {
 		event.Str("endpoint", string(last.endpoint.Node)).Str("release", string(last.release)).Int("running", last.load.Running).
-			Int("waiting", last.load.Waiting).Int("slots", last.load.Limit).Int64("service-ms", last.load.Service.Milliseconds())
+			Int("waiting", last.load.Waiting).Int("slots", last.load.Limit).Int64("service-ms", last.load.ServiceTime.Milliseconds())
 	}
 	if last.err != nil {
 		event.Str("cause", string(causeOf(last.err))).Str("detail", last.err.Error())
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -58,9 +58,9 @@
 				Tried:   past.triedOf(candidates),
 				Session: q.session,
 
-				Aim:      q.call.Aim,
-				Deadline: q.call.Deadline,
-				NoRoom:   q.refusals > 0,
+				SoftDeadline:    q.call.SoftDeadline,
+				Deadline:        q.call.Deadline,
+				CapacityRefused: q.refusals > 0,
 			}, candidates)
 			if found {
 				return endpoint, true
--- a/io/callerhttp/hedge.go
+++ b/io/callerhttp/hedge.go
@@ -172,11 +172,11 @@
 // unneeded tells the picker of an attempt that was cancelled or could not start.
 func (s *Server) unneeded(r result) {
 	s.options.Picker.Done(time.Now(), core.PickResult{
-		Endpoint: r.endpoint,
-		Outcome:  r.outcome,
-		Unneeded: true,
-		Latency:  r.latency,
-		Load:     r.load,
+		Endpoint:  r.endpoint,
+		Outcome:   r.outcome,
+		Discarded: true,
+		Latency:   r.latency,
+		Load:      r.load,
 	})
 }
 
--- a/io/callerhttp/hedge_test.go
+++ b/io/callerhttp/hedge_test.go
@@ -68,7 +68,7 @@
 	e.endpoints.mu.Unlock()
 	unneeded := 0
 	for _, each := range done[len(done)-2:] {
-		if each.Unneeded {
+		if each.Discarded {
 			c.Assert(each.Endpoint.Node, qt.Equals, core.NodeID("a"))
 			unneeded++
 		}
--- a/io/callerhttp/path_test.go
+++ b/io/callerhttp/path_test.go
@@ -54,7 +54,7 @@
 
 type noEvidence struct{}
 
-func (noEvidence) RecordTurnedAway(core.ServiceName, core.RouteName, core.Release) {}
+func (noEvidence) RecordRejected(core.ServiceName, core.RouteName, core.Release) {}
 
 func (noEvidence) Record(core.ServiceName, core.RouteName, core.Release, bool, bool, time.Duration) {}
 
--- a/io/callerhttp/request.go
+++ b/io/callerhttp/request.go
@@ -90,7 +90,7 @@
 		}
 	}
 	call := s.callOf(r, configuration, route, deadline, numbers.depth+1)
-	call.Aim, call.StartBy = aim, s.startLimit(now)
+	call.SoftDeadline, call.StartBy = aim, s.startLimit(now)
 	return &request{
 		configuration: configuration,
 		route:         route,
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -340,7 +340,7 @@
 	}
 	// A call goes round the endpoints of a release that is short of room; it counts once, as it does at one with few endpoints.
 	if cause := causeOf(last.err); q.tries == 1 && (retry.HadNoRoom(cause) || cause == core.CauseOverloaded) {
-		s.options.Evidence.RecordTurnedAway(q.route.Service, q.route.Name, last.release)
+		s.options.Evidence.RecordRejected(q.route.Service, q.route.Name, last.release)
 	}
 }
 
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -111,7 +111,7 @@
 	ticket, change := a.limiter.Arrive(time.Now(), limiter.Request{
 		Tenant:   call.Tenant,
 		Priority: call.Priority,
-		Aim:      call.Aim,
+		Aim:      call.SoftDeadline,
 		Deadline: call.Deadline,
 		StartBy:  call.StartBy,
 		NoWait:   call.Hedge,
--- a/io/node/moves.go
+++ b/io/node/moves.go
@@ -31,8 +31,8 @@
 }
 
 // RecordTurnedAway implements core.EvidenceRecorder.
-func (e *evidence) RecordTurnedAway(service core.ServiceName, route core.RouteName, release core.Release) {
-	e.recorder.RecordTurnedAway(service, route, release)
+func (e *evidence) RecordRejected(service core.ServiceName, route core.RouteName, release core.Release) {
+	e.recorder.RecordRejected(service, route, release)
 }
 
 // releaseAllowed reports whether this node still sends calls to a release.
--- a/io/nodepeer/messages.go
+++ b/io/nodepeer/messages.go
@@ -107,8 +107,8 @@
 		Running:   load.Running,
 		Waiting:   load.Waiting,
 		Limit:     load.Limit,
-		ServiceUS: load.Service.Microseconds(),
-		RouteUS:   load.Route.Microseconds(),
+		ServiceUS: load.ServiceTime.Microseconds(),
+		RouteUS:   load.RouteServiceTime.Microseconds(),
 	}
 }
 
@@ -118,11 +118,11 @@
 		return core.Load{}
 	}
 	return core.Load{
-		Running: m.Running,
-		Waiting: m.Waiting,
-		Limit:   m.Limit,
-		Service: time.Duration(m.ServiceUS) * time.Microsecond,
-		Route:   time.Duration(m.RouteUS) * time.Microsecond,
+		Running:          m.Running,
+		Waiting:          m.Waiting,
+		Limit:            m.Limit,
+		ServiceTime:      time.Duration(m.ServiceUS) * time.Microsecond,
+		RouteServiceTime: time.Duration(m.RouteUS) * time.Microsecond,
 	}
 }
 
@@ -181,7 +181,7 @@
 		IdempotencyKey: call.IdempotencyKey,
 		Priority:       call.Priority,
 		RemainingUS:    call.Deadline.Sub(now).Microseconds(),
-		AimUS:          untilOf(call.Aim, now),
+		AimUS:          untilOf(call.SoftDeadline, now),
 		StartByUS:      untilOf(call.StartBy, now),
 		Depth:          call.Depth,
 		Attempts:       call.AttemptsLeft,
@@ -216,7 +216,7 @@
 
 func callOf(message openMessage, now time.Time) *core.Call {
 	return &core.Call{
-		Aim:            pointOf(message.AimUS, now),
+		SoftDeadline:   pointOf(message.AimUS, now),
 		StartBy:        pointOf(message.StartByUS, now),
 		ID:             message.CallID,
 		Tenant:         message.Tenant,
