--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -19,14 +19,14 @@
 
 // Balancer implements core.Picker; it may be used from several goroutines.
 type Balancer struct {
-	options  Options
-	mu       sync.Mutex // guards all fields below
-	random   *rand.Rand
-	members  map[core.NodeID]*member
-	sessions sessionTable
-	next     int // round robin
-	forgetAt time.Time
-	started  time.Time
+	options         Options
+	mu              sync.Mutex // guards all fields below
+	random          *rand.Rand
+	members         map[core.NodeID]*member
+	sessions        sessionTable
+	roundRobinIndex int // round robin
+	nextRemovalAt   time.Time
+	firstUsedAt     time.Time
 }
 
 var _ core.Picker = (*Balancer)(nil)
@@ -66,9 +66,9 @@
 			all = append(all, m)
 		}
 	}
-	b.forget(now)
+	b.removeStale(now)
 	healthy := lo.Filter(all, func(m *member, _ int) bool { return !m.ejected(now) })
-	if float64(len(all)-len(healthy)) > panicShare*float64(len(all)) {
+	if float64(len(all)-len(healthy)) > panicThresholdRatio*float64(len(all)) {
 		healthy = all
 	}
 	preferred := lo.Filter(healthy, func(m *member, _ int) bool { return !m.avoided(now) })
@@ -80,28 +80,28 @@
 
 // member returns the statistics of an endpoint; a new incarnation starts with fresh ones.
 func (b *Balancer) member(now time.Time, endpoint core.Endpoint) *member {
-	if b.started.IsZero() {
-		b.started = now
+	if b.firstUsedAt.IsZero() {
+		b.firstUsedAt = now
 	}
-	held, exists := b.members[endpoint.Node]
-	if !exists || held.endpoint.Incarnation != endpoint.Incarnation || held.endpoint.Release != endpoint.Release {
+	m, exists := b.members[endpoint.Node]
+	if !exists || m.endpoint.Incarnation != endpoint.Incarnation || m.endpoint.Release != endpoint.Release {
 		// What is known right at the start of this node was running before it, so it is taken as warm.
-		warm := now.Sub(b.started) < time.Second
-		held = newMember(now, endpoint, warm)
-		b.members[endpoint.Node] = held
+		skipSlowStart := now.Sub(b.firstUsedAt) < time.Second
+		m = newMember(now, endpoint, skipSlowStart)
+		b.members[endpoint.Node] = m
 	}
-	held.endpoint = endpoint
-	held.seenAt = now
-	return held
+	m.endpoint = endpoint
+	m.lastCandidateAt = now
+	return m
 }
 
-func (b *Balancer) forget(now time.Time) {
-	if now.Before(b.forgetAt) {
+func (b *Balancer) removeStale(now time.Time) {
+	if now.Before(b.nextRemovalAt) {
 		return
 	}
-	b.forgetAt = now.Add(forgetAfter / 10)
+	b.nextRemovalAt = now.Add(memberRetention / 10)
 	for id, m := range b.members {
-		if m.outstanding == 0 && now.Sub(m.seenAt) > forgetAfter {
+		if m.outstanding == 0 && now.Sub(m.lastCandidateAt) > memberRetention {
 			delete(b.members, id)
 		}
 	}
@@ -117,44 +117,44 @@
 		return // an attempt at an earlier run says nothing about this one
 	}
 	m.outstanding = max(0, m.outstanding-1)
-	halfLife := loadHalfLife
+	halfLife := localLoadHalfLife
 	if m.endpoint.DataCentre != b.options.DataCentre {
-		halfLife = remoteHalfLife
+		halfLife = remoteLoadHalfLife
 	}
 	m.observeLoad(now, result.Route, result.Load, halfLife)
 	if result.Discarded {
-		if result.Latency.Seconds() > m.latency {
+		if result.Latency.Seconds() > m.latencySeconds {
 			m.observeLatency(now, result.Latency) // it would have taken even longer
 		}
 		return
 	}
 	if result.Outcome == core.OutcomeNotRun && !result.Failed {
-		m.avoidUntil = now.Add(avoidAfterRefusal)
+		m.avoidUntil = now.Add(refusalAvoidance)
 		return
 	}
-	m.observe(now, result.Latency, result.Failed)
+	m.observeAttempt(now, result.Latency, result.Failed)
 	if result.Failed && b.isOutlier(m) {
 		m.eject(now)
 	}
 }
 
 func (b *Balancer) isOutlier(m *member) bool {
-	if m.consecutive >= ejectAfterFailures {
+	if m.consecutiveFailures >= maxConsecutiveFailures {
 		return true
 	}
-	if m.calls < ejectMinCalls {
+	if m.recentCalls < minEjectionCalls {
 		return false
 	}
-	rate := m.failures / m.calls
-	return rate >= ejectRateFloor && rate >= ejectRateRatio*b.rateOfOthers(m)
+	rate := m.recentFailures / m.recentCalls
+	return rate >= minEjectionFailureRatio && rate >= ejectionFailureRateRatio*b.failureRateOfOthers(m)
 }
 
-func (b *Balancer) rateOfOthers(m *member) float64 {
+func (b *Balancer) failureRateOfOthers(m *member) float64 {
 	calls, failures := 0.0, 0.0
 	for _, other := range b.members {
 		if other != m && other.endpoint.Service == m.endpoint.Service {
-			calls += other.calls
-			failures += other.failures
+			calls += other.recentCalls
+			failures += other.recentFailures
 		}
 	}
 	if calls == 0 {
@@ -180,7 +180,7 @@
 		return EndpointStatus{
 			Node:        id,
 			Outstanding: m.outstanding,
-			LatencyMS:   m.latency * 1000,
+			LatencyMS:   m.latencySeconds * 1000,
 			FailureRate: m.failureRate(),
 			Ejected:     m.ejected(now),
 		}
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -29,7 +29,7 @@
 }
 
 // drive makes calls one after another and returns how many each node got.
-func drive(b *balancer.Balancer, now *time.Time, calls int, candidates []core.Endpoint, answer func(core.Endpoint) (time.Duration, bool)) map[core.NodeID]int {
+func runCalls(b *balancer.Balancer, now *time.Time, calls int, candidates []core.Endpoint, answer func(core.Endpoint) (time.Duration, bool)) map[core.NodeID]int {
 	picked := make(map[core.NodeID]int)
 	for range calls {
 		endpoint, ok := b.Pick(*now, core.PickRequest{Service: "transcripts", Release: "v1"}, candidates)
@@ -58,7 +58,7 @@
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
-	picked := drive(b, &now, 400, endpoints(4, "a"), func(e core.Endpoint) (time.Duration, bool) {
+	picked := runCalls(b, &now, 400, endpoints(4, "a"), func(e core.Endpoint) (time.Duration, bool) {
 		return time.Millisecond, e.Node == "a-0"
 	})
 	c.Assert(picked["a-0"] <= 10, qt.IsTrue, qt.Commentf("picked %v", picked))
@@ -69,7 +69,7 @@
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
-	picked := drive(b, &now, 400, endpoints(4, "a"), func(core.Endpoint) (time.Duration, bool) {
+	picked := runCalls(b, &now, 400, endpoints(4, "a"), func(core.Endpoint) (time.Duration, bool) {
 		return time.Millisecond, true
 	})
 	total := 0
@@ -81,15 +81,15 @@
 }
 
 // Guards against calls that cross data centres without need, and against staying near when the near one is much worse.
-func TestOwnDataCentreFirstUnlessWorse(t *testing.T) {
+func TestLocalDataCentreIsPreferredUnlessMuchWorse(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
 	both := append(endpoints(3, "a"), endpoints(3, "b")...)
-	picked := drive(b, &now, 300, both, healthy)
+	picked := runCalls(b, &now, 300, both, healthy)
 	c.Assert(picked["a-0"]+picked["a-1"]+picked["a-2"], qt.Equals, 300)
 
-	picked = drive(b, &now, 600, both, func(e core.Endpoint) (time.Duration, bool) {
+	picked = runCalls(b, &now, 600, both, func(e core.Endpoint) (time.Duration, bool) {
 		if e.DataCentre == "a" {
 			return 100 * time.Millisecond, false
 		}
@@ -99,18 +99,18 @@
 }
 
 // Guards against a cold backend server that gets its full share at once.
-func TestSlowStartLimitsANewRun(t *testing.T) {
+func TestSlowStartLimitsNewEndpoints(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
 	list := endpoints(4, "a")
-	drive(b, &now, 200, list[:3], healthy)
+	runCalls(b, &now, 200, list[:3], healthy)
 	now = now.Add(time.Minute)
-	picked := drive(b, &now, 100, list, healthy) // 1 s, a tenth of the slow start
+	picked := runCalls(b, &now, 100, list, healthy) // 1 s, a tenth of the slow start
 	c.Assert(picked["a-3"] < 10, qt.IsTrue, qt.Commentf("picked %v", picked))
 
 	now = now.Add(time.Minute)
-	picked = drive(b, &now, 400, list, healthy)
+	picked = runCalls(b, &now, 400, list, healthy)
 	c.Assert(picked["a-3"] > 50, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
@@ -125,7 +125,7 @@
 }
 
 // Guards against an endpoint that refused a call being asked again at once while others are free.
-func TestRefusalSteersAway(t *testing.T) {
+func TestRefusingEndpointIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{DataCentre: "a"})
 	list := endpoints(2, "a")
--- a/core/balancer/expected_test.go
+++ b/core/balancer/expected_test.go
@@ -11,7 +11,7 @@
 )
 
 // expectedWorld has two endpoints at home and two elsewhere, with what their nodes reported.
-func expectedWorld(loads map[core.NodeID]core.Load) (*balancer.Balancer, []core.Endpoint) {
+func newExpectedBalancer(loads map[core.NodeID]core.Load) (*balancer.Balancer, []core.Endpoint) {
 	b := balancer.New(balancer.Options{DataCentre: "home", Policy: balancer.PolicyExpected, Seed: 1})
 	all := append(endpoints(2, "home"), endpoints(2, "away")...)
 	for i := range all {
@@ -22,7 +22,7 @@
 		if !known {
 			continue
 		}
-		others := lessNode(all, endpoint.Node)
+		others := otherNodes(all, endpoint.Node)
 		if _, picked := b.Pick(start, core.PickRequest{Service: "transcripts", Route: "r", Tried: others}, all); picked {
 			b.Done(start, core.PickResult{Endpoint: endpoint, Route: "r", Outcome: core.OutcomeAnswered, Latency: load.ServiceTime, Load: load})
 		}
@@ -30,7 +30,7 @@
 	return b, all
 }
 
-func lessNode(all []core.Endpoint, node core.NodeID) []core.NodeID {
+func otherNodes(all []core.Endpoint, node core.NodeID) []core.NodeID {
 	var others []core.NodeID
 	for _, e := range all {
 		if e.Node != node {
@@ -41,7 +41,7 @@
 }
 
 // share picks 1,000 times without an end and returns the part that each data centre got; each pick is undone.
-func share(b *balancer.Balancer, all []core.Endpoint, request core.PickRequest) map[core.NodeID]float64 {
+func pickShares(b *balancer.Balancer, all []core.Endpoint, request core.PickRequest) map[core.NodeID]float64 {
 	got := make(map[core.NodeID]float64)
 	for range 1000 {
 		endpoint, picked := b.Pick(start, request, all)
@@ -59,7 +59,7 @@
 
 // Guards against calls that leave a data centre which can serve them in time, that stay in a full one while there is room
 // elsewhere, and that go to another full one in an overload, where they would take the place of its own.
-func TestCallsLeaveTheirDataCentreForRoomOnly(t *testing.T) {
+func TestCallsLeaveTheirDataCentreForSpareCapacityOnly(t *testing.T) {
 	c := qt.New(t)
 	idle, full := load(1, 0, 100*time.Millisecond), load(10, 30, 100*time.Millisecond)
 	request := core.PickRequest{Service: "transcripts", Route: "r", SoftDeadline: start.Add(300 * time.Millisecond), Deadline: start.Add(2 * time.Second)}
@@ -74,8 +74,8 @@
 		{name: "overload", home: full, away: full},
 		{name: "no room elsewhere", home: full, away: load(8, 0, 100*time.Millisecond)},
 	} {
-		b, all := expectedWorld(map[core.NodeID]core.Load{"home-0": test.home, "home-1": test.home, "away-0": test.away, "away-1": test.away})
-		got := share(b, all, request)
+		b, all := newExpectedBalancer(map[core.NodeID]core.Load{"home-0": test.home, "home-1": test.home, "away-0": test.away, "away-1": test.away})
+		got := pickShares(b, all, request)
 		away := got["away-0"] + got["away-1"]
 		c.Assert(away > 0.99, qt.Equals, test.leaves, qt.Commentf("%s: %v", test.name, got))
 		c.Assert(away < 0.01, qt.Equals, !test.leaves, qt.Commentf("%s: %v", test.name, got))
@@ -85,17 +85,17 @@
 // Guards against an endpoint that is a little slower and gets nothing while the others are idle, so that nothing is learnt of it.
 func TestSlowerEndpointsGetSomeCalls(t *testing.T) {
 	c := qt.New(t)
-	b, all := expectedWorld(map[core.NodeID]core.Load{"home-0": load(1, 0, 100*time.Millisecond), "home-1": load(1, 0, 200*time.Millisecond)})
-	got := share(b, all, core.PickRequest{Service: "transcripts", Route: "r", Deadline: start.Add(2 * time.Second)})
+	b, all := newExpectedBalancer(map[core.NodeID]core.Load{"home-0": load(1, 0, 100*time.Millisecond), "home-1": load(1, 0, 200*time.Millisecond)})
+	got := pickShares(b, all, core.PickRequest{Service: "transcripts", Route: "r", Deadline: start.Add(2 * time.Second)})
 	c.Assert(got["home-1"] > 0.05 && got["home-1"] < 0.3, qt.IsTrue, qt.Commentf("%v", got))
 }
 
 // Guards against a call that is offered to one full endpoint after the other in an overload.
-func TestRefusedCallsGoToRoomOnly(t *testing.T) {
+func TestRefusedCallsGoToSpareCapacityOnly(t *testing.T) {
 	c := qt.New(t)
 	full := load(10, 30, 100*time.Millisecond)
-	b, all := expectedWorld(map[core.NodeID]core.Load{"home-0": full, "home-1": full, "away-0": full, "away-1": full})
-	got := share(b, all, core.PickRequest{
+	b, all := newExpectedBalancer(map[core.NodeID]core.Load{"home-0": full, "home-1": full, "away-0": full, "away-1": full})
+	got := pickShares(b, all, core.PickRequest{
 		Service: "transcripts", Route: "r", Deadline: start.Add(2 * time.Second), CapacityRefused: true, Tried: []core.NodeID{"home-0", "home-1"},
 	})
 	c.Assert(got, qt.HasLen, 0)
--- a/core/balancer/member.go
+++ b/core/balancer/member.go
@@ -14,31 +14,31 @@
 	load        reportedLoad
 	sessions    int // sticky reservations
 
-	latency   float64 // seconds, weighted average
-	sampledAt time.Time
-
-	consecutive  int
-	calls        float64
-	failures     float64
-	countedAt    time.Time
-	ejections    int
-	ejectedUntil time.Time
-	avoidUntil   time.Time
-
-	warmAt time.Time // end of the slow start
-	seenAt time.Time
+	latencySeconds float64 // seconds, weighted average
+	sampledAt      time.Time
+
+	consecutiveFailures int
+	recentCalls         float64
+	recentFailures      float64
+	countedAt           time.Time
+	ejections           int
+	ejectedUntil        time.Time
+	avoidUntil          time.Time
+
+	slowStartEnd    time.Time // end of the slow start
+	lastCandidateAt time.Time
 }
 
-func newMember(now time.Time, endpoint core.Endpoint, warm bool) *member {
+func newMember(now time.Time, endpoint core.Endpoint, skipSlowStart bool) *member {
 	m := &member{
-		endpoint:  endpoint,
-		latency:   initialLatency.Seconds(),
-		sampledAt: now,
-		countedAt: now,
-		warmAt:    now,
+		endpoint:       endpoint,
+		latencySeconds: initialLatency.Seconds(),
+		sampledAt:      now,
+		countedAt:      now,
+		slowStartEnd:   now,
 	}
-	if !warm {
-		m.warmAt = now.Add(slowStart)
+	if !skipSlowStart {
+		m.slowStartEnd = now.Add(slowStartDuration)
 	}
 	return m
 }
@@ -62,48 +62,48 @@
 func (m *member) cost(now time.Time) float64 {
 	// An endpoint that is not used drifts back to the initial latency, so that one slow spell is not held against it for good.
 	kept := decay(now.Sub(m.sampledAt), 5*latencyHalfLife)
-	latency := m.latency*kept + initialLatency.Seconds()*(1-kept)
-	return float64(m.outstanding+1) * latency * (1 + failureCost*m.failureRate()) / m.warmth(now)
+	latency := m.latencySeconds*kept + initialLatency.Seconds()*(1-kept)
+	return float64(m.outstanding+1) * latency * (1 + failureCostRatio*m.failureRate()) / m.slowStartRatio(now)
 }
 
-func (m *member) warmth(now time.Time) float64 {
-	left := m.warmAt.Sub(now)
+func (m *member) slowStartRatio(now time.Time) float64 {
+	left := m.slowStartEnd.Sub(now)
 	if left <= 0 {
 		return 1
 	}
-	return max(slowStartFloor, 1-float64(left)/float64(slowStart))
+	return max(minSlowStartRatio, 1-float64(left)/float64(slowStartDuration))
 }
 
 func (m *member) failureRate() float64 {
-	return m.failures / max(m.calls, ejectMinCalls)
+	return m.recentFailures / max(m.recentCalls, minEjectionCalls)
 }
 
 // observe adds one finished attempt.
-func (m *member) observe(now time.Time, latency time.Duration, failed bool) {
+func (m *member) observeAttempt(now time.Time, latency time.Duration, failed bool) {
 	kept := decay(now.Sub(m.countedAt), countHalfLife)
-	m.calls = m.calls*kept + 1
-	m.failures *= kept
+	m.recentCalls = m.recentCalls*kept + 1
+	m.recentFailures *= kept
 	m.countedAt = now
 	if failed {
-		m.failures++
-		m.consecutive++
+		m.recentFailures++
+		m.consecutiveFailures++
 		return
 	}
-	m.consecutive = 0
+	m.consecutiveFailures = 0
 	m.observeLatency(now, latency)
 }
 
 // observeLatency weights a sample by the time since the last one, with a floor so that a burst still counts.
 func (m *member) observeLatency(now time.Time, latency time.Duration) {
 	weight := max(0.05, 1-decay(now.Sub(m.sampledAt), latencyHalfLife))
-	m.latency += (latency.Seconds() - m.latency) * weight
+	m.latencySeconds += (latency.Seconds() - m.latencySeconds) * weight
 	m.sampledAt = now
 }
 
 func (m *member) eject(now time.Time) {
 	m.ejections++
-	m.ejectedUntil = now.Add(min(time.Duration(m.ejections)*ejectFor, ejectAtMost))
-	m.consecutive = 0
-	m.calls = 0
-	m.failures = 0
+	m.ejectedUntil = now.Add(min(time.Duration(m.ejections)*baseEjectionDuration, maxEjectionDuration))
+	m.consecutiveFailures = 0
+	m.recentCalls = 0
+	m.recentFailures = 0
 }
--- a/core/balancer/policy.go
+++ b/core/balancer/policy.go
@@ -36,40 +36,40 @@
 	case PolicyRandom:
 		return usable[b.random.IntN(len(usable))]
 	case PolicyRoundRobin:
-		b.next++
-		return usable[b.next%len(usable)]
+		b.roundRobinIndex++
+		return usable[b.roundRobinIndex%len(usable)]
 	case PolicyLeastLoaded:
 		return lo.MinBy(usable, func(a, b *member) bool { return a.outstanding < b.outstanding })
 	case PolicyExpected:
-		return b.expected(now, request, usable)
+		return b.choosePreferringLocal(now, request, usable)
 	case PolicySticky:
 		if request.Session != "" {
 			return b.sticky(now, request.Session, usable)
 		}
 	}
-	return b.nearestOfTwo(now, usable)
+	return b.localPowerOfTwo(now, usable)
 }
 
-// nearestOfTwo prefers the own data centre unless an endpoint elsewhere is much better.
-func (b *Balancer) nearestOfTwo(now time.Time, usable []*member) *member {
+// localPowerOfTwo prefers the own data centre unless an endpoint elsewhere is much better.
+func (b *Balancer) localPowerOfTwo(now time.Time, usable []*member) *member {
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
 		return m.endpoint.DataCentre == b.options.DataCentre
 	})
 	if len(local) == 0 {
-		return b.betterOfTwo(now, remote)
+		return b.powerOfTwo(now, remote)
 	}
-	near := b.betterOfTwo(now, local)
+	localChoice := b.powerOfTwo(now, local)
 	if len(remote) == 0 {
-		return near
+		return localChoice
 	}
-	far := b.betterOfTwo(now, remote)
-	if far.cost(now)*remoteAdvantage < near.cost(now) {
-		return far
+	remoteChoice := b.powerOfTwo(now, remote)
+	if remoteChoice.cost(now)*remoteCostRatio < localChoice.cost(now) {
+		return remoteChoice
 	}
-	return near
+	return localChoice
 }
 
-func (b *Balancer) betterOfTwo(now time.Time, members []*member) *member {
+func (b *Balancer) powerOfTwo(now time.Time, members []*member) *member {
 	if len(members) == 1 {
 		return members[0]
 	}
@@ -92,13 +92,13 @@
 			}
 		}
 	}
-	chosen := lo.MinBy(usable, func(a, b *member) bool { return sessionBefore(session, a, b) })
+	chosen := lo.MinBy(usable, func(a, b *member) bool { return lessForSession(session, a, b) })
 	b.sessions.reserve(now, session, chosen, b.members)
 	return chosen
 }
 
-// sessionBefore orders by number of sessions; rendezvous hashing breaks ties, so that nodes agree without talking.
-func sessionBefore(session string, a, b *member) bool {
+// lessForSession orders by number of sessions; rendezvous hashing breaks ties, so that nodes agree without talking.
+func lessForSession(session string, a, b *member) bool {
 	if a.sessions != b.sessions {
 		return a.sessions < b.sessions
 	}
@@ -112,33 +112,33 @@
 
 // sessionTable holds the reservations of sticky sessions.
 type sessionTable struct {
-	held map[string]*reservation
+	reservations map[string]*reservation
 }
 
 func newSessionTable() sessionTable {
 	return sessionTable{
-		held: make(map[string]*reservation),
+		reservations: make(map[string]*reservation),
 	}
 }
 
 func (t *sessionTable) find(now time.Time, session string) (core.NodeID, bool) {
-	r, exists := t.held[session]
+	r, exists := t.reservations[session]
 	if !exists || now.After(r.expiresAt) {
 		return "", false
 	}
-	r.expiresAt = now.Add(sessionIdle)
+	r.expiresAt = now.Add(sessionIdleTimeout)
 	return r.node, true
 }
 
 func (t *sessionTable) reserve(now time.Time, session string, m *member, members map[core.NodeID]*member) {
-	if held, exists := t.held[session]; exists {
+	if held, exists := t.reservations[session]; exists {
 		t.release(held, members)
-	} else if len(t.held) >= maxSessions {
+	} else if len(t.reservations) >= maxSessions {
 		return
 	}
-	t.held[session] = &reservation{
+	t.reservations[session] = &reservation{
 		node:      m.endpoint.Node,
-		expiresAt: now.Add(sessionIdle),
+		expiresAt: now.Add(sessionIdleTimeout),
 	}
 	m.sessions++
 }
@@ -150,10 +150,10 @@
 }
 
 func (t *sessionTable) expire(now time.Time, members map[core.NodeID]*member) {
-	for session, r := range t.held {
+	for session, r := range t.reservations {
 		if now.After(r.expiresAt) {
 			t.release(r, members)
-			delete(t.held, session)
+			delete(t.reservations, session)
 		}
 	}
 }
--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -164,7 +164,7 @@
 
 func (r *replay) begin(call Call) {
 	entry := r.entries[call.Entry]
-	entry.budget.Call(r.clock.now)
+	entry.budget.RecordCall(r.clock.now)
 	c := &callState{
 		replay:   r,
 		entry:    entry,
@@ -207,7 +207,7 @@
 func (c *callState) hedge() {
 	now := c.replay.clock.now
 	allowed := func() bool { return c.entry.hedging.Allowed(now) && c.entry.budget.TakeHedge(now) }
-	if c.result.ended || len(c.tried) > 1 || !c.attempts.Another(retry.Repeat, allowed) {
+	if c.result.ended || len(c.tried) > 1 || !c.attempts.AllowRetry(retry.RetryBudgeted, allowed) {
 		return
 	}
 	if c.place(true) {
@@ -260,9 +260,9 @@
 	})
 	switch {
 	case r.outcome == core.OutcomeNotRun || retry.Overloaded(r.status):
-		c.entry.hedging.Shed(now)
+		c.entry.hedging.RecordOverload(now)
 	case r.outcome == core.OutcomeAnswered:
-		c.entry.hedging.Answered(now, now.Sub(a.began))
+		c.entry.hedging.RecordLatency(now, now.Sub(a.began))
 	}
 	if len(c.open) > 0 && (r.outcome != core.OutcomeAnswered || r.failed) {
 		return // the other attempt decides
@@ -272,7 +272,7 @@
 		class = retry.ClassifyAnswer(r.status, false, c.call.Idempotent)
 	}
 	c.failed = c.failed || r.outcome == core.OutcomeAnswered && r.failed
-	if c.attempts.Another(class, func() bool { return c.entry.budget.Take(now) }) {
+	if c.attempts.AllowRetry(class, func() bool { return c.entry.budget.Take(now) }) {
 		c.attempt()
 		return
 	}
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -40,7 +40,7 @@
 }
 
 // Guards against a full queue of one tenant that refuses the calls of another one.
-func TestFullQueueShedsTheGreatestTenant(t *testing.T) {
+func TestFullQueueShedsFromTheLongestTenantQueue(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(1)
 	for range 21 {
@@ -69,7 +69,7 @@
 }
 
 // Guards against running calls whose callers have given up, and against shedding a call that could still be served.
-func TestOnlyHopelessCallsAreShed(t *testing.T) {
+func TestOnlyCallsThatMissTheirDeadlineAreShed(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(1)
 	running, _ := l.Arrive(start, request("a", 0, time.Second))
@@ -115,7 +115,7 @@
 
 // Guards against a backend server with fewer slots than announced that sheds call after call, and against a limit that
 // collapses because answers of overload have another cause than concurrency.
-func TestLimitFallsAtOnceToWhatIsServed(t *testing.T) {
+func TestLimitFallsAtOnceToServedConcurrency(t *testing.T) {
 	c := qt.New(t)
 	run := func(shed func(running, n int) bool) (limit, sheds int) {
 		l := limiter.New(20)
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -7,29 +7,29 @@
 // BudgetOptions bound the repeated attempts of a node: in each Window at most Share of the calls, or Minimum if that is more.
 // With Added, the minimum comes on top of the share.
 type BudgetOptions struct {
-	Window  time.Duration
-	Share   float64
-	Minimum float64
-	Added   bool
+	Window     time.Duration
+	Ratio      float64
+	MinRetries float64
+	Additive   bool
 }
 
 // DefaultBudget is a tenth of the calls of the last second, or 3 if that is more.
 var DefaultBudget = BudgetOptions{
-	Window:  time.Second,
-	Share:   0.1,
-	Minimum: 3,
+	Window:     time.Second,
+	Ratio:      0.1,
+	MinRetries: 3,
 }
 
-// hedgeDivisor is the part of the budget that hedges may use.
-const hedgeDivisor = 2
+// hedgeBudgetDivisor is the part of the budget that hedges may use.
+const hedgeBudgetDivisor = 2
 
 // Budget bounds the repeated attempts of a node. It is not safe for concurrent use.
 type Budget struct {
-	options BudgetOptions
-	span    int64 // of one bucket, in nanoseconds
-	calls   [bucketCount]int
-	repeats [bucketCount]int
-	newest  int64 // number of the newest bucket, in spans since the Unix epoch
+	options           BudgetOptions
+	bucketNanoseconds int64 // of one bucket, in nanoseconds
+	calls             [bucketCount]int
+	retries           [bucketCount]int
+	newestBucket      int64 // number of the newest bucket, in spans since the Unix epoch
 }
 
 // NewBudget returns a budget with no calls; the zero options stand for DefaultBudget.
@@ -38,13 +38,13 @@
 		options = DefaultBudget
 	}
 	return &Budget{
-		options: options,
-		span:    int64(options.Window) / bucketCount,
+		options:           options,
+		bucketNanoseconds: int64(options.Window) / bucketCount,
 	}
 }
 
 // Call counts one call of a caller.
-func (b *Budget) Call(now time.Time) {
+func (b *Budget) RecordCall(now time.Time) {
 	b.calls[b.advance(now)]++
 }
 
@@ -55,41 +55,41 @@
 
 // TakeHedge is like Take, but leaves half of the budget to attempts that follow a failure.
 func (b *Budget) TakeHedge(now time.Time) bool {
-	return b.take(now, hedgeDivisor)
+	return b.take(now, hedgeBudgetDivisor)
 }
 
 func (b *Budget) take(now time.Time, divisor int) bool {
 	at := b.advance(now)
-	calls, repeats := 0, 0
+	calls, retries := 0, 0
 	for i := range bucketCount {
 		calls += b.calls[i]
-		repeats += b.repeats[i]
+		retries += b.retries[i]
 	}
-	if float64((repeats+1)*divisor) > b.allowed(calls) {
+	if float64((retries+1)*divisor) > b.maxRetries(calls) {
 		return false
 	}
-	b.repeats[at]++
+	b.retries[at]++
 	return true
 }
 
-func (b *Budget) allowed(calls int) float64 {
-	share := b.options.Share * float64(calls)
-	if b.options.Added {
-		return share + b.options.Minimum
+func (b *Budget) maxRetries(calls int) float64 {
+	ratioLimit := b.options.Ratio * float64(calls)
+	if b.options.Additive {
+		return ratioLimit + b.options.MinRetries
 	}
-	return max(share, b.options.Minimum)
+	return max(ratioLimit, b.options.MinRetries)
 }
 
 // advance clears the buckets that have aged out and returns the index of the current one.
 func (b *Budget) advance(now time.Time) int64 {
-	current := now.UnixNano() / b.span
-	if current-b.newest >= bucketCount {
-		b.newest = current - bucketCount
+	current := now.UnixNano() / b.bucketNanoseconds
+	if current-b.newestBucket >= bucketCount {
+		b.newestBucket = current - bucketCount
 	}
-	for b.newest < current {
-		b.newest++
-		b.calls[b.newest%bucketCount] = 0
-		b.repeats[b.newest%bucketCount] = 0
+	for b.newestBucket < current {
+		b.newestBucket++
+		b.calls[b.newestBucket%bucketCount] = 0
+		b.retries[b.newestBucket%bucketCount] = 0
 	}
-	return b.newest % bucketCount
+	return b.newestBucket % bucketCount
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -6,9 +6,9 @@
 	"parsleyport/core"
 )
 
-// MaxFreeTries bounds the attempts of one call that cost nothing, so that a fleet in which every node is leaving
+// MaxFreeRetries bounds the attempts of one call that cost nothing, so that a fleet in which every node is leaving
 // cannot keep a call going round.
-const MaxFreeTries = 8
+const MaxFreeRetries = 8
 
 // Class says what may follow an attempt.
 type Class int
@@ -18,11 +18,11 @@
 	// Final means that the result goes to the caller.
 	Final Class = iota
 	// Repeat means that another attempt is allowed at the cost of one attempt and of the budget.
-	Repeat
-	// RepeatFree means that another attempt costs nothing: the call met no overload and no backend server had any load of
+	RetryBudgeted
+	// RetryFree means that another attempt costs nothing: the call met no overload and no backend server had any load of
 	// it. If such attempts counted, the death of one node in three would use up the budget and refuse calls that the
 	// other two can serve.
-	RepeatFree
+	RetryFree
 )
 
 // Classify returns what may follow an attempt; repeatable says that a second run does no harm.
@@ -32,7 +32,7 @@
 		return classifyRefusal(cause)
 	case core.OutcomeUnknown:
 		if repeatable {
-			return Repeat
+			return RetryBudgeted
 		}
 	}
 	return Final
@@ -44,7 +44,7 @@
 // relayed answer is final, because the node further down has made the attempts that were left.
 func ClassifyAnswer(status int, relayed, repeatable bool) Class {
 	if repeatable && !relayed && (status == http.StatusServiceUnavailable || status == http.StatusBadGateway) {
-		return Repeat
+		return RetryBudgeted
 	}
 	return Final
 }
@@ -57,28 +57,28 @@
 func classifyRefusal(cause core.RefusalCause) Class {
 	switch cause {
 	case core.CauseLeaving, core.CauseNoBackend, core.CauseConnectFailed, core.CauseBackendRefused, core.CauseMisdirected, core.CauseRevoked:
-		return RepeatFree
+		return RetryFree
 	case core.CauseCrashSuspect, core.CauseTooDeep, core.CauseMalformedCall, core.CauseDuplicateCall, core.CauseNoRoute, core.CauseNotConfirmed, core.CauseTenantShare, core.CauseTooLarge:
 		return Final
 	}
-	return Repeat
+	return RetryBudgeted
 }
 
-// HadNoRoom reports whether the node beside a backend server refused a call that it would have had to keep waiting.
-func HadNoRoom(cause core.RefusalCause) bool {
+// RefusedForCapacity reports whether the node beside a backend server refused a call that it would have had to keep waiting.
+func RefusedForCapacity(cause core.RefusalCause) bool {
 	return cause == core.CauseDeadline || cause == core.CauseQueueFull
 }
 
 // Gone reports whether a refusal means that its node is of no use to the call. After a revocation it still is: the call
 // had lost its connection, and a new one may work.
-func Gone(cause core.RefusalCause) bool {
-	return classifyRefusal(cause) == RepeatFree && cause != core.CauseRevoked
+func NodeUnavailable(cause core.RefusalCause) bool {
+	return classifyRefusal(cause) == RetryFree && cause != core.CauseRevoked
 }
 
 // Attempts counts the attempts of one call.
 type Attempts struct {
-	left int
-	free int
+	left        int
+	freeRetries int
 }
 
 // NewAttempts returns the attempts of a call: the policy's number, or what the calling level has left if that is lower.
@@ -88,14 +88,14 @@
 		left = min(left, inherited)
 	}
 	return Attempts{
-		left: max(left, 1),
-		free: MaxFreeTries,
+		left:        max(left, 1),
+		freeRetries: MaxFreeRetries,
 	}
 }
 
 // Waited gives one free try back to a call that has waited, since the wait bounds the rate of its tries.
-func (a *Attempts) Waited() {
-	a.free = min(a.free+1, MaxFreeTries)
+func (a *Attempts) RestoreFreeRetry() {
+	a.freeRetries = min(a.freeRetries+1, MaxFreeRetries)
 }
 
 // Start takes one attempt and returns how many attempts the calls below this one may make. The number falls with each
@@ -106,16 +106,16 @@
 }
 
 // Another reports whether the class allows one more attempt; it asks the budget only for attempts that cost something.
-func (a *Attempts) Another(class Class, budget func() bool) bool {
+func (a *Attempts) AllowRetry(class Class, budget func() bool) bool {
 	switch class {
-	case RepeatFree:
-		if a.free == 0 {
+	case RetryFree:
+		if a.freeRetries == 0 {
 			return false
 		}
-		a.free--
+		a.freeRetries--
 		a.left++
 		return true
-	case Repeat:
+	case RetryBudgeted:
 		return a.left > 0 && budget()
 	}
 	return false
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a second run of a call that is not idempotent.
-func TestOnlyNotRunIsRepeatedUnlessRepeatable(t *testing.T) {
+func TestOnlyNotRunIsRetriedUnlessRepeatable(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		outcome    core.Outcome
@@ -22,10 +22,10 @@
 	}{
 		{outcome: core.OutcomeAnswered, repeatable: true, want: retry.Final},
 		{outcome: core.OutcomeUnknown, want: retry.Final},
-		{outcome: core.OutcomeUnknown, repeatable: true, want: retry.Repeat},
-		{outcome: core.OutcomeNotRun, cause: core.CauseQueueFull, want: retry.Repeat},
-		{outcome: core.OutcomeNotRun, cause: core.CauseConnectFailed, want: retry.RepeatFree},
-		{outcome: core.OutcomeNotRun, cause: core.CauseLeaving, want: retry.RepeatFree},
+		{outcome: core.OutcomeUnknown, repeatable: true, want: retry.RetryBudgeted},
+		{outcome: core.OutcomeNotRun, cause: core.CauseQueueFull, want: retry.RetryBudgeted},
+		{outcome: core.OutcomeNotRun, cause: core.CauseConnectFailed, want: retry.RetryFree},
+		{outcome: core.OutcomeNotRun, cause: core.CauseLeaving, want: retry.RetryFree},
 		{outcome: core.OutcomeNotRun, cause: core.CauseCrashSuspect, repeatable: true, want: retry.Final},
 		{outcome: core.Outcome("odd"), want: retry.Final},
 	} {
@@ -34,7 +34,7 @@
 }
 
 // Guards against a retry storm: repetitions stay under a tenth of the calls, or 3 a second, whatever fails.
-func TestBudgetBoundsRepetitions(t *testing.T) {
+func TestBudgetLimitsRetries(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ callsPerSecond, most int }{
 		{callsPerSecond: 5, most: 3},
@@ -42,19 +42,19 @@
 	} {
 		budget := retry.NewBudget(retry.BudgetOptions{})
 		now := time.Unix(1_000_000, 0)
-		repeats := 0
+		retries := 0
 		const seconds = 20
 		for range seconds * test.callsPerSecond {
 			now = now.Add(time.Second / time.Duration(test.callsPerSecond))
-			budget.Call(now)
+			budget.RecordCall(now)
 			for range 2 { // each attempt fails
 				if budget.Take(now) {
-					repeats++
+					retries++
 				}
 			}
 		}
-		c.Assert(repeats <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d repetitions", repeats))
-		c.Assert(repeats >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d repetitions", repeats))
+		c.Assert(retries <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d repetitions", retries))
+		c.Assert(retries >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d repetitions", retries))
 	}
 }
 
@@ -70,7 +70,7 @@
 		total := 0
 		for attempts := retry.NewAttempts(policy, inherited); ; {
 			total += runs(policy, attempts.Start(), depth+1)
-			if !attempts.Another(retry.Repeat, always) {
+			if !attempts.AllowRetry(retry.RetryBudgeted, always) {
 				return total
 			}
 		}
@@ -82,20 +82,20 @@
 
 // Guards against a call that goes round for ever while every node is leaving, and against a leaving node using up
 // attempts or budget.
-func TestLeavingNodesCostNothing(t *testing.T) {
+func TestRetriesAtLeavingNodesAreFree(t *testing.T) {
 	c := qt.New(t)
 	attempts := retry.NewAttempts(1, 0)
 	never := func() bool { t.Error("the budget was asked"); return false }
 	tries := 1
-	for attempts.Start(); attempts.Another(retry.RepeatFree, never); attempts.Start() {
+	for attempts.Start(); attempts.AllowRetry(retry.RetryFree, never); attempts.Start() {
 		tries++
 	}
-	c.Assert(tries, qt.Equals, 1+retry.MaxFreeTries)
+	c.Assert(tries, qt.Equals, 1+retry.MaxFreeRetries)
 }
 
 // Guards against hedges before the latency is known, against a delay that is not the 95th percentile, against old latencies,
 // and against hedges right after the service has shed calls.
-func TestHedgesFollowTheLatency(t *testing.T) {
+func TestHedgeDelayFollowsTheLatency(t *testing.T) {
 	c := qt.New(t)
 	var h retry.Hedging
 	now := time.Unix(1_000_000, 0)
@@ -106,12 +106,12 @@
 		if n%25 == 0 { // 4%
 			took = time.Second
 		}
-		h.Answered(now, took)
+		h.RecordLatency(now, took)
 	}
 	delay, _ := h.Delay(now)
 	c.Assert(delay >= 10*time.Millisecond && delay <= 12500*time.Microsecond, qt.IsTrue, qt.Commentf("%v", delay))
 	for range 20 { // together 6%
-		h.Answered(now, time.Second)
+		h.RecordLatency(now, time.Second)
 	}
 	delay, _ = h.Delay(now)
 	c.Assert(delay >= time.Second && delay <= 1250*time.Millisecond, qt.IsTrue, qt.Commentf("%v", delay))
@@ -119,7 +119,7 @@
 	c.Assert(known, qt.IsFalse)
 
 	c.Assert(h.Allowed(now), qt.IsTrue)
-	h.Shed(now)
+	h.RecordOverload(now)
 	c.Assert(h.Allowed(now.Add(999*time.Millisecond)), qt.IsFalse)
 	c.Assert(h.Allowed(now.Add(time.Second)), qt.IsTrue)
 }
@@ -130,7 +130,7 @@
 	budget := retry.NewBudget(retry.BudgetOptions{})
 	now := time.Unix(1_000_000, 0)
 	for range 1000 {
-		budget.Call(now)
+		budget.RecordCall(now)
 	}
 	count := func(take func(time.Time) bool) (n int) {
 		for take(now) {
@@ -155,7 +155,7 @@
 		{status: http.StatusInternalServerError, want: retry.Final},
 		{status: http.StatusInternalServerError, relayed: true, repeatable: true, want: retry.Final},
 		{status: http.StatusGatewayTimeout, repeatable: true, want: retry.Final},
-		{status: http.StatusServiceUnavailable, repeatable: true, want: retry.Repeat},
+		{status: http.StatusServiceUnavailable, repeatable: true, want: retry.RetryBudgeted},
 		{status: http.StatusServiceUnavailable, relayed: true, repeatable: true, want: retry.Final},
 		{status: http.StatusServiceUnavailable, want: retry.Final},
 	} {
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -14,29 +14,29 @@
 // the nodes' windows begin at different times, and calls come in bursts, at other nodes each time.
 //
 // Replays 100 nodes whose every call fails and is tried again three times, while the rate of calls changes every few seconds.
-func TestNodesKeepTheSharedBudget(t *testing.T) {
+func TestNodesStayWithinTheSharedBudget(t *testing.T) {
 	c := qt.New(t)
 	const (
-		nodes  = 100
-		window = 10 * time.Second
-		share  = 0.2
-		slack  = 62.0
-		part   = 0.7 // of the shared budget that nodes use
-		step   = 100 * time.Millisecond
-		steps  = 900
+		nodes      = 100
+		window     = 10 * time.Second
+		retryRatio = 0.2
+		slack      = 62.0
+		nodeRatio  = 0.7 // of the shared budget that nodes use
+		step       = 100 * time.Millisecond
+		steps      = 900
 	)
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		budgets := make([]*retry.Budget, nodes)
 		for i := range budgets {
 			budgets[i] = retry.NewBudget(retry.BudgetOptions{
-				Window:  window,
-				Share:   share * part,
-				Minimum: slack * part / nodes,
-				Added:   true,
+				Window:     window,
+				Ratio:      retryRatio * nodeRatio,
+				MinRetries: slack * nodeRatio / nodes,
+				Additive:   true,
 			})
 		}
-		var calls, repeats [steps]int
+		var calls, retries [steps]int
 		rate, busy := 0, 1
 		start := time.Unix(1_700_000_000, random.Int64N(int64(window)))
 		for at := range steps {
@@ -46,11 +46,11 @@
 			for range rate {
 				budget := budgets[random.IntN(busy)]
 				now := start.Add(time.Duration(at)*step + time.Duration(random.Int64N(int64(step))))
-				budget.Call(now)
+				budget.RecordCall(now)
 				calls[at]++
 				for range 3 {
 					if budget.Take(now) {
-						repeats[at]++
+						retries[at]++
 					}
 				}
 			}
@@ -64,8 +64,8 @@
 		}
 		for from := range steps - length {
 			asked := max(total(calls, from), total(calls, from-length), total(calls, from-length/2))
-			allowed := share*float64(asked) + slack
-			c.Assert(float64(total(repeats, from)) <= allowed, qt.IsTrue, qt.Commentf("seed %d, from %d: %d of %.0f", seed, from, total(repeats, from), allowed))
+			allowed := retryRatio*float64(asked) + slack
+			c.Assert(float64(total(retries, from)) <= allowed, qt.IsTrue, qt.Commentf("seed %d, from %d: %d of %.0f", seed, from, total(retries, from), allowed))
 		}
 	}
 }
--- a/io/callerhttp/hedge.go
+++ b/io/callerhttp/hedge.go
@@ -90,7 +90,7 @@
 	if !found {
 		return core.Endpoint{}, false
 	}
-	if !q.attempts.Another(retry.Repeat, func() bool { return s.takeHedge(q.route.Service, now) }) {
+	if !q.attempts.AllowRetry(retry.RetryBudgeted, func() bool { return s.takeHedge(q.route.Service, now) }) {
 		s.unneeded(result{
 			endpoint: endpoint,
 		})
@@ -223,10 +223,10 @@
 	}
 	switch {
 	case r.outcome == core.OutcomeAnswered && retry.Overloaded(r.answer.Status):
-		hedging.Shed(now)
+		hedging.RecordOverload(now)
 	case r.outcome == core.OutcomeAnswered:
-		hedging.Answered(now, r.latency)
-	case r.outcome == core.OutcomeNotRun && causeOf(r.err) != core.CauseRevoked && !retry.Gone(causeOf(r.err)):
-		hedging.Shed(now)
+		hedging.RecordLatency(now, r.latency)
+	case r.outcome == core.OutcomeNotRun && causeOf(r.err) != core.CauseRevoked && !retry.NodeUnavailable(causeOf(r.err)):
+		hedging.RecordOverload(now)
 	}
 }
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -101,7 +101,7 @@
 	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGrace)) // fails only on a connection that is gone
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	s.mu.Lock()
-	s.budgetOf(q.route.Service).Call(q.began)
+	s.budgetOf(q.route.Service).RecordCall(q.began)
 	s.mu.Unlock()
 	defer s.latency.UpdateDuration(q.began)
 	defer s.endWait(q)
@@ -173,7 +173,7 @@
 		if last.beside != nil {
 			earlier.tried = append(earlier.tried, *last.beside)
 		}
-		if last.outcome == core.OutcomeAnswered || retry.Gone(causeOf(last.err)) {
+		if last.outcome == core.OutcomeAnswered || retry.NodeUnavailable(causeOf(last.err)) {
 			earlier.gone = append(earlier.gone, last.endpoint)
 		}
 		s.retries.Inc()
@@ -192,9 +192,9 @@
 func (s *Server) classify(ctx context.Context, q *request, last *result) retry.Class {
 	if last.outcome != core.OutcomeAnswered {
 		class := retry.Classify(last.outcome, causeOf(last.err), q.call.Idempotent)
-		if class == retry.Repeat && last.outcome == core.OutcomeNotRun && q.refusals < s.options.RefusalTries && retry.HadNoRoom(causeOf(last.err)) {
+		if class == retry.RetryBudgeted && last.outcome == core.OutcomeNotRun && q.refusals < s.options.RefusalTries && retry.RefusedForCapacity(causeOf(last.err)) {
 			q.refusals++
-			return retry.RepeatFree
+			return retry.RetryFree
 		}
 		return class
 	}
@@ -339,7 +339,7 @@
 		return
 	}
 	// A call goes round the endpoints of a release that is short of room; it counts once, as it does at one with few endpoints.
-	if cause := causeOf(last.err); q.tries == 1 && (retry.HadNoRoom(cause) || cause == core.CauseOverloaded) {
+	if cause := causeOf(last.err); q.tries == 1 && (retry.RefusedForCapacity(cause) || cause == core.CauseOverloaded) {
 		s.options.Evidence.RecordRejected(q.route.Service, q.route.Name, last.release)
 	}
 }
--- a/io/callerhttp/wait.go
+++ b/io/callerhttp/wait.go
@@ -72,7 +72,7 @@
 // mayWait reports whether a call may wait after its last attempt, if there was one. After a refusal for overload it may
 // not: it would only be refused later.
 func mayWait(last result) bool {
-	return last.outcome == "" || (last.outcome == core.OutcomeNotRun && retry.Gone(causeOf(last.err)))
+	return last.outcome == "" || (last.outcome == core.OutcomeNotRun && retry.NodeUnavailable(causeOf(last.err)))
 }
 
 // awaitEndpoint waits while no endpoint is usable; it returns false if the call is to be refused. The endpoints of nodes
@@ -85,7 +85,7 @@
 		s.options.Use(q.route.Service) // its subscription may have ended when the call began
 		changed := s.options.EndpointsChanged(q.route.Service)
 		if s.usable(q, *earlier) {
-			q.attempts.Waited()
+			q.attempts.RestoreFreeRetry()
 			return true
 		}
 		over, woken := pause(ctx, q, changed)
@@ -143,15 +143,15 @@
 // at the pace of a waiting call.
 func (s *Server) another(ctx context.Context, q *request, class retry.Class) bool {
 	take := func() bool { return s.takeBudget(q.route.Service) }
-	if q.attempts.Another(class, take) {
+	if q.attempts.AllowRetry(class, take) {
 		return true
 	}
-	if class != retry.RepeatFree || s.options.EndpointsChanged == nil || !s.beginWait(q) {
+	if class != retry.RetryFree || s.options.EndpointsChanged == nil || !s.beginWait(q) {
 		return false
 	}
 	if over, _ := pause(ctx, q, nil); over {
 		return false
 	}
-	q.attempts.Waited()
-	return q.attempts.Another(class, take)
+	q.attempts.RestoreFreeRetry()
+	return q.attempts.AllowRetry(class, take)
 }
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -26,7 +26,7 @@
 
 func newAdmission(options limiter.Options) (*admission, func()) {
 	a := &admission{
-		limiter: limiter.NewWith(1, options),
+		limiter: limiter.NewWithOptions(1, options),
 		waiting: make(map[limiter.Ticket]chan *core.Refusal),
 		queued:  ring.New[struct{}](1),
 	}
@@ -109,13 +109,13 @@
 	defer a.mu.Unlock()
 	turn := make(chan *core.Refusal, 1)
 	ticket, change := a.limiter.Arrive(time.Now(), limiter.Request{
-		Tenant:   call.Tenant,
-		Priority: call.Priority,
-		Aim:      call.SoftDeadline,
-		Deadline: call.Deadline,
-		StartBy:  call.StartBy,
-		NoWait:   call.Hedge,
-		Class:    call.Route,
+		Tenant:       call.Tenant,
+		Priority:     call.Priority,
+		SoftDeadline: call.SoftDeadline,
+		Deadline:     call.Deadline,
+		StartBy:      call.StartBy,
+		NoWait:       call.Hedge,
+		Class:        call.Route,
 	})
 	a.waiting[ticket] = turn
 	a.follow(change)
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -45,8 +45,8 @@
 		return nil, err
 	}
 	admission, stopAdmission := newAdmission(limiter.Options{
-		TrustSlots: p.options.TrustSlots,
-		AimFirst:   p.options.AimFirst,
+		TrustSlots:        p.options.TrustSlots,
+		SoftDeadlineFirst: p.options.AimFirst,
 	})
 	p.cleanups.add(stopAdmission)
 	server, cleanup, err := backendhttp.New(backendhttp.Options{
