--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -14,24 +14,24 @@
 type Options struct {
 	DataCentre core.DataCentre
 	Policy     Policy // empty for PolicyPowerOfTwo
-	Seed       uint64 // equal seeds give equal choices
+	Seed       uint64 // seed of the random choices; equal seeds give equal choices
 }
 
-// Balancer implements core.Picker; it may be used from several goroutines.
+// Balancer implements core.Picker. It is safe for concurrent use.
 type Balancer struct {
 	options         Options
 	mu              sync.Mutex // guards all fields below
 	random          *rand.Rand
 	members         map[core.NodeID]*member
 	sessions        sessionTable
-	roundRobinIndex int // round robin
+	roundRobinIndex int
 	nextRemovalAt   time.Time
 	firstUsedAt     time.Time
 }
 
 var _ core.Picker = (*Balancer)(nil)
 
-// New returns a balancer; an unknown policy is treated as PolicyPowerOfTwo.
+// New returns a balancer. An unknown policy is treated as PolicyPowerOfTwo.
 func New(options Options) *Balancer {
 	return &Balancer{
 		options:  options,
@@ -41,7 +41,7 @@
 	}
 }
 
-// Pick implements core.Picker: endpoints that were tried, leave, or are ejected come last or not at all.
+// Pick implements core.Picker. Endpoints that were tried or are leaving are never chosen, ejected ones only above the panic threshold.
 func (b *Balancer) Pick(now time.Time, request core.PickRequest, candidates []core.Endpoint) (core.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +57,7 @@
 	return chosen.endpoint, true
 }
 
-// usable returns the members to choose from, after ejections and the panic threshold.
+// usable returns the members to choose from after outlier ejection and the panic threshold.
 func (b *Balancer) usable(now time.Time, request core.PickRequest, candidates []core.Endpoint) []*member {
 	all := make([]*member, 0, len(candidates))
 	for _, endpoint := range candidates {
@@ -78,14 +78,14 @@
 	return healthy
 }
 
-// member returns the statistics of an endpoint; a new incarnation starts with fresh ones.
+// member returns the statistics of an endpoint. A new incarnation or release starts with empty statistics.
 func (b *Balancer) member(now time.Time, endpoint core.Endpoint) *member {
 	if b.firstUsedAt.IsZero() {
 		b.firstUsedAt = now
 	}
 	m, exists := b.members[endpoint.Node]
 	if !exists || m.endpoint.Incarnation != endpoint.Incarnation || m.endpoint.Release != endpoint.Release {
-		// What is known right at the start of this node was running before it, so it is taken as warm.
+		// Endpoints that are known when this node starts were already running, so they skip the slow start.
 		skipSlowStart := now.Sub(b.firstUsedAt) < time.Second
 		m = newMember(now, endpoint, skipSlowStart)
 		b.members[endpoint.Node] = m
@@ -114,7 +114,7 @@
 	defer b.mu.Unlock()
 	m, exists := b.members[result.Endpoint.Node]
 	if !exists || m.endpoint.Incarnation != result.Endpoint.Incarnation {
-		return // an attempt at an earlier run says nothing about this one
+		return // an attempt at an earlier incarnation says nothing about this one
 	}
 	m.outstanding = max(0, m.outstanding-1)
 	halfLife := localLoadHalfLife
@@ -124,7 +124,7 @@
 	m.observeLoad(now, result.Route, result.Load, halfLife)
 	if result.Discarded {
 		if result.Latency.Seconds() > m.latencySeconds {
-			m.observeLatency(now, result.Latency) // it would have taken even longer
+			m.observeLatency(now, result.Latency) // a lower bound: the cancelled attempt would have taken longer
 		}
 		return
 	}
@@ -163,7 +163,7 @@
 	return failures / calls
 }
 
-// EndpointStatus describes an endpoint as this node sees it.
+// EndpointStatus is this node's view of an endpoint.
 type EndpointStatus struct {
 	Node        core.NodeID `json:"node"`
 	Outstanding int         `json:"outstanding"`
@@ -172,7 +172,7 @@
 	Ejected     bool        `json:"ejected"`
 }
 
-// Status describes all known endpoints, for a state dump.
+// Status returns the status of all known endpoints for a state dump.
 func (b *Balancer) Status(now time.Time) []EndpointStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -28,7 +28,7 @@
 	return list
 }
 
-// drive makes calls one after another and returns how many each node got.
+// runCalls makes calls one after another and returns how many each node got.
 func runCalls(b *balancer.Balancer, now *time.Time, calls int, candidates []core.Endpoint, answer func(core.Endpoint) (time.Duration, bool)) map[core.NodeID]int {
 	picked := make(map[core.NodeID]int)
 	for range calls {
@@ -53,7 +53,7 @@
 	return time.Millisecond, false
 }
 
-// Guards against a bad backend server that keeps getting calls because it fails fast.
+// Guards against a broken backend server that attracts calls because it fails fast.
 func TestFailingEndpointIsEjected(t *testing.T) {
 	c := qt.New(t)
 	now := start
@@ -64,7 +64,7 @@
 	c.Assert(picked["a-0"] <= 10, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
-// Guards against refusing all callers when most endpoints look bad, which more likely is a fault of the measurement.
+// Guards against refusing all calls when most endpoints look bad, which more likely is a fault of the measurement.
 func TestPanicThresholdKeepsServing(t *testing.T) {
 	c := qt.New(t)
 	now := start
@@ -80,7 +80,7 @@
 	c.Assert(picked, qt.HasLen, 4)
 }
 
-// Guards against calls that cross data centres without need, and against staying near when the near one is much worse.
+// Guards against calls that cross data centres without need, and against staying local when the local endpoints are much worse.
 func TestLocalDataCentreIsPreferredUnlessMuchWorse(t *testing.T) {
 	c := qt.New(t)
 	now := start
@@ -98,7 +98,7 @@
 	c.Assert(picked["b-0"]+picked["b-1"]+picked["b-2"] > 300, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
-// Guards against a cold backend server that gets its full share at once.
+// Guards against a newly started backend server that gets its full share of calls at once.
 func TestSlowStartLimitsNewEndpoints(t *testing.T) {
 	c := qt.New(t)
 	now := start
@@ -114,7 +114,7 @@
 	c.Assert(picked["a-3"] > 50, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
-// Guards against a second attempt at an endpoint that already failed the call, and against calls to a leaving one.
+// Guards against a second attempt at an endpoint that already failed the call, and against calls to a leaving endpoint.
 func TestTriedAndLeavingEndpointsAreNotPicked(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{DataCentre: "a"})
@@ -124,7 +124,7 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// Guards against an endpoint that refused a call being asked again at once while others are free.
+// Guards against another call to an endpoint right after it refused one, while other endpoints are available.
 func TestRefusingEndpointIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{DataCentre: "a"})
@@ -140,7 +140,7 @@
 	}
 }
 
-// Guards against sessions that change their endpoint while it is healthy, or that all pile up on one.
+// Guards against sessions that leave a healthy endpoint, or that all end up at the same one.
 func TestStickySessionsAreSpreadAndKept(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{
--- a/core/balancer/doc.go
+++ b/core/balancer/doc.go
@@ -1,3 +1,3 @@
-// Package balancer chooses the endpoint for each attempt of a call. It judges endpoints by what this node has seen of
-// them (outstanding attempts, latency, failures), because reported health and load lag or mislead.
+// Package balancer chooses the endpoint for each attempt of a call. Except for PolicyExpected, it rates endpoints only by what
+// this node observes (outstanding attempts, latency, failures), because reported health and load may be outdated or wrong.
 package balancer
--- a/core/balancer/expected.go
+++ b/core/balancer/expected.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// localLoadHalfLife is how fast a report of other nodes' calls loses weight: about the time of a few calls.
+	// localLoadHalfLife is the half-life of the reported load of other nodes' calls, about the duration of a few calls.
 	localLoadHalfLife = 500 * time.Millisecond
-	// remoteLoadHalfLife is longer: few calls go to another data centre, and each one that finds it full has cost its bytes.
+	// remoteLoadHalfLife is longer, because few calls go to another data centre, and each one refused there has used bandwidth.
 	remoteLoadHalfLife = 10 * time.Second
-	// maxSampledMembers are compared of more endpoints than that: all nodes see the same reports, and would all take the best one.
+	// maxSampledMembers is the number of randomly chosen endpoints that are compared. All nodes see the same reports and would
+	// otherwise all choose the best endpoint.
 	maxSampledMembers = 6
-	// responseTimeExponent makes an endpoint that takes twice as long eight times less likely.
+	// responseTimeExponent makes an endpoint with twice the response time eight times less likely to be chosen.
 	responseTimeExponent = 3
-	// minResponseTime keeps a weight finite.
+	// minResponseTime keeps the weights finite.
 	minResponseTime = 100 * time.Microsecond
-	// slowStartServiceTimeRatio is how many times longer calls are expected to take at a backend server in slow start.
+	// slowStartServiceTimeRatio is the assumed factor by which calls take longer during the slow start of a backend server.
 	slowStartServiceTimeRatio = 2.0
-	// fullSlowdownRatio is the part by which calls slow each other down at a backend server without a free slot.
+	// fullSlowdownRatio is the assumed increase of the service time, as a ratio, at a backend server without a free slot.
 	fullSlowdownRatio = 0.5
-	// spareCapacityRatio of the slots may be taken at an endpoint that gets calls of other data centres. What is known of it is older than
-	// that of endpoints nearby.
+	// spareCapacityRatio is the utilisation up to which an endpoint takes calls of other data centres. It is below 1 because
+	// reports from other data centres are older than local ones.
 	spareCapacityRatio = 0.75
-	// defaultServiceTime is assumed where no endpoint of a service has reported how long its calls take.
+	// defaultServiceTime is assumed if no endpoint of a service has reported its service time.
 	defaultServiceTime = 50 * time.Millisecond
 )
 
-// reportedLoad is the latest report of an endpoint's node.
+// reportedLoad is the latest load report of an endpoint's node.
 type reportedLoad struct {
 	core.Load
 	reportedAt        time.Time
-	outstanding       int // calls of this node in the report
+	outstanding       int // this node's outstanding attempts at the time of the report
 	halfLife          time.Duration
-	routeServiceTimes map[core.RouteName]time.Duration // usual times in a slot
+	routeServiceTimes map[core.RouteName]time.Duration
 }
 
-// maxRoutesPerEndpoint bounds the routes whose times are known of one endpoint.
+// maxRoutesPerEndpoint limits the routes for which an endpoint's service time is kept.
 const maxRoutesPerEndpoint = 256
 
 func (m *member) observeLoad(now time.Time, route core.RouteName, load core.Load, halfLife time.Duration) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// inFlight estimates the calls at the endpoint: those of this node, and those of others as they were last reported.
+// inFlight estimates the calls at the endpoint: this node's outstanding attempts, and a decaying count of the reported others.
 func (m *member) inFlight(now time.Time) float64 {
 	others := max(0, m.load.Running+m.load.Waiting-m.load.outstanding)
 	return float64(m.outstanding) + float64(others)*decay(now.Sub(m.load.reportedAt), m.load.halfLife)
@@ -80,22 +81,22 @@
 	return float64(max(m.endpoint.Slots, 1))
 }
 
-// expectation is when an answer to one more call is expected.
+// estimate is the estimated response time of one more call at an endpoint.
 type estimate struct {
-	wait        time.Duration // for a slot
-	serviceTime time.Duration // in the slot
-	utilisation float64       // part of the slots that are taken, this call included
+	wait        time.Duration // queueing time
+	serviceTime time.Duration
+	utilisation float64 // ratio of the slots in use, including this call
 }
 
-// hasSpareCapacity reports whether a call of another data centre takes no other call's place.
+// hasSpareCapacity reports whether the endpoint can take a call of another data centre without displacing local calls.
 func (e estimate) hasSpareCapacity() bool {
 	return e.wait == 0 && e.utilisation <= spareCapacityRatio
 }
 
 func (e estimate) responseTime() time.Duration { return e.wait + e.serviceTime }
 
-// expect works out the time to an answer. A call waits for its turn among those that exceed the slots, and takes longer at a
-// backend server that is nearly full, cold or failing.
+// estimateResponse estimates the response time of one more call. Calls in excess of the slots are queued; the service time grows
+// with the utilisation and the failure rate, and during the slow start. Fallback is the service time of an endpoint without a report.
 func (m *member) estimateResponse(now time.Time, route core.RouteName, fallback time.Duration) estimate {
 	serviceTime := m.load.ServiceTime
 	if serviceTime == 0 {
@@ -118,9 +119,9 @@
 	}
 }
 
-// expected answers three load patterns: a data centre with free slots, whose calls stay there since links between data centres
-// are dear; one that is full, whose calls go elsewhere if they would be late at home and there are free slots elsewhere; and an
-// overload everywhere, in which calls stay at home, since elsewhere they would only take the place of others.
+// choosePreferringLocal implements PolicyExpected. If the local data centre has free slots, calls stay there, since links between
+// data centres are expensive. If it is full, calls that would be late there go to another data centre with spare capacity. If all
+// data centres are overloaded, calls stay local, because elsewhere they would only displace other calls.
 func (b *Balancer) choosePreferringLocal(now time.Time, request core.PickRequest, usable []*member) *member {
 	fallback := averageServiceTime(usable)
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
@@ -147,9 +148,9 @@
 	return localChoice
 }
 
-// soonest draws one of a few members, the more likely the sooner its answer is expected. Without chance, all nodes would see the
-// same reports and take the same endpoint, and one that is a little slower would get no calls until the others are full.
-// If the drawn one would be late, the best of them takes its place.
+// sampleByResponseTime chooses one of a few members at random; members with a lower estimated response time are more likely.
+// A deterministic choice would make all nodes, which see the same reports, choose the same endpoint, and a slightly slower endpoint
+// would get no calls until the others are full. If the chosen member would be late, the member with the lowest estimate is used.
 func (b *Balancer) sampleByResponseTime(now time.Time, route core.RouteName, members []*member, fallback time.Duration, onTime func(estimate) bool) (*member, estimate) {
 	if len(members) == 0 {
 		return nil, estimate{}
@@ -186,7 +187,7 @@
 	return drawn
 }
 
-// averageServiceTime is the average of what the endpoints have reported.
+// averageServiceTime returns the average of the reported service times, or defaultServiceTime if there are none.
 func averageServiceTime(members []*member) time.Duration {
 	known := lo.Filter(members, func(m *member, _ int) bool { return m.load.ServiceTime > 0 })
 	if len(known) == 0 {
--- a/core/balancer/expected_test.go
+++ b/core/balancer/expected_test.go
@@ -10,7 +10,7 @@
 	"parsleyport/core/balancer"
 )
 
-// expectedWorld has two endpoints at home and two elsewhere, with what their nodes reported.
+// newExpectedBalancer returns a balancer with two local and two remote endpoints after it has received the given load reports.
 func newExpectedBalancer(loads map[core.NodeID]core.Load) (*balancer.Balancer, []core.Endpoint) {
 	b := balancer.New(balancer.Options{DataCentre: "home", Policy: balancer.PolicyExpected, Seed: 1})
 	all := append(endpoints(2, "home"), endpoints(2, "away")...)
@@ -40,7 +40,7 @@
 	return others
 }
 
-// share picks 1,000 times without an end and returns the part that each data centre got; each pick is undone.
+// pickShares picks 1,000 times, discarding each attempt, and returns the share of each node.
 func pickShares(b *balancer.Balancer, all []core.Endpoint, request core.PickRequest) map[core.NodeID]float64 {
 	got := make(map[core.NodeID]float64)
 	for range 1000 {
@@ -57,8 +57,8 @@
 	return core.Load{Running: running, Waiting: waiting, Limit: 10, ServiceTime: service, RouteServiceTime: service}
 }
 
-// Guards against calls that leave a data centre which can serve them in time, that stay in a full one while there is room
-// elsewhere, and that go to another full one in an overload, where they would take the place of its own.
+// Guards against calls that leave a data centre that can serve them on time, that stay in a full one while there is spare capacity
+// elsewhere, and that go to another full one during an overload, where they would displace its own calls.
 func TestCallsLeaveTheirDataCentreForSpareCapacityOnly(t *testing.T) {
 	c := qt.New(t)
 	idle, full := load(1, 0, 100*time.Millisecond), load(10, 30, 100*time.Millisecond)
@@ -69,10 +69,10 @@
 		leaves     bool
 	}{
 		{name: "all idle", home: idle, away: idle},
-		{name: "home slower, in time", home: load(1, 0, 200*time.Millisecond), away: load(1, 0, 10*time.Millisecond)},
+		{name: "home slower, on time", home: load(1, 0, 200*time.Millisecond), away: load(1, 0, 10*time.Millisecond)},
 		{name: "home full", home: full, away: idle, leaves: true},
 		{name: "overload", home: full, away: full},
-		{name: "no room elsewhere", home: full, away: load(8, 0, 100*time.Millisecond)},
+		{name: "no spare capacity elsewhere", home: full, away: load(8, 0, 100*time.Millisecond)},
 	} {
 		b, all := newExpectedBalancer(map[core.NodeID]core.Load{"home-0": test.home, "home-1": test.home, "away-0": test.away, "away-1": test.away})
 		got := pickShares(b, all, request)
@@ -82,7 +82,7 @@
 	}
 }
 
-// Guards against an endpoint that is a little slower and gets nothing while the others are idle, so that nothing is learnt of it.
+// Guards against a slightly slower endpoint that gets no calls while the others are idle, so that its load is never learned.
 func TestSlowerEndpointsGetSomeCalls(t *testing.T) {
 	c := qt.New(t)
 	b, all := newExpectedBalancer(map[core.NodeID]core.Load{"home-0": load(1, 0, 100*time.Millisecond), "home-1": load(1, 0, 200*time.Millisecond)})
@@ -90,7 +90,7 @@
 	c.Assert(got["home-1"] > 0.05 && got["home-1"] < 0.3, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// Guards against a call that is offered to one full endpoint after the other in an overload.
+// Guards against a call that is offered to one full endpoint after another during an overload.
 func TestRefusedCallsGoToSpareCapacityOnly(t *testing.T) {
 	c := qt.New(t)
 	full := load(10, 30, 100*time.Millisecond)
--- a/core/balancer/member.go
+++ b/core/balancer/member.go
@@ -7,14 +7,14 @@
 	"parsleyport/core"
 )
 
-// member holds what this node has seen of one run of an endpoint.
+// member holds this node's statistics of one incarnation of an endpoint.
 type member struct {
 	endpoint    core.Endpoint
 	outstanding int
 	load        reportedLoad
-	sessions    int // sticky reservations
+	sessions    int // reserved sticky sessions
 
-	latencySeconds float64 // seconds, weighted average
+	latencySeconds float64 // moving average
 	sampledAt      time.Time
 
 	consecutiveFailures int
@@ -25,7 +25,7 @@
 	ejectedUntil        time.Time
 	avoidUntil          time.Time
 
-	slowStartEnd    time.Time // end of the slow start
+	slowStartEnd    time.Time
 	lastCandidateAt time.Time
 }
 
@@ -58,9 +58,9 @@
 	return now.Before(m.avoidUntil)
 }
 
-// cost is the expected time until an answer, in arbitrary units; lower is better.
+// cost estimates the relative cost of one more call from outstanding attempts, latency and failures. Lower is better.
 func (m *member) cost(now time.Time) float64 {
-	// An endpoint that is not used drifts back to the initial latency, so that one slow spell is not held against it for good.
+	// The latency of an unused endpoint decays to the initial latency, so that a past slowdown is not held against it for ever.
 	kept := decay(now.Sub(m.sampledAt), 5*latencyHalfLife)
 	latency := m.latencySeconds*kept + initialLatency.Seconds()*(1-kept)
 	return float64(m.outstanding+1) * latency * (1 + failureCostRatio*m.failureRate()) / m.slowStartRatio(now)
@@ -78,7 +78,7 @@
 	return m.recentFailures / max(m.recentCalls, minEjectionCalls)
 }
 
-// observe adds one finished attempt.
+// observeAttempt counts one finished attempt.
 func (m *member) observeAttempt(now time.Time, latency time.Duration, failed bool) {
 	kept := decay(now.Sub(m.countedAt), countHalfLife)
 	m.recentCalls = m.recentCalls*kept + 1
@@ -93,7 +93,7 @@
 	m.observeLatency(now, latency)
 }
 
-// observeLatency weights a sample by the time since the last one, with a floor so that a burst still counts.
+// observeLatency weights a sample by the time since the previous one, with a minimum weight so that samples of a burst count.
 func (m *member) observeLatency(now time.Time, latency time.Duration) {
 	weight := max(0.05, 1-decay(now.Sub(m.sampledAt), latencyHalfLife))
 	m.latencySeconds += (latency.Seconds() - m.latencySeconds) * weight
--- a/core/balancer/policy.go
+++ b/core/balancer/policy.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// Policy names a way of choosing among usable endpoints.
+// Policy names a load balancing policy.
 type Policy string
 
 // The policies.
@@ -18,11 +18,11 @@
 	PolicyRandom      Policy = "random"
 	PolicyRoundRobin  Policy = "round-robin"
 	PolicyLeastLoaded Policy = "least-loaded"
-	// PolicySticky reserves the endpoint with the fewest sessions, after "feat(router): add sticky least-loaded session
-	// routing"; calls without a session are placed by power of two choices.
+	// PolicySticky reserves the endpoint with the fewest sessions for each session. Calls without a session are placed by power
+	// of two choices.
 	PolicySticky Policy = "sticky"
-	// PolicyExpected places a call where its answer is expected first, by the load that nodes report, in the own data centre as
-	// long as the answer is expected there in time.
+	// PolicyExpected places a call by the response time estimated from load reports, in the local data centre as long as the
+	// answer is expected on time there.
 	PolicyExpected Policy = "expected"
 )
 
@@ -50,7 +50,7 @@
 	return b.localPowerOfTwo(now, usable)
 }
 
-// localPowerOfTwo prefers the own data centre unless an endpoint elsewhere is much better.
+// localPowerOfTwo prefers the local data centre unless an endpoint elsewhere is much better.
 func (b *Balancer) localPowerOfTwo(now time.Time, usable []*member) *member {
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
 		return m.endpoint.DataCentre == b.options.DataCentre
@@ -97,7 +97,7 @@
 	return chosen
 }
 
-// lessForSession orders by number of sessions; rendezvous hashing breaks ties, so that nodes agree without talking.
+// lessForSession orders by number of sessions. Rendezvous hashing breaks ties, so that nodes agree without communicating.
 func lessForSession(session string, a, b *member) bool {
 	if a.sessions != b.sessions {
 		return a.sessions < b.sessions
--- a/core/limiter/doc.go
+++ b/core/limiter/doc.go
@@ -1,4 +1,4 @@
-// Package limiter decides which calls a backend server runs at the same time, which ones wait and which ones are shed.
-// The concurrency limit adapts to what the backend server shows, tenants share it equally, and a call is shed only if it
-// would miss its deadline or if its tenant takes more than its share of a full queue.
+// Package limiter limits the concurrency of a backend server: it decides which calls run, which ones wait and which ones are
+// shed. The limit adapts to observed latency and shed calls, and tenants share it equally. A call is shed only if it would miss
+// its deadline, or if the queue is full and its tenant has the most waiting calls.
 package limiter
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// maxWaitingPerSlot bounds the queue: a longer one holds only calls whose deadlines most likely pass in it.
+	// maxWaitingPerSlot limits the queue length: most calls at the end of a longer queue would miss their deadlines.
 	maxWaitingPerSlot = 20
-	// decreaseRatio and minDecreaseInterval lower the limit after overload, at most once per pause, so that the answers of
-	// calls that began under the old limit are not counted against the new one.
+	// decreaseRatio and minDecreaseInterval control the multiplicative decrease of the limit on overload. The interval keeps
+	// answers of calls that started under the old limit from lowering the new one.
 	decreaseRatio       = 0.8
 	minDecreaseInterval = 100 * time.Millisecond
-	// noIncreaseAfterShed is how long the limit does not rise after it fell to what the backend server can run; each rise above that
-	// costs a call that is shed.
+	// noIncreaseAfterShed is how long the limit stays after it fell to the served concurrency. Each increase above what the
+	// backend server can run costs a shed call.
 	noIncreaseAfterShed = time.Second
-	// servedWindow is half the time for which the concurrency of a served call counts as possible. With 1 s instead, the
-	// limit stayed for 2 s at what the backend server could run before it lost slots (docs/measurements.md).
+	// servedWindow is the length of one of the two windows in which the greatest served concurrency is kept. With 1 s, the limit
+	// stayed for 2 s at its old value after a backend server had lost slots (docs/measurements.md).
 	servedWindow = 200 * time.Millisecond
-	// overloadLatencyRatio is how many times the uncongested latency counts as overload.
+	// overloadLatencyRatio is the ratio of average to minimum latency above which a backend server counts as overloaded.
 	overloadLatencyRatio = 4.0
-	// minLatencyGrowthRatio lets the uncongested latency rise slowly when a backend server has become slower for good.
+	// minLatencyGrowthRatio raises the minimum latency with each sample, so that it follows a permanent slowdown.
 	minLatencyGrowthRatio = 1.001
-	// latencySampleWeight is the weight of one sample in the average latency.
+	// latencySampleWeight is the weight of one sample in the moving average of the latency.
 	latencySampleWeight = 0.1
 )
 
-// Ticket identifies a call in the limiter.
+// Ticket identifies a call within a limiter.
 type Ticket uint64
 
-// Request describes a call that arrives.
+// Request describes an arriving call.
 type Request struct {
 	Tenant       core.TenantID
 	Priority     core.Priority
-	SoftDeadline time.Time // by which an answer is of full use, zero if not stated
+	SoftDeadline time.Time // an answer after it counts as late; zero if none is set
 	Deadline     time.Time
-	StartBy      time.Time      // after which it is refused unless it has started, zero for its deadline
-	NoWait       bool           // it is refused unless it can start at once
-	Class        core.RouteName // whose calls take about the same time
+	StartBy      time.Time      // a call still queued at this time is refused; zero means Deadline
+	NoWait       bool           // refuse the call unless it can start at once
+	Class        core.RouteName // calls of one class have similar service times
 }
 
 // Result describes how a started call ended.
 type Result struct {
 	Latency    time.Duration
 	Overloaded bool // the backend server shed the call or said that it is overloaded
-	Failed     bool // the latency says nothing, since failures are often fast
+	Failed     bool // the latency is ignored, since failures are often fast
 }
 
-// Shed is a waiting call that will not be run.
+// Shed is a call that will not be run.
 type Shed struct {
 	Ticket Ticket
 	Cause  core.RefusalCause
 }
 
-// Change is what an event leads to: calls to start now and calls to refuse.
+// Change is the effect of an event: the calls to start and the calls to refuse.
 type Change struct {
 	Start []Ticket
 	Shed  []Shed
@@ -68,13 +68,13 @@
 	request Request
 }
 
-// tenant holds the calls of one tenant that run or wait; it is forgotten when it has none.
+// tenant holds the running and waiting calls of one tenant. It is removed when it has none.
 type tenant struct {
 	running int
-	waiting []entry // best first: higher priority, then earlier deadline, then earlier arrival
+	waiting []entry // ordered by priority (highest first), deadline and arrival
 }
 
-// Limiter holds the running and waiting calls of one backend server; it must not be used by several goroutines at once.
+// Limiter holds the running and waiting calls of one backend server. It is not safe for concurrent use.
 type Limiter struct {
 	options               Options
 	slots                 int
@@ -83,39 +83,39 @@
 	tenants               map[core.TenantID]*tenant
 	waiting               int
 	lastTicket            Ticket
-	averageLatencySeconds float64 // seconds
-	minLatencySeconds     float64 // seconds, 0 before the first sample
+	averageLatencySeconds float64
+	minLatencySeconds     float64 // uncongested latency, 0 before the first sample
 	decreasedAt           time.Time
-	noIncreaseBefore      time.Time // the limit does not rise before
+	noIncreaseBefore      time.Time
 	classes               map[core.RouteName]*classServiceTime
-	queueCheckedAt        time.Time // of the waiting calls, with SoftDeadlineFirst
-	servedConcurrency     [2]int    // greatest concurrency of a served call, in this span and the one before
-	servedWindowEnd       time.Time // end of this span
+	queueCheckedAt        time.Time // last search of the queue, with SoftDeadlineFirst
+	servedConcurrency     [2]int    // greatest concurrency of a served call in the current and the previous window
+	servedWindowEnd       time.Time // end of the current window
 }
 
-// started is a running call.
+// runningCall is a call that holds a slot.
 type runningCall struct {
 	tenant      core.TenantID
 	class       core.RouteName
-	concurrency int // calls that ran when it started, itself included
+	concurrency int // running calls when it started, including itself
 }
 
 // Options configure a Limiter.
 type Options struct {
-	// TrustSlots keeps the limit at the announced slots. Without it, slow answers and calls that the backend server sheds lower
-	// the limit, which takes calls of very different lengths and a backend server with a fault for overload.
+	// TrustSlots keeps the limit at the announced number of slots. Without it, slow answers and shed calls lower the limit, so
+	// that calls of very different lengths and a faulty backend server are mistaken for overload.
 	TrustSlots bool
-	// SoftDeadlineFirst serves calls that can still be answered by their aim before those that will be late, and refuses a call at once
-	// if the calls before it leave it no time (see aim.go).
+	// SoftDeadlineFirst serves calls that can still meet their soft deadline before calls that will be late, and refuses a call
+	// at once if it would miss its deadline behind the calls ahead of it (see softdeadline.go).
 	SoftDeadlineFirst bool
 }
 
-// New returns a limiter that starts at the announced number of slots; slots below 1 count as 1.
+// New returns a limiter whose limit starts at the announced number of slots. Values below 1 count as 1.
 func New(slots int) *Limiter {
 	return NewWithOptions(slots, Options{})
 }
 
-// NewWithOptions is New with options.
+// NewWithOptions is like New, with options.
 func NewWithOptions(slots int, options Options) *Limiter {
 	slots = max(slots, 1)
 	return &Limiter{
@@ -128,7 +128,7 @@
 	}
 }
 
-// Resize follows a new announcement of slots.
+// Resize sets the announced number of slots and resets the limit if the number has changed.
 func (l *Limiter) Resize(now time.Time, slots int) Change {
 	if slots = max(slots, 1); slots != l.slots {
 		l.slots = slots
@@ -137,12 +137,12 @@
 	return l.dispatch(now)
 }
 
-// Limit returns the present limit of running calls.
+// Limit returns the current concurrency limit.
 func (l *Limiter) Limit() int {
 	return max(1, int(l.limit))
 }
 
-// Load describes the running and waiting calls, and how long calls of a class usually take.
+// Load reports the running and waiting calls and the average service times of all calls and of a class.
 func (l *Limiter) Load(class core.RouteName) core.Load {
 	return core.Load{
 		Running:          len(l.running),
@@ -163,7 +163,7 @@
 	return l.waiting
 }
 
-// Arrive adds a call; it is in Start, in Shed, or waits.
+// Arrive adds a call. The call is among those to start, among those shed, or waits.
 func (l *Limiter) Arrive(now time.Time, request Request) (Ticket, Change) {
 	l.lastTicket++
 	added := entry{
@@ -189,7 +189,7 @@
 	return added.ticket, change
 }
 
-// Finish ends a started call.
+// Finish ends a started call and adapts the limit to its result.
 func (l *Limiter) Finish(now time.Time, ticket Ticket, result Result) Change {
 	ended, exists := l.running[ticket]
 	if !exists {
@@ -207,7 +207,7 @@
 	return l.dispatch(now)
 }
 
-// Cancel removes a waiting call and returns false if it is not waiting, so that it can no longer be called "not run".
+// Cancel removes a waiting call. It returns false if the call is not waiting; it may then have run.
 func (l *Limiter) Cancel(ticket Ticket) bool {
 	for name, t := range l.tenants {
 		if t.remove(ticket) {
@@ -236,7 +236,7 @@
 	return change
 }
 
-// hopeless reports whether not even an uncongested run would meet the deadline.
+// missesDeadline reports whether a call would miss its deadline even if it started now, or is past its StartBy.
 func (l *Limiter) missesDeadline(now time.Time, request Request) bool {
 	if !request.StartBy.IsZero() && now.After(request.StartBy) {
 		return true
@@ -248,7 +248,7 @@
 	return left <= 0 || left.Seconds() < l.minLatencySeconds
 }
 
-// dispatch starts waiting calls while there is room, for the tenant with the fewest running calls first.
+// dispatch starts waiting calls while slots are free, serving the tenant with the fewest running calls first.
 func (l *Limiter) dispatch(now time.Time) Change {
 	var change Change
 	for len(l.running) < l.Limit() && l.waiting > 0 {
@@ -271,7 +271,7 @@
 	return change
 }
 
-// neediest returns the tenant with waiting calls that has the fewest running ones, then the best waiting call.
+// nextTenant returns the tenant with waiting calls that has the fewest running calls; the first waiting calls break ties.
 func (l *Limiter) nextTenant() (core.TenantID, *tenant) {
 	var bestName core.TenantID
 	var best *tenant
@@ -286,7 +286,7 @@
 	return bestName, best
 }
 
-// shedFromLongestQueue makes room in a full queue at the cost of the tenant that has the most waiting calls.
+// shedFromLongestQueue removes the last call of the tenant with the most waiting calls from a full queue.
 func (l *Limiter) shedFromLongestQueue(added entry) Shed {
 	name := added.request.Tenant
 	for other, t := range l.tenants {
@@ -310,11 +310,11 @@
 	}
 }
 
-// adapt lowers the limit in proportion on overload and raises it by about one for each round of a full limit.
+// adaptLimit applies additive increase, by about one per round of a full limit, and multiplicative decrease on overload.
 func (l *Limiter) adaptLimit(now time.Time, result Result, concurrency int, full bool) {
 	l.rotateServedWindows(now)
 	if result.Overloaded {
-		if !l.options.TrustSlots { // else it had a slot, so that its load is not the reason
+		if !l.options.TrustSlots { // with TrustSlots, the call ran within the slots, so concurrency is not the cause
 			l.lowerAfterShed(now, concurrency)
 		}
 		return
@@ -338,9 +338,10 @@
 	}
 }
 
-// shed follows a call that the backend server shed. If no call was served at such a concurrency lately, the limit falls at
-// once to the calls that ran beside it or to the greatest concurrency that was served. Otherwise the answer says little
-// about concurrency (a broken dependency also answers 503), and the limit falls in proportion as for slow answers.
+// lowerAfterShed lowers the limit after the backend server has shed a call. If no call was served at such a concurrency
+// recently, the limit falls at once to the calls that ran beside the shed one, or to the greatest served concurrency if that is
+// greater. Otherwise the answer says little about concurrency (a broken dependency also causes a 503), and the limit falls in
+// proportion as for slow answers.
 func (l *Limiter) lowerAfterShed(now time.Time, concurrency int) {
 	served := max(l.servedConcurrency[0], l.servedConcurrency[1])
 	if concurrency <= max(served, 1) {
@@ -396,7 +397,7 @@
 	t.waiting[at] = added
 }
 
-// take removes the entry at a position.
+// removeAt removes and returns the entry at a position.
 func (t *tenant) removeAt(at int) entry {
 	taken := t.waiting[at]
 	t.waiting = append(t.waiting[:at:at], t.waiting[at+1:]...)
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Guards against one tenant's burst that makes another tenant wait for all of it.
+// Guards against a burst of one tenant for which the calls of another tenant have to wait.
 func TestTenantsShareTheSlots(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(2)
@@ -39,7 +39,7 @@
 	c.Assert(change.Start, qt.DeepEquals, []limiter.Ticket{quiet})
 }
 
-// Guards against a full queue of one tenant that refuses the calls of another one.
+// Guards against a queue full of one tenant's calls in which the calls of another tenant are refused.
 func TestFullQueueShedsFromTheLongestTenantQueue(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(1)
@@ -53,7 +53,7 @@
 	c.Assert(change.Shed[0].Cause, qt.Equals, core.CauseTenantShare)
 }
 
-// Guards against important calls waiting behind unimportant ones, and against late deadlines before early ones.
+// Guards against high priorities that wait behind low ones, and against late deadlines before early ones.
 func TestOrderIsPriorityThenDeadline(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(1)
@@ -68,7 +68,7 @@
 	}
 }
 
-// Guards against running calls whose callers have given up, and against shedding a call that could still be served.
+// Guards against running calls whose callers have given up, and against shedding a call that could still be served in time.
 func TestOnlyCallsThatMissTheirDeadlineAreShed(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(1)
@@ -84,7 +84,7 @@
 	c.Assert(l.Cancel(running), qt.IsFalse)
 }
 
-// Guards against a limit that stays high while the backend server sheds, or that never recovers.
+// Guards against a limit that stays high while the backend server sheds calls, or that never recovers.
 func TestLimitFollowsOverload(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(10)
@@ -113,8 +113,8 @@
 	c.Assert(l.Limit(), qt.Equals, 10)
 }
 
-// Guards against a backend server with fewer slots than announced that sheds call after call, and against a limit that
-// collapses because answers of overload have another cause than concurrency.
+// Guards against a backend server with fewer slots than announced that keeps shedding calls, and against a limit that collapses
+// because calls are shed for another reason than concurrency.
 func TestLimitFallsAtOnceToServedConcurrency(t *testing.T) {
 	c := qt.New(t)
 	run := func(shed func(running, n int) bool) (limit, sheds int) {
@@ -147,7 +147,7 @@
 	c.Assert(limit >= 15, qt.IsTrue, qt.Commentf("limit %d", limit))
 }
 
-// Guards against hedges that wait in the queues of a busy service and take the turn of first attempts.
+// Guards against hedges that wait in the queues of a busy service and delay first attempts.
 func TestNoWaitStartsAtOnceOrNotAtAll(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.New(2)
@@ -162,7 +162,7 @@
 	c.Assert(l.Waiting(), qt.Equals, 0)
 }
 
-// Guards against a call that is lost in the limiter, started twice, or started above the slots.
+// Guards against a call that is lost in the limiter, started twice, or started beyond the slots.
 func TestEachCallEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
--- a/core/limiter/softdeadline.go
+++ b/core/limiter/softdeadline.go
@@ -7,31 +7,34 @@
 	"parsleyport/core"
 )
 
-// The load pattern behind the rules of this file is an overload of seconds to minutes, as a burst, the loss of backend servers
-// or callers that repeat at once. Served in order of arrival or of deadlines, every call then gets its slot after the time at
-// which its answer is of full use. So calls that can still be in time go first, and calls that cannot even meet their
-// deadlines behind the others are refused while there is time to try elsewhere.
+// The rules of this file are made for overloads that last seconds to minutes, caused by a burst, a loss of backend servers or
+// callers that retry at once. In order of arrival or of deadlines, every call then gets its slot only after its soft deadline
+// has passed. Calls that can still meet their soft deadline therefore go first, and calls that would miss even their deadline
+// behind them are refused early, while there is time to try another backend server.
 
 const (
-	// minServiceTimeRatio of the usual time is the least that a call needs to be started: calls of one route differ in length.
+	// minServiceTimeRatio is the part of the average service time that must be left until a call's deadline. It is below 1
+	// because calls of one route differ in length.
 	minServiceTimeRatio = 0.8
-	// onTimeServiceTimeRatio of the usual time has to be left until the aim of a call that can still be in time.
+	// onTimeServiceTimeRatio is the multiple of the average service time that must be left until a call's soft deadline for the
+	// call to count as on time.
 	onTimeServiceTimeRatio = 1.25
-	// lifoQueueRatio of the slots may be waited for by calls that can be in time before the newest of them go first: the oldest ones
-	// would start with too little time, one after the other, and all would be late.
+	// lifoQueueRatio is the number of waiting on-time calls per slot above which they are served last in, first out. In order of
+	// their soft deadlines, the oldest calls would start with too little time, one after another, and all would be late.
 	lifoQueueRatio = 0.5
-	// saturatedQueueRatio of the slots may be waited for by calls that can be in time before all others are refused: as long as more
-	// such calls come, the others would be held until their deadlines.
+	// saturatedQueueRatio is the number of waiting on-time calls per slot above which all other calls are refused. While more
+	// on-time calls arrive, the others would only wait until their deadlines.
 	saturatedQueueRatio = 1.0
-	// queueCheckInterval is how often the waiting calls are looked at for those that later, more important ones leave no time.
+	// queueCheckInterval is the minimum time between searches of the queue for calls that can no longer be served in time.
 	queueCheckInterval = 50 * time.Millisecond
-	// classSampleWeight is the weight of one sample in the usual time of a class, and minClassSamples how many it needs.
+	// classSampleWeight is the weight of one sample in the moving average of a class, minClassSamples the number of samples
+	// from which on the average is used.
 	classSampleWeight = 0.1
 	minClassSamples   = 5
 	maxClasses        = 1024
 )
 
-// classServiceTime is the usual time in a slot of a class of calls, in seconds.
+// classServiceTime is the moving average of the service time of one class of calls.
 type classServiceTime struct {
 	averageSeconds float64
 	samples        int
@@ -52,7 +55,8 @@
 	known.averageSeconds += (latency.Seconds() - known.averageSeconds) * classSampleWeight
 }
 
-// serviceTimeSeconds returns the usual time in seconds, zero if nothing is known.
+// serviceTimeSeconds returns the average service time of a class, or of all calls if the class has too few samples. It is zero
+// if nothing is known.
 func (l *Limiter) serviceTimeSeconds(class core.RouteName) float64 {
 	if known := l.classes[class]; known != nil && known.samples >= minClassSamples {
 		return known.averageSeconds
@@ -60,18 +64,19 @@
 	return l.averageLatencySeconds
 }
 
-// meetsSoftDeadline reports whether a call that starts now can be expected to be answered by its aim.
+// meetsSoftDeadline reports whether a call that starts now is expected to be answered by its soft deadline.
 func (l *Limiter) meetsSoftDeadline(now time.Time, r Request) bool {
 	return !r.SoftDeadline.IsZero() && r.SoftDeadline.Sub(now).Seconds() >= onTimeServiceTimeRatio*l.serviceTimeSeconds(r.Class)
 }
 
-// latestStart is when a call has to start to be answered by its aim.
+// latestStart returns the time by which a call must start to meet its soft deadline.
 func (l *Limiter) latestStart(r Request) time.Time {
 	return r.SoftDeadline.Add(-time.Duration(l.serviceTimeSeconds(r.Class) * float64(time.Second)))
 }
 
-// sooner orders calls: more important ones, those that can be in time, and of these the ones with the least time to spare or,
-// with newest, the newest ones; calls of short and long routes get the same part of the slots then.
+// servedBefore reports whether a is served before b. Higher priorities come first, then calls that meet their soft deadline.
+// Among the latter, the one that must start first precedes, or with lifo the newest one; LIFO order gives calls of short and of
+// long routes the same share of the slots.
 func (l *Limiter) servedBefore(now time.Time, lifo bool, a, b entry) bool {
 	if a.request.Priority != b.request.Priority {
 		return a.request.Priority > b.request.Priority
@@ -89,7 +94,7 @@
 	return precedes(a, b)
 }
 
-// nextPosition returns the position of the call that a tenant's next slot goes to.
+// nextPosition returns the queue position of the call that gets the tenant's next slot.
 func (l *Limiter) nextPosition(now time.Time, t *tenant) int {
 	best := 0
 	if !l.options.SoftDeadlineFirst {
@@ -104,7 +109,7 @@
 	return best
 }
 
-// isLIFO reports whether more calls wait that can be in time than will be.
+// isLIFO reports whether more on-time calls wait than can be served on time.
 func (l *Limiter) isLIFO(now time.Time) bool {
 	return float64(l.countWaitingOnTime(now)) > lifoQueueRatio*float64(l.Limit())
 }
@@ -121,7 +126,7 @@
 	return onTime
 }
 
-// mustShedOnArrival reports whether the calls that would be served before an arriving one leave it no time.
+// mustShedOnArrival reports whether an arriving call would miss its deadline behind the calls that are served before it.
 func (l *Limiter) mustShedOnArrival(now time.Time, added entry) bool {
 	if l.isSaturated(now) && !l.meetsSoftDeadline(now, added.request) {
 		return true
@@ -137,12 +142,12 @@
 	return l.startsTooLate(now, added.request, ahead)
 }
 
-// isSaturated reports whether calls that can be in time are enough for all slots.
+// isSaturated reports whether the waiting on-time calls suffice to fill all slots.
 func (l *Limiter) isSaturated(now time.Time) bool {
 	return float64(l.countWaitingOnTime(now)) > saturatedQueueRatio*float64(l.Limit())
 }
 
-// startsTooLate reports whether a call with so many others ahead is hopeless by the time it gets its slot.
+// startsTooLate reports whether a call with the given number of calls ahead would get its slot too late for its deadline.
 func (l *Limiter) startsTooLate(now time.Time, r Request, ahead int) bool {
 	if len(l.running) < l.Limit() {
 		return false
@@ -151,7 +156,7 @@
 	return l.missesDeadline(now.Add(time.Duration(wait*float64(time.Second))), r)
 }
 
-// collectUnservable returns the waiting calls that the others have come to leave no time.
+// collectUnservable returns the waiting calls that would miss their deadlines behind calls that arrived after them.
 func (l *Limiter) collectUnservable(now time.Time) map[Ticket]bool {
 	if !l.options.SoftDeadlineFirst || now.Before(l.queueCheckedAt.Add(queueCheckInterval)) {
 		return nil
--- a/core/limiter/softdeadline_test.go
+++ b/core/limiter/softdeadline_test.go
@@ -11,8 +11,8 @@
 	"parsleyport/core/limiter"
 )
 
-// overload replays calls of an average of 200 ms at 9 slots for a minute, 60 a second, of which 45 a second fit. Each call is of
-// full use within 600 ms and of some use within 4 s. It returns the parts that were answered in time and late.
+// simulateOverload runs one minute of 60 calls a second, of which 45 a second fit: 9 slots, 200 ms on average per call. Each call
+// has a soft deadline of 600 ms and a deadline of 4 s. It returns the ratios of calls answered on time and late.
 func simulateOverload(options limiter.Options) (onTime, late float64) {
 	type run struct {
 		ticket limiter.Ticket
@@ -61,17 +61,17 @@
 	return float64(onTimeCalls) / float64(calls), float64(lateCalls) / float64(calls)
 }
 
-// Guards against an overload in which every call is answered, but too late to be of full use. 75% of the calls fit.
+// Guards against an overload in which every call is answered, but after its soft deadline. 75% of the calls fit.
 func TestOverloadKeepsCallsWithinSoftDeadline(t *testing.T) {
 	c := qt.New(t)
 	byDeadline, _ := simulateOverload(limiter.Options{TrustSlots: true})
 	bySoftDeadline, late := simulateOverload(limiter.Options{TrustSlots: true, SoftDeadlineFirst: true})
-	t.Logf("in time: %.2f by deadline, %.2f by aim (%.2f late)", byDeadline, bySoftDeadline, late)
-	c.Assert(bySoftDeadline >= 0.65, qt.IsTrue, qt.Commentf("%.2f in time", bySoftDeadline))
-	c.Assert(byDeadline < 0.3, qt.IsTrue, qt.Commentf("%.2f in time by deadline: the load does not show the fault", byDeadline))
+	t.Logf("on time: %.2f in order of deadlines, %.2f in order of soft deadlines (%.2f late)", byDeadline, bySoftDeadline, late)
+	c.Assert(bySoftDeadline >= 0.65, qt.IsTrue, qt.Commentf("%.2f on time", bySoftDeadline))
+	c.Assert(byDeadline < 0.3, qt.IsTrue, qt.Commentf("%.2f on time in order of deadlines: the load does not reproduce the overload", byDeadline))
 }
 
-// Guards against a call that is held until its deadline although the calls ahead of it leave it no time.
+// Guards against a call that is held until its deadline although the calls ahead of it leave it too little time.
 func TestCallsThatWouldMissTheirDeadlineAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.NewWithOptions(1, limiter.Options{TrustSlots: true, SoftDeadlineFirst: true})
@@ -91,7 +91,7 @@
 	c.Assert(change.Shed[0].Cause, qt.Equals, core.CauseDeadline)
 }
 
-// Guards against a backend server with a fault that is taken for one without room.
+// Guards against a faulty backend server that is mistaken for an overloaded one.
 func TestShedCallsDoNotLowerTrustedSlots(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.NewWithOptions(4, limiter.Options{TrustSlots: true})
@@ -102,7 +102,7 @@
 	c.Assert(l.Limit(), qt.Equals, 4)
 }
 
-// Guards against a call that waits for a slot for so long that the node at which its caller waits stops before it is answered.
+// Guards against a call that waits so long for a slot that its entry node stops before the answer arrives.
 func TestCallsAreRefusedAfterTheirStartLimit(t *testing.T) {
 	c := qt.New(t)
 	l := limiter.NewWithOptions(1, limiter.Options{TrustSlots: true, SoftDeadlineFirst: true})
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -4,8 +4,8 @@
 
 const bucketCount = 20
 
-// BudgetOptions bound the repeated attempts of a node: in each Window at most Share of the calls, or Minimum if that is more.
-// With Added, the minimum comes on top of the share.
+// BudgetOptions limit the retries of a node: in each Window to Ratio times the number of calls, or to MinRetries if that is more.
+// With Additive, MinRetries is added to the ratio instead.
 type BudgetOptions struct {
 	Window     time.Duration
 	Ratio      float64
@@ -13,26 +13,26 @@
 	Additive   bool
 }
 
-// DefaultBudget is a tenth of the calls of the last second, or 3 if that is more.
+// DefaultBudget allows retries of a tenth of the calls of the last second, or 3 if that is more.
 var DefaultBudget = BudgetOptions{
 	Window:     time.Second,
 	Ratio:      0.1,
 	MinRetries: 3,
 }
 
-// hedgeBudgetDivisor is the part of the budget that hedges may use.
+// hedgeBudgetDivisor is the divisor of the part of the budget that hedges may use.
 const hedgeBudgetDivisor = 2
 
-// Budget bounds the repeated attempts of a node. It is not safe for concurrent use.
+// Budget limits the retries of a node. It is not safe for concurrent use.
 type Budget struct {
 	options           BudgetOptions
-	bucketNanoseconds int64 // of one bucket, in nanoseconds
+	bucketNanoseconds int64 // length of one bucket
 	calls             [bucketCount]int
 	retries           [bucketCount]int
-	newestBucket      int64 // number of the newest bucket, in spans since the Unix epoch
+	newestBucket      int64 // number of the newest bucket, in bucket lengths since the Unix epoch
 }
 
-// NewBudget returns a budget with no calls; the zero options stand for DefaultBudget.
+// NewBudget returns an unused budget. Zero options stand for DefaultBudget.
 func NewBudget(options BudgetOptions) *Budget {
 	if options == (BudgetOptions{}) {
 		options = DefaultBudget
@@ -43,17 +43,17 @@
 	}
 }
 
-// Call counts one call of a caller.
+// RecordCall counts one call, without its retries.
 func (b *Budget) RecordCall(now time.Time) {
 	b.calls[b.advance(now)]++
 }
 
-// Take counts one repetition and returns true, or returns false if the budget is used up.
+// Take counts one retry and returns true, or returns false if the budget is exhausted.
 func (b *Budget) Take(now time.Time) bool {
 	return b.take(now, 1)
 }
 
-// TakeHedge is like Take, but leaves half of the budget to attempts that follow a failure.
+// TakeHedge is like Take, but leaves half of the budget to retries after a failure.
 func (b *Budget) TakeHedge(now time.Time) bool {
 	return b.take(now, hedgeBudgetDivisor)
 }
@@ -80,7 +80,7 @@
 	return max(ratioLimit, b.options.MinRetries)
 }
 
-// advance clears the buckets that have aged out and returns the index of the current one.
+// advance clears the buckets that have left the window and returns the index of the current one.
 func (b *Budget) advance(now time.Time) int64 {
 	current := now.UnixNano() / b.bucketNanoseconds
 	if current-b.newestBucket >= bucketCount {
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry decides which attempts of a call may be repeated and how many repetitions a node may add to its load.
+// Package retry decides which attempts of a call may be retried or hedged, and limits the load that retries add.
 package retry
--- a/core/retry/hedge.go
+++ b/core/retry/hedge.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// latencyWindow is half the time for which latencies count.
+	// latencyWindow is the length of one of the two windows in which latencies are counted.
 	latencyWindow = 5 * time.Second
-	// minLatencySamples is how many a 95th percentile needs.
+	// minLatencySamples is the number of samples required to estimate the 95th percentile.
 	minLatencySamples = 100
-	// hedgedPerMille of the attempts take longer than the delay of a hedge. It bounds the hedges to 5% of the calls.
+	// hedgedPerMille is the share of attempts that take longer than the hedging delay. It limits hedges to 5% of the calls.
 	hedgedPerMille = 50
-	// hedgePauseAfterOverload follows a refusal or an answer of overload: a service that sheds calls needs no further ones.
+	// hedgePauseAfterOverload is how long no hedges start after a refusal or an overload answer, since they would add load.
 	hedgePauseAfterOverload = time.Second
-	// minHedgeDelay is about twice what the way through two nodes adds at the 99th percentile (0.9 ms in the demo): an
-	// attempt that begins earlier has little to win.
+	// minHedgeDelay is about twice the latency that two nodes add to a call at the 99th percentile (0.9 ms in the demo). An
+	// earlier hedge would gain little.
 	minHedgeDelay = 2 * time.Millisecond
 
 	minBucketLatency   = 100 * time.Microsecond
-	latencyBucketRatio = 1.25 // ratio of the upper bounds of two buckets
+	latencyBucketRatio = 1.25 // ratio of the upper bounds of adjacent buckets
 	latencyBucketCount = 64   // up to 127 s
 )
 
-// Hedging decides for one service when a second attempt may begin beside a first that has not been answered. It is not
-// safe for concurrent use.
+// Hedging decides for one service when a hedged attempt may start while the first attempt is unanswered. It is not safe for
+// concurrent use.
 type Hedging struct {
-	counts      [2][latencyBucketCount]int // of this span and the one before
+	counts      [2][latencyBucketCount]int // of the current and the previous window
 	totals      [2]int
-	windowEnd   time.Time // end of this span
+	windowEnd   time.Time // end of the current window
 	pausedUntil time.Time
 }
 
-// Answered counts the latency of one answered attempt.
+// RecordLatency counts the latency of one answered attempt.
 func (h *Hedging) RecordLatency(now time.Time, took time.Duration) {
 	h.advance(now)
 	bucket := 0
@@ -43,18 +43,18 @@
 	h.totals[0]++
 }
 
-// Shed notes that an attempt was refused or that its answer said that the backend server is overloaded.
+// RecordOverload records that an attempt was refused or that its answer reported an overloaded backend server.
 func (h *Hedging) RecordOverload(now time.Time) {
 	h.pausedUntil = now.Add(hedgePauseAfterOverload)
 }
 
-// Allowed reports whether the service has shed no attempt lately.
+// Allowed reports whether the pause after the last refusal or overload answer is over.
 func (h *Hedging) Allowed(now time.Time) bool {
 	return !now.Before(h.pausedUntil)
 }
 
-// Delay returns the 95th percentile of the latencies of the last 5 s to 10 s, rounded up by a quarter at most, and at
-// least 2 ms; it is false if they are too few.
+// Delay returns the 95th percentile of the latencies of the last 5 s to 10 s, at most a quarter too high, and at least 2 ms. It
+// returns false if there are too few samples.
 func (h *Hedging) Delay(now time.Time) (time.Duration, bool) {
 	h.advance(now)
 	total := h.totals[0] + h.totals[1]
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -6,26 +6,25 @@
 	"parsleyport/core"
 )
 
-// MaxFreeRetries bounds the attempts of one call that cost nothing, so that a fleet in which every node is leaving
-// cannot keep a call going round.
+// MaxFreeRetries limits the free retries of one call, so that a call does not circulate while every node is leaving.
 const MaxFreeRetries = 8
 
-// Class says what may follow an attempt.
+// Class says whether an attempt may be retried.
 type Class int
 
 // The classes of an attempt's result.
 const (
 	// Final means that the result goes to the caller.
 	Final Class = iota
-	// Repeat means that another attempt is allowed at the cost of one attempt and of the budget.
+	// RetryBudgeted means that a retry is allowed and counts as an attempt and against the budget.
 	RetryBudgeted
-	// RetryFree means that another attempt costs nothing: the call met no overload and no backend server had any load of
-	// it. If such attempts counted, the death of one node in three would use up the budget and refuse calls that the
-	// other two can serve.
+	// RetryFree means that a retry is allowed and costs nothing: the call met no overload and put no load on a backend server. If
+	// such retries counted, the failure of one node in three would use up the budget and refuse calls that the other two could
+	// serve.
 	RetryFree
 )
 
-// Classify returns what may follow an attempt; repeatable says that a second run does no harm.
+// Classify classifies an attempt without an answer; repeatable says that running the call twice does no harm.
 func Classify(outcome core.Outcome, cause core.RefusalCause, repeatable bool) Class {
 	switch outcome {
 	case core.OutcomeNotRun:
@@ -38,10 +37,10 @@
 	return Final
 }
 
-// ClassifyAnswer returns what may follow an answer with a status; relayed says that a node further down refused and that
-// the backend server passed this on. A 503 or 502 of the backend server's own may be better elsewhere. A 504 has used up
-// time that a further attempt would use up again, and any other 5xx is as likely to be caused by the call itself. A
-// relayed answer is final, because the node further down has made the attempts that were left.
+// ClassifyAnswer classifies an answer by its status; relayed says that the backend server passed on the refusal of a node behind
+// it. A 503 or 502 of the backend server itself may succeed elsewhere. A 504 is final because a retry would use up the same time
+// again, and any other 5xx because it is as likely to be caused by the call itself. A relayed answer is final because the node
+// behind the backend server has already made the remaining attempts.
 func ClassifyAnswer(status int, relayed, repeatable bool) Class {
 	if repeatable && !relayed && (status == http.StatusServiceUnavailable || status == http.StatusBadGateway) {
 		return RetryBudgeted
@@ -49,7 +48,7 @@
 	return Final
 }
 
-// Overloaded reports whether a status of a backend server's own says that it has too much to do.
+// Overloaded reports whether the status of a backend server's answer says that it is overloaded.
 func Overloaded(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
@@ -64,24 +63,24 @@
 	return RetryBudgeted
 }
 
-// RefusedForCapacity reports whether the node beside a backend server refused a call that it would have had to keep waiting.
+// RefusedForCapacity reports whether a node refused a call because its backend server had no slot for it in time.
 func RefusedForCapacity(cause core.RefusalCause) bool {
 	return cause == core.CauseDeadline || cause == core.CauseQueueFull
 }
 
-// Gone reports whether a refusal means that its node is of no use to the call. After a revocation it still is: the call
-// had lost its connection, and a new one may work.
+// NodeUnavailable reports whether a refusal means that its node cannot serve the call. A revocation does not: the call lost its
+// connection, and a new connection may work.
 func NodeUnavailable(cause core.RefusalCause) bool {
 	return classifyRefusal(cause) == RetryFree && cause != core.CauseRevoked
 }
 
-// Attempts counts the attempts of one call.
+// Attempts counts the remaining attempts of one call.
 type Attempts struct {
 	left        int
 	freeRetries int
 }
 
-// NewAttempts returns the attempts of a call: the policy's number, or what the calling level has left if that is lower.
+// NewAttempts returns the attempts of a call: the number in the policy, or what the calling level has left if that is lower.
 func NewAttempts(policy, inherited int) Attempts {
 	left := policy
 	if inherited > 0 {
@@ -93,19 +92,19 @@
 	}
 }
 
-// Waited gives one free try back to a call that has waited, since the wait bounds the rate of its tries.
+// RestoreFreeRetry gives one free retry back to a call that has waited, since the wait limits the rate of its retries.
 func (a *Attempts) RestoreFreeRetry() {
 	a.freeRetries = min(a.freeRetries+1, MaxFreeRetries)
 }
 
-// Start takes one attempt and returns how many attempts the calls below this one may make. The number falls with each
-// level, so that n attempts at the top become at most 2^(n-1) at any depth instead of n to the power of the depth.
+// Start takes one attempt and returns how many attempts nested calls may make. The number decreases with each level, so that n
+// attempts at the top become at most 2^(n-1) at any depth, instead of n to the power of the depth.
 func (a *Attempts) Start() int {
 	a.left--
 	return max(a.left, 1)
 }
 
-// Another reports whether the class allows one more attempt; it asks the budget only for attempts that cost something.
+// AllowRetry reports whether the class allows another attempt. It calls budget only for attempts that are not free.
 func (a *Attempts) AllowRetry(class Class, budget func() bool) bool {
 	switch class {
 	case RetryFree:
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Guards against a retry storm: repetitions stay under a tenth of the calls, or 3 a second, whatever fails.
+// Guards against a retry storm: retries stay below a tenth of the calls, or 3 a second, whatever fails.
 func TestBudgetLimitsRetries(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ callsPerSecond, most int }{
@@ -53,12 +53,12 @@
 				}
 			}
 		}
-		c.Assert(retries <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d repetitions", retries))
-		c.Assert(retries >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d repetitions", retries))
+		c.Assert(retries <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d retries", retries))
+		c.Assert(retries >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d retries", retries))
 	}
 }
 
-// Guards against attempts that multiply from level to level of nested calls.
+// Guards against attempts that multiply with each level of nested calls.
 func TestAttemptsDoNotMultiplyWithDepth(t *testing.T) {
 	c := qt.New(t)
 	always := func() bool { return true }
@@ -80,8 +80,8 @@
 	c.Assert(runs(5, 0, 0) <= 16, qt.IsTrue, qt.Commentf("%d runs", runs(5, 0, 0)))
 }
 
-// Guards against a call that goes round for ever while every node is leaving, and against a leaving node using up
-// attempts or budget.
+// Guards against a call that is retried without end while every node is leaving, and against leaving nodes that use up attempts
+// or budget.
 func TestRetriesAtLeavingNodesAreFree(t *testing.T) {
 	c := qt.New(t)
 	attempts := retry.NewAttempts(1, 0)
@@ -124,7 +124,7 @@
 	c.Assert(h.Allowed(now.Add(time.Second)), qt.IsTrue)
 }
 
-// Guards against hedges that leave no budget to attempts that follow a failure.
+// Guards against hedges that leave no budget for retries after a failure.
 func TestHedgesLeaveHalfOfTheBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.BudgetOptions{})
@@ -142,8 +142,8 @@
 	c.Assert(count(budget.Take), qt.Equals, 50)
 }
 
-// Guards against repeated server errors: a backend server answers 500 when a call of its own has failed, so that each level of
-// nested calls would multiply the repetitions of those below it.
+// Guards against retries of server errors: a backend server answers 500 when one of its own calls has failed, so that each level of
+// nested calls would multiply the retries of the levels below it.
 func TestServerErrorsAreFinal(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -10,10 +10,10 @@
 	"parsleyport/core/retry"
 )
 
-// Guards against nodes that each keep their budget and together exceed the one that they share, in any window of its length:
-// the nodes' windows begin at different times, and calls come in bursts, at other nodes each time.
+// Guards against nodes that keep their own budgets but together exceed the shared budget in some window of its length, because
+// their windows begin at different times and bursts of calls arrive at different nodes.
 //
-// Replays 100 nodes whose every call fails and is tried again three times, while the rate of calls changes every few seconds.
+// Simulates 100 nodes. Every call fails and is retried three times, and the rate of calls changes every few seconds.
 func TestNodesStayWithinTheSharedBudget(t *testing.T) {
 	c := qt.New(t)
 	const (
@@ -21,7 +21,7 @@
 		window     = 10 * time.Second
 		retryRatio = 0.2
 		slack      = 62.0
-		nodeRatio  = 0.7 // of the shared budget that nodes use
+		nodeRatio  = 0.7 // part of the shared budget that is divided among the nodes
 		step       = 100 * time.Millisecond
 		steps      = 900
 	)
