--- a/core/idempotency/attempts.go
+++ b/core/idempotency/attempts.go
@@ -6,11 +6,11 @@
 const Window = 10 * time.Minute
 
 const (
-	maxConnections = 8192   // of which at most half are open, see nodepeer
-	maxRevocations = 65_536 // beyond that a revocation is answered with "not revoked", which is always true
-	maxNotRun      = 4096   // for each connection
-	maxAhead       = 4096   // senders race for the order on the wire, so a sequence may arrive before a lower one
-	pruneEvery     = time.Minute
+	maxConnections         = 8192   // of which at most half are open, see nodepeer
+	maxRevocations         = 65_536 // beyond that a revocation is answered with "not revoked", which is always true
+	maxNotRunPerConnection = 4096   // for each connection
+	maxOutOfOrder          = 4096   // senders race for the order on the wire, so a sequence may arrive before a lower one
+	pruneInterval          = time.Minute
 )
 
 // AttemptKey identifies one attempt: a random number of the connection that carries it, and its number there from 1.
@@ -48,20 +48,20 @@
 // AttemptLog remembers which attempts a node has seen. For each connection it keeps one number below which every
 // sequence has arrived, so its size does not grow with the number of calls.
 type AttemptLog struct {
-	connections    map[uint64]*connectionLog
-	revocations    int
-	forgottenUntil time.Time // until then, an unknown connection may be one that was forgotten too early
-	pruned         time.Time
+	connections  map[uint64]*connectionLog
+	revocations  int
+	evictedUntil time.Time // until then, an unknown connection may be one that was forgotten too early
+	prunedAt     time.Time
 }
 
 type connectionLog struct {
-	open    bool
-	used    time.Time
-	below   uint64 // all sequences below this one have arrived
-	ahead   map[uint64]struct{}
-	running map[uint64]struct{}
-	notRun  map[uint64]struct{}
-	revoked map[uint64]struct{}
+	open         bool
+	lastUsedAt   time.Time
+	arrivedBelow uint64 // all sequences below this one have arrived
+	outOfOrder   map[uint64]struct{}
+	running      map[uint64]struct{}
+	notRun       map[uint64]struct{}
+	revoked      map[uint64]struct{}
 }
 
 // NewAttemptLog returns an empty log.
@@ -85,7 +85,7 @@
 func (l *AttemptLog) Disconnected(now time.Time, connection uint64) {
 	if log := l.connections[connection]; log != nil {
 		log.open = false
-		log.used = now
+		log.lastUsedAt = now
 	}
 }
 
@@ -95,8 +95,8 @@
 	if log == nil || log.seen(key.Sequence) {
 		return ArrivalRepeated
 	}
-	log.used = now
-	log.mark(key.Sequence)
+	log.lastUsedAt = now
+	log.markArrived(key.Sequence)
 	if _, revoked := log.revoked[key.Sequence]; revoked {
 		delete(log.revoked, key.Sequence)
 		l.revocations--
@@ -117,7 +117,7 @@
 	if ran {
 		return
 	}
-	if len(log.notRun) >= maxNotRun {
+	if len(log.notRun) >= maxNotRunPerConnection {
 		clear(log.notRun) // those attempts become unknown, which is always true
 	}
 	log.notRun[key.Sequence] = struct{}{}
@@ -125,16 +125,16 @@
 
 // Revoke keeps an attempt that has not arrived from running later, or says what became of it.
 func (l *AttemptLog) Revoke(now time.Time, key AttemptKey) Revocation {
-	if _, known := l.connections[key.Connection]; !known && now.Before(l.forgottenUntil) {
+	if _, known := l.connections[key.Connection]; !known && now.Before(l.evictedUntil) {
 		return RevocationTooLate
 	}
 	log := l.connection(now, key.Connection)
 	if log == nil {
 		return RevocationTooLate
 	}
-	log.used = now
+	log.lastUsedAt = now
 	if log.seen(key.Sequence) {
-		return log.verdict(key.Sequence)
+		return log.revocation(key.Sequence)
 	}
 	if _, revoked := log.revoked[key.Sequence]; revoked {
 		return RevocationDone
@@ -152,79 +152,79 @@
 	if log := l.connections[id]; log != nil {
 		return log
 	}
-	if len(l.connections) >= maxConnections && !l.forgetOldest(now) {
+	if len(l.connections) >= maxConnections && !l.evictOldest(now) {
 		return nil
 	}
 	log := &connectionLog{
-		used:    now,
-		below:   1,
-		ahead:   make(map[uint64]struct{}),
-		running: make(map[uint64]struct{}),
-		notRun:  make(map[uint64]struct{}),
-		revoked: make(map[uint64]struct{}),
+		lastUsedAt:   now,
+		arrivedBelow: 1,
+		outOfOrder:   make(map[uint64]struct{}),
+		running:      make(map[uint64]struct{}),
+		notRun:       make(map[uint64]struct{}),
+		revoked:      make(map[uint64]struct{}),
 	}
 	l.connections[id] = log
 	return log
 }
 
 func (l *AttemptLog) prune(now time.Time) {
-	if now.Sub(l.pruned) < pruneEvery {
+	if now.Sub(l.prunedAt) < pruneInterval {
 		return
 	}
-	l.pruned = now
+	l.prunedAt = now
 	for id, log := range l.connections {
-		if !log.open && len(log.running) == 0 && now.Sub(log.used) > Window {
-			l.forget(id)
+		if !log.open && len(log.running) == 0 && now.Sub(log.lastUsedAt) > Window {
+			l.remove(id)
 		}
 	}
 }
 
-func (l *AttemptLog) forgetOldest(now time.Time) bool {
+func (l *AttemptLog) evictOldest(now time.Time) bool {
 	oldest, found := uint64(0), false
 	for id, log := range l.connections {
 		if log.open || len(log.running) > 0 {
 			continue
 		}
-		if !found || log.used.Before(l.connections[oldest].used) {
+		if !found || log.lastUsedAt.Before(l.connections[oldest].lastUsedAt) {
 			oldest, found = id, true
 		}
 	}
 	if found {
-		l.forget(oldest)
-		l.forgottenUntil = now.Add(Window)
+		l.remove(oldest)
+		l.evictedUntil = now.Add(Window)
 	}
 	return found
 }
 
-func (l *AttemptLog) forget(id uint64) {
+func (l *AttemptLog) remove(id uint64) {
 	l.revocations -= len(l.connections[id].revoked)
 	delete(l.connections, id)
 }
 
 func (c *connectionLog) seen(sequence uint64) bool {
-	_, ahead := c.ahead[sequence]
-	return sequence < c.below || ahead
+	_, outOfOrder := c.outOfOrder[sequence]
+	return sequence < c.arrivedBelow || outOfOrder
 }
 
-func (c *connectionLog) mark(sequence uint64) {
-	c.ahead[sequence] = struct{}{}
-	if len(c.ahead) > maxAhead {
-		for each := range c.ahead {
-			c.below = max(c.below, each+1)
+func (c *connectionLog) markArrived(sequence uint64) {
+	c.outOfOrder[sequence] = struct{}{}
+	if len(c.outOfOrder) > maxOutOfOrder {
+		for each := range c.outOfOrder {
+			c.arrivedBelow = max(c.arrivedBelow, each+1)
 		}
-		clear(c.ahead)
+		clear(c.outOfOrder)
 		return
 	}
 	for {
-		if _, arrived := c.ahead[c.below]; !arrived {
+		if _, arrived := c.outOfOrder[c.arrivedBelow]; !arrived {
 			return
 		}
-		delete(c.ahead, c.below)
-		c.below++
+		delete(c.outOfOrder, c.arrivedBelow)
+		c.arrivedBelow++
 	}
 }
 
-func (c *connectionLog) verdict(sequence uint64) Revocation {
+func (c *connectionLog) revocation(sequence uint64) Revocation {
 	if _, running := c.running[sequence]; running {
 		return RevocationPending
 	}
--- a/core/idempotency/holders.go
+++ b/core/idempotency/holders.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxAsked         = 8    // nodes for one key
-	maxHolderNodes   = 8192 // for all services
-	maxServicesKnown = 4096
+	maxAskedNodes  = 8    // nodes for one key
+	maxHolderNodes = 8192 // for all services
+	maxServices    = 4096
 )
 
 // Holders knows which nodes announce a service or did so within the window, and chooses a key's holders among them.
@@ -23,22 +23,22 @@
 }
 
 type serviceNodes struct {
-	nodes    map[core.NodeID]*holderNode
-	observed time.Time
+	nodes      map[core.NodeID]*holderNode
+	observedAt time.Time
 }
 
 type holderNode struct {
-	endpoint core.Endpoint
-	first    time.Time
-	seen     time.Time
-	late     bool // it was not there at the observation before
+	endpoint     core.Endpoint
+	firstSeenAt  time.Time
+	lastSeenAt   time.Time
+	joinObserved bool // it was not there at the observation before
 }
 
 // Holder is a node that is asked about a key.
 type Holder struct {
 	core.Endpoint
-	First  time.Time // it has been known since then
-	Joined bool      // it joined within the window, for the first time in it
+	FirstSeen      time.Time // it has been known since then
+	RecentlyJoined bool      // it joined within the window, for the first time in it
 }
 
 // NewHolders returns a memory without nodes.
@@ -52,7 +52,7 @@
 func (h *Holders) Observe(now time.Time, service core.ServiceName, endpoints []core.Endpoint) {
 	known := h.services[service]
 	if known == nil {
-		if len(endpoints) == 0 || len(h.services) >= maxServicesKnown {
+		if len(endpoints) == 0 || len(h.services) >= maxServices {
 			return
 		}
 		known = &serviceNodes{
@@ -61,30 +61,30 @@
 		h.services[service] = known
 	}
 	nodes := known.nodes
-	late := now.Sub(known.observed) <= JoinLag // else it may have been there meanwhile, or before this node started
-	known.observed = now
+	joinObserved := now.Sub(known.observedAt) <= JoinLag // else it may have been there meanwhile, or before this node started
+	known.observedAt = now
 	for id, node := range nodes {
-		if now.Sub(node.seen) > Window {
+		if now.Sub(node.lastSeenAt) > Window {
 			delete(nodes, id)
 			h.nodes--
 		}
 	}
 	for _, endpoint := range endpoints {
-		h.observe(now, nodes, endpoint, late)
+		h.observe(now, nodes, endpoint, joinObserved)
 	}
 	if len(nodes) == 0 {
 		delete(h.services, service)
 	}
 }
 
-func (h *Holders) observe(now time.Time, nodes map[core.NodeID]*holderNode, endpoint core.Endpoint, late bool) {
+func (h *Holders) observe(now time.Time, nodes map[core.NodeID]*holderNode, endpoint core.Endpoint, joinObserved bool) {
 	if node := nodes[endpoint.Node]; node != nil {
-		if now.Sub(node.seen) > JoinLag {
+		if now.Sub(node.lastSeenAt) > JoinLag {
 			// It may have been away for longer than other entry nodes remember: it keeps its place but is not known.
-			node.first, node.late = now, false
+			node.firstSeenAt, node.joinObserved = now, false
 		}
 		node.endpoint = endpoint
-		node.seen = now
+		node.lastSeenAt = now
 		return
 	}
 	if h.nodes >= maxHolderNodes {
@@ -92,10 +92,10 @@
 	}
 	h.nodes++
 	nodes[endpoint.Node] = &holderNode{
-		endpoint: endpoint,
-		first:    now,
-		seen:     now,
-		late:     late,
+		endpoint:     endpoint,
+		firstSeenAt:  now,
+		lastSeenAt:   now,
+		joinObserved: joinObserved,
 	}
 }
 
@@ -104,21 +104,21 @@
 	chosen := h.Choose(now, key)
 	ages := make(map[core.NodeID]time.Duration, len(chosen))
 	for _, holder := range chosen {
-		ages[holder.Node] = now.Sub(holder.First)
+		ages[holder.Node] = now.Sub(holder.FirstSeen)
 	}
 	return ages
 }
 
 // Learn notes how long another node has known nodes of the service. It lets a node that has just started tell holders that
 // were restarted from newcomers.
-func (h *Holders) Learn(now time.Time, service core.ServiceName, ages map[core.NodeID]time.Duration) {
+func (h *Holders) MergeAges(now time.Time, service core.ServiceName, ages map[core.NodeID]time.Duration) {
 	known := h.services[service]
 	if known == nil {
 		return
 	}
 	for id, age := range ages {
-		if node := known.nodes[id]; node != nil && now.Add(-age).Before(node.first) {
-			node.first = now.Add(-age)
+		if node := known.nodes[id]; node != nil && now.Add(-age).Before(node.firstSeenAt) {
+			node.firstSeenAt = now.Add(-age)
 		}
 	}
 }
@@ -138,16 +138,16 @@
 	for id, node := range known.nodes {
 		ranked = append(ranked, scored{
 			holder: Holder{
-				Endpoint: node.endpoint,
-				First:    node.first,
-				Joined:   node.late && now.Sub(node.first) < Window,
+				Endpoint:       node.endpoint,
+				FirstSeen:      node.firstSeenAt,
+				RecentlyJoined: node.joinObserved && now.Sub(node.firstSeenAt) < Window,
 			},
 			score: xxhash.Sum64String(string(id) + "\x00" + string(key.Tenant) + "\x00" + string(key.Name)),
 		})
 	}
 	slices.SortFunc(ranked, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	chosen := make([]Holder, 0, maxAsked)
-	for _, each := range ranked[:min(len(ranked), maxAsked)] {
+	chosen := make([]Holder, 0, maxAskedNodes)
+	for _, each := range ranked[:min(len(ranked), maxAskedNodes)] {
 		chosen = append(chosen, each.holder)
 	}
 	return chosen
--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		log := NewAttemptLog()
 		log.Connected(epoch, 1)
-		promised, ran, running := make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool)
+		revoked, ran, running := make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool)
 		now := epoch
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
@@ -38,7 +38,7 @@
 			case 2:
 				switch log.Revoke(now, key) {
 				case RevocationDone:
-					promised[sequence] = true
+					revoked[sequence] = true
 				case RevocationPending:
 					if !running[sequence] {
 						t.Fatalf("attempt %d is said to be running", sequence)
@@ -47,7 +47,7 @@
 			case 3:
 				log.Disconnected(now, 1)
 			}
-			if promised[sequence] && (running[sequence] || ran[sequence]) {
+			if revoked[sequence] && (running[sequence] || ran[sequence]) {
 				t.Fatalf("attempt %d ran after its revocation", sequence)
 			}
 		}
@@ -63,7 +63,7 @@
 		log.Arrived(epoch, AttemptKey{Connection: 1, Sequence: i})
 		log.Ended(AttemptKey{Connection: 1, Sequence: i}, true)
 	}
-	c.Assert(len(log.connections[1].ahead)+len(log.connections[1].running)+len(log.connections[1].notRun), qt.Equals, 0)
+	c.Assert(len(log.connections[1].outOfOrder)+len(log.connections[1].running)+len(log.connections[1].notRun), qt.Equals, 0)
 	for i := uint64(0); i < maxRevocations; i++ {
 		c.Assert(log.Revoke(epoch, AttemptKey{Connection: 2, Sequence: 1 + i}), qt.Equals, RevocationDone)
 	}
@@ -71,23 +71,23 @@
 	c.Assert(log.Revoke(epoch, late), qt.Equals, RevocationTooLate)
 	c.Assert(log.Arrived(epoch, AttemptKey{Connection: 2, Sequence: 1}), qt.Equals, ArrivalRevoked)
 
-	crowded := NewAttemptLog()
+	full := NewAttemptLog()
 	for i := range uint64(maxConnections + 10) {
-		crowded.Connected(epoch, 1+i)
-		crowded.Arrived(epoch, AttemptKey{Connection: 1 + i, Sequence: 1})
-		crowded.Ended(AttemptKey{Connection: 1 + i, Sequence: 1}, true)
-		crowded.Disconnected(epoch.Add(time.Duration(i)), 1+i)
+		full.Connected(epoch, 1+i)
+		full.Arrived(epoch, AttemptKey{Connection: 1 + i, Sequence: 1})
+		full.Ended(AttemptKey{Connection: 1 + i, Sequence: 1}, true)
+		full.Disconnected(epoch.Add(time.Duration(i)), 1+i)
 	}
-	c.Assert(len(crowded.connections), qt.Equals, maxConnections)
-	c.Assert(crowded.Revoke(epoch, AttemptKey{Connection: 1, Sequence: 1}), qt.Equals, RevocationTooLate) // forgotten, so unknown
+	c.Assert(len(full.connections), qt.Equals, maxConnections)
+	c.Assert(full.Revoke(epoch, AttemptKey{Connection: 1, Sequence: 1}), qt.Equals, RevocationTooLate) // forgotten, so unknown
 	later := epoch.Add(2 * Window)
-	c.Assert(crowded.Revoke(later, AttemptKey{Connection: 1 << 40, Sequence: 1}), qt.Equals, RevocationDone)
+	c.Assert(full.Revoke(later, AttemptKey{Connection: 1 << 40, Sequence: 1}), qt.Equals, RevocationDone)
 }
 
 // Guards against two owners of one key, a lost recorded answer, and a key that stays with a call that was not run.
 func TestKeyHasOneOwner(t *testing.T) {
 	c := qt.New(t)
-	keys, key := NewKeys(), Key{Tenant: "a", Service: "s", Name: "k"}
+	keys, key := NewKeyStore(), Key{Tenant: "a", Service: "s", Name: "k"}
 	until := epoch.Add(time.Second)
 	claim := func(now time.Time, owner core.CallID, content Fingerprint) Verdict {
 		verdict, _ := keys.Claim(now, key, owner, content, until)
@@ -101,21 +101,21 @@
 	c.Assert(claim(epoch, "two", 1), qt.Equals, VerdictRunning)
 	keys.Settle(epoch, key, "one", VerdictGranted, nil)
 	c.Assert(claim(epoch, "two", 1), qt.Equals, VerdictGranted)
-	keys.Settle(epoch, key, "two", VerdictAnswered, &Recorded{Status: 200, Body: []byte("ok")})
+	keys.Settle(epoch, key, "two", VerdictAnswered, &RecordedAnswer{Status: 200, Body: []byte("ok")})
 	verdict, answer := keys.Claim(epoch.Add(Window), key, "three", 1, until)
 	c.Assert(verdict, qt.Equals, VerdictAnswered)
 	c.Assert(string(answer.Body), qt.Equals, "ok")
 	c.Assert(claim(epoch.Add(Window+time.Second), "three", 1), qt.Equals, VerdictGranted)
-	c.Assert(keys.recorded, qt.Equals, 0)
+	c.Assert(keys.recordedBytes, qt.Equals, 0)
 	c.Assert(claim(epoch.Add(Window+2*time.Second), "four", 1), qt.Equals, VerdictUnknown) // three was never settled
-	keys.Settle(epoch, key, "three", VerdictAnswered, &Recorded{Body: make([]byte, MaxRecordedBytes+1)})
+	keys.Settle(epoch, key, "three", VerdictAnswered, &RecordedAnswer{Body: make([]byte, MaxRecordedBytes+1)})
 	c.Assert(claim(epoch.Add(Window+2*time.Second), "four", 1), qt.Equals, VerdictUnknown)
 }
 
 // Guards against forgetting a key early to make room for others.
-func TestFullMemoryRefusesNewKeys(t *testing.T) {
+func TestFullStoreRefusesNewKeys(t *testing.T) {
 	c := qt.New(t)
-	keys := NewKeys()
+	keys := NewKeyStore()
 	for i := range maxKeys {
 		keys.Claim(epoch, Key{Name: core.IdempotencyKey(fmt.Sprint(i))}, "one", 1, epoch)
 	}
@@ -130,47 +130,47 @@
 // Guards against a run on the replies of holders that cannot know, or against the reply of one that does.
 func TestClaimNeedsEachReachedHolderAndAMajority(t *testing.T) {
 	c := qt.New(t)
-	reply := func(verdict Verdict, whole bool) Reply {
-		return Reply{Reached: true, Whole: whole, Unbroken: whole, Verdict: verdict}
+	reply := func(verdict Verdict, complete bool) Reply {
+		return Reply{Reached: true, CompleteMemory: complete, ContinuousMemory: complete, Verdict: verdict}
 	}
-	granted, unclear, silent := reply(VerdictGranted, true), reply(VerdictGranted, false), Reply{}
+	granted, unclear, unreachable := reply(VerdictGranted, true), reply(VerdictGranted, false), Reply{}
 	restarted := unclear
-	restarted.Before = true
+	restarted.Restarted = true
 	restored := granted // after a planned stop
-	restored.Unbroken = false
-	joined := Reply{Reached: true, Joined: true, Verdict: VerdictGranted}
+	restored.ContinuousMemory = false
+	joined := Reply{Reached: true, RecentlyJoined: true, Verdict: VerdictGranted}
 	newcomers := []Reply{joined, joined, joined}
 	restartedNewcomer := joined
-	restartedNewcomer.Before = true
-	c.Assert(Enough([]Reply{restartedNewcomer, granted, granted}), qt.IsFalse) // it is no holder yet
-	c.Assert(Enough(newcomers), qt.IsFalse)                                    // else such a key would stay unknown although old nodes can be asked
-	c.Assert(Enough(append(newcomers, granted, granted, silent)), qt.IsFalse)  // the silent one may be a newcomer too
-	c.Assert(Enough(append(newcomers, granted, granted, restarted)), qt.IsTrue)
-	c.Assert(Enough([]Reply{unclear, granted, granted}), qt.IsFalse) // only this entry node may take the first for a holder
-	c.Assert(Enough([]Reply{granted, granted}), qt.IsFalse)          // else a resend would miss it after one of them was restarted
-	c.Assert(Enough([]Reply{reply(VerdictRunning, false)}), qt.IsTrue)
+	restartedNewcomer.Restarted = true
+	c.Assert(IsDecided([]Reply{restartedNewcomer, granted, granted}), qt.IsFalse)     // it is no holder yet
+	c.Assert(IsDecided(newcomers), qt.IsFalse)                                        // else such a key would stay unknown although old nodes can be asked
+	c.Assert(IsDecided(append(newcomers, granted, granted, unreachable)), qt.IsFalse) // the silent one may be a newcomer too
+	c.Assert(IsDecided(append(newcomers, granted, granted, restarted)), qt.IsTrue)
+	c.Assert(IsDecided([]Reply{unclear, granted, granted}), qt.IsFalse) // only this entry node may take the first for a holder
+	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)          // else a resend would miss it after one of them was restarted
+	c.Assert(IsDecided([]Reply{reply(VerdictRunning, false)}), qt.IsTrue)
 	for _, test := range []struct {
 		replies []Reply
 		want    Verdict
 	}{
 		{replies: []Reply{granted, granted, granted}, want: VerdictGranted},
 		{replies: []Reply{granted}, want: VerdictGranted}, // the only node of the service
-		{replies: []Reply{granted, granted, silent}, want: VerdictGranted},
+		{replies: []Reply{granted, granted, unreachable}, want: VerdictGranted},
 		{replies: []Reply{restarted, granted, granted}, want: VerdictGranted},
-		{replies: []Reply{joined, joined, granted, granted, silent}, want: VerdictGranted},
-		{replies: []Reply{restarted, silent, silent, granted, granted}, want: VerdictUnknown}, // others do not replace a holder
-		{replies: []Reply{silent, restarted, restarted, granted}, want: VerdictUnknown},
-		{replies: []Reply{silent, granted}, want: VerdictUnknown}, // another entry node may reach only the other one
-		{replies: []Reply{granted, restarted, silent}, want: VerdictGranted},
-		{replies: []Reply{restored, restarted, silent}, want: VerdictUnknown}, // the others may have granted it during the stop
-		{replies: []Reply{restored, restored, silent}, want: VerdictGranted},
+		{replies: []Reply{joined, joined, granted, granted, unreachable}, want: VerdictGranted},
+		{replies: []Reply{restarted, unreachable, unreachable, granted, granted}, want: VerdictUnknown}, // others do not replace a holder
+		{replies: []Reply{unreachable, restarted, restarted, granted}, want: VerdictUnknown},
+		{replies: []Reply{unreachable, granted}, want: VerdictUnknown}, // another entry node may reach only the other one
+		{replies: []Reply{granted, restarted, unreachable}, want: VerdictGranted},
+		{replies: []Reply{restored, restarted, unreachable}, want: VerdictUnknown}, // the others may have granted it during the stop
+		{replies: []Reply{restored, restored, unreachable}, want: VerdictGranted},
 		{replies: []Reply{restored, restarted}, want: VerdictGranted},
 		{replies: []Reply{restarted, restarted, restarted}, want: VerdictUnknown},
-		{replies: []Reply{restarted, restarted, silent}, want: VerdictUnknown}, // the third may have held the key alone
-		{replies: []Reply{restarted, silent, silent}, want: VerdictUnknown},
-		{replies: []Reply{granted, unclear, silent}, want: VerdictUnknown}, // the second may have joined after the third granted the key
-		{replies: []Reply{silent, silent, granted}, want: VerdictUnknown},
-		{replies: []Reply{silent, silent}, want: VerdictUnknown},
+		{replies: []Reply{restarted, restarted, unreachable}, want: VerdictUnknown}, // the third may have held the key alone
+		{replies: []Reply{restarted, unreachable, unreachable}, want: VerdictUnknown},
+		{replies: []Reply{granted, unclear, unreachable}, want: VerdictUnknown}, // the second may have joined after the third granted the key
+		{replies: []Reply{unreachable, unreachable, granted}, want: VerdictUnknown},
+		{replies: []Reply{unreachable, unreachable}, want: VerdictUnknown},
 		{replies: nil, want: VerdictUnknown},
 		{replies: []Reply{joined, joined, joined}, want: VerdictUnknown},
 		{replies: []Reply{granted, granted, reply(VerdictRunning, false)}, want: VerdictRunning},
@@ -178,7 +178,7 @@
 		{replies: []Reply{granted, granted, reply(VerdictAnswered, false)}, want: VerdictAnswered},
 		{replies: []Reply{granted, granted, reply(VerdictFull, true)}, want: VerdictFull},
 	} {
-		got, _ := Combine(test.replies)
+		got, _ := DecideClaim(test.replies)
 		c.Assert(got, qt.Equals, test.want, qt.Commentf("%+v", test.replies))
 	}
 }
@@ -203,7 +203,7 @@
 			var replies []Reply
 			var asked []core.NodeID
 			for _, holder := range holders.Choose(epoch, key) {
-				if Enough(replies) {
+				if IsDecided(replies) {
 					break
 				}
 				verdict := VerdictGranted
@@ -211,10 +211,10 @@
 					verdict = VerdictUnknown
 				}
 				asked = append(asked, holder.Node)
-				whole := joined[holder.Node] == 0
-				replies = append(replies, Reply{Reached: true, Whole: whole, Unbroken: whole, Joined: holder.Joined, Verdict: verdict})
+				complete := joined[holder.Node] == 0
+				replies = append(replies, Reply{Reached: true, CompleteMemory: complete, ContinuousMemory: complete, RecentlyJoined: holder.RecentlyJoined, Verdict: verdict})
 			}
-			if verdict, _ := Combine(replies); verdict == VerdictGranted {
+			if verdict, _ := DecideClaim(replies); verdict == VerdictGranted {
 				if claimed {
 					t.Fatal("the key was granted twice")
 				}
@@ -231,13 +231,13 @@
 }
 
 // Guards against taking a node that was restarted, or was there before this node looked, for one that never held a key.
-func TestOnlyNodesSeenToJoinHaveJoined(t *testing.T) {
+func TestOnlyObservedJoinsCountAsJoins(t *testing.T) {
 	c := qt.New(t)
 	holders, a, b := NewHolders(), core.Endpoint{Node: "a"}, core.Endpoint{Node: "b"}
 	joined := func(now time.Time) map[core.NodeID]bool {
 		all := make(map[core.NodeID]bool)
 		for _, holder := range holders.Choose(now, Key{Service: "s"}) {
-			all[holder.Node] = holder.Joined
+			all[holder.Node] = holder.RecentlyJoined
 		}
 		return all
 	}
@@ -246,7 +246,7 @@
 	c.Assert(joined(epoch.Add(JoinLag)), qt.DeepEquals, map[core.NodeID]bool{"a": false, "b": true})
 	c.Assert(joined(epoch.Add(JoinLag+Window)), qt.DeepEquals, map[core.NodeID]bool{"a": false, "b": false})
 	first := func() time.Time {
-		return holders.Choose(epoch, Key{Service: "s"})[0].First
+		return holders.Choose(epoch, Key{Service: "s"})[0].FirstSeen
 	}
 	holders = NewHolders()
 	holders.Observe(epoch, "s", []core.Endpoint{a})
@@ -273,7 +273,7 @@
 		key := Key{Service: "s", Name: core.IdempotencyKey(fmt.Sprint(i))}
 		holders.Observe(epoch, "s", endpoints)
 		before := holders.Choose(epoch.Add(Window), key)
-		c.Assert(before, qt.HasLen, maxAsked)
+		c.Assert(before, qt.HasLen, maxAskedNodes)
 		c.Assert(before[0].Node, qt.Not(qt.Equals), before[1].Node)
 		spread[before[0].Node]++
 		holders.Observe(epoch.Add(Window), "s", nil)
@@ -291,14 +291,14 @@
 func TestSuspectsNeedTwoCrashes(t *testing.T) {
 	c := qt.New(t)
 	suspects := NewSuspects()
-	for i := range maxSuspects + 100 { // each ran in one crash
-		suspects.Crashed(epoch, CrashID{Node: "n", Run: "1"}, Fingerprint(1000+i))
+	for i := range maxFingerprints + 100 { // each ran in one crash
+		suspects.RecordCrash(epoch, CrashID{Node: "n", Run: "1"}, Fingerprint(1000+i))
 	}
-	c.Assert(len(suspects.crashes) <= maxSuspects, qt.IsTrue)
-	suspects.Crashed(epoch, CrashID{Node: "a", Run: "1"}, 7)
-	suspects.Crashed(epoch, CrashID{Node: "a", Run: "1"}, 7)
+	c.Assert(len(suspects.crashes) <= maxFingerprints, qt.IsTrue)
+	suspects.RecordCrash(epoch, CrashID{Node: "a", Run: "1"}, 7)
+	suspects.RecordCrash(epoch, CrashID{Node: "a", Run: "1"}, 7)
 	c.Assert(suspects.Suspected(epoch, 7), qt.IsFalse)
-	suspects.Crashed(epoch, CrashID{Node: "b", Run: "1"}, 7)
+	suspects.RecordCrash(epoch, CrashID{Node: "b", Run: "1"}, 7)
 	c.Assert(suspects.Suspected(epoch, 7), qt.IsTrue)
 	c.Assert(suspects.Suspected(epoch, 8), qt.IsFalse)
 	c.Assert(suspects.Suspected(epoch.Add(Window+1), 7), qt.IsFalse)
--- a/core/idempotency/keys.go
+++ b/core/idempotency/keys.go
@@ -10,8 +10,8 @@
 const (
 	maxKeys = 131_072 // 218 keys a second over the window
 	// MaxRecordedBytes bounds the body of one recorded answer.
-	MaxRecordedBytes = 64 << 10
-	maxRecordedTotal = 16 << 20
+	MaxRecordedBytes      = 64 << 10
+	maxTotalRecordedBytes = 16 << 20
 )
 
 // Key identifies what a caller wants to happen at most once.
@@ -31,7 +31,7 @@
 }
 
 // Recorded is an answer that a resend of its request gets.
-type Recorded struct {
+type RecordedAnswer struct {
 	Status  int          `msgpack:"status"`
 	Header  http.Header  `msgpack:"header"`
 	Body    []byte       `msgpack:"body"`
@@ -59,66 +59,66 @@
 
 // Keys is one holder's memory of idempotency keys. An entry stays for the window; a full memory refuses new keys rather
 // than forget one.
-type Keys struct {
-	entries  map[Key]*keyEntry
-	order    []keyAge // oldest first
-	recorded int      // bytes of bodies
+type KeyStore struct {
+	entries       map[Key]*keyEntry
+	byAge         []keyAge // oldest first
+	recordedBytes int      // bytes of bodies
 }
 
 type keyEntry struct {
-	owner   core.CallID
-	content Fingerprint
-	verdict Verdict // running, answered or unknown
-	until   time.Time
-	claimed time.Time
-	answer  *Recorded
+	owner     core.CallID
+	content   Fingerprint
+	verdict   Verdict // running, answered or unknown
+	settleBy  time.Time
+	claimedAt time.Time
+	answer    *RecordedAnswer
 }
 
 type keyAge struct {
-	key     Key
-	claimed time.Time
+	key       Key
+	claimedAt time.Time
 }
 
-// NewKeys returns an empty memory.
-func NewKeys() *Keys {
-	return &Keys{
+// NewKeyStore returns an empty memory.
+func NewKeyStore() *KeyStore {
+	return &KeyStore{
 		entries: make(map[Key]*keyEntry),
 	}
 }
 
 // Claim gives the key to a call, which must settle it by the given time, or says who has it. A repeated claim of the
 // same call is granted again.
-func (k *Keys) Claim(now time.Time, key Key, owner core.CallID, content Fingerprint, until time.Time) (Verdict, *Recorded) {
+func (k *KeyStore) Claim(now time.Time, key Key, owner core.CallID, content Fingerprint, settleBy time.Time) (Verdict, *RecordedAnswer) {
 	k.expire(now)
 	entry := k.entries[key]
 	switch {
-	case entry == nil && len(k.order) >= maxKeys:
+	case entry == nil && len(k.byAge) >= maxKeys:
 		return VerdictFull, nil
 	case entry == nil:
 		k.entries[key] = &keyEntry{
-			owner:   owner,
-			content: content,
-			verdict: VerdictRunning,
-			until:   until,
-			claimed: now,
+			owner:     owner,
+			content:   content,
+			verdict:   VerdictRunning,
+			settleBy:  settleBy,
+			claimedAt: now,
 		}
-		k.order = append(k.order, keyAge{
-			key:     key,
-			claimed: now,
+		k.byAge = append(k.byAge, keyAge{
+			key:       key,
+			claimedAt: now,
 		})
 		return VerdictGranted, nil
 	case entry.content != content:
 		return VerdictConflict, nil
 	case entry.verdict == VerdictRunning && entry.owner == owner:
 		return VerdictGranted, nil
-	case entry.verdict == VerdictRunning && now.After(entry.until):
+	case entry.verdict == VerdictRunning && now.After(entry.settleBy):
 		entry.verdict = VerdictUnknown // its entry node has not settled it
 	}
 	return entry.verdict, entry.answer
 }
 
 // Settle records what became of the owner's call: granted means that it has not run and gives the key back.
-func (k *Keys) Settle(now time.Time, key Key, owner core.CallID, verdict Verdict, answer *Recorded) {
+func (k *KeyStore) Settle(now time.Time, key Key, owner core.CallID, verdict Verdict, answer *RecordedAnswer) {
 	k.expire(now)
 	entry := k.entries[key]
 	if entry == nil || entry.owner != owner || entry.verdict == VerdictAnswered {
@@ -127,28 +127,28 @@
 	switch {
 	case verdict == VerdictGranted && entry.verdict == VerdictRunning:
 		delete(k.entries, key)
-	case verdict == VerdictAnswered && answer != nil && len(answer.Body) <= MaxRecordedBytes && k.recorded+len(answer.Body) <= maxRecordedTotal:
+	case verdict == VerdictAnswered && answer != nil && len(answer.Body) <= MaxRecordedBytes && k.recordedBytes+len(answer.Body) <= maxTotalRecordedBytes:
 		entry.verdict = VerdictAnswered
 		entry.answer = answer
-		k.recorded += len(answer.Body)
+		k.recordedBytes += len(answer.Body)
 	default:
 		entry.verdict = VerdictUnknown
 	}
 }
 
-func (k *Keys) expire(now time.Time) {
+func (k *KeyStore) expire(now time.Time) {
 	expired := 0
-	for expired < len(k.order) && now.Sub(k.order[expired].claimed) > Window {
-		age := k.order[expired]
+	for expired < len(k.byAge) && now.Sub(k.byAge[expired].claimedAt) > Window {
+		age := k.byAge[expired]
 		expired++
 		entry := k.entries[age.key]
-		if entry == nil || !entry.claimed.Equal(age.claimed) {
+		if entry == nil || !entry.claimedAt.Equal(age.claimedAt) {
 			continue // given back, and perhaps claimed again later
 		}
 		if entry.answer != nil {
-			k.recorded -= len(entry.answer.Body)
+			k.recordedBytes -= len(entry.answer.Body)
 		}
 		delete(k.entries, age.key)
 	}
-	k.order = k.order[expired:]
+	k.byAge = k.byAge[expired:]
 }
--- a/core/idempotency/quorum.go
+++ b/core/idempotency/quorum.go
@@ -10,37 +10,37 @@
 
 // Reply is what one holder said about a claim.
 type Reply struct {
-	Reached  bool
-	Whole    bool // the holder remembers all claims of the window that it has granted
-	Unbroken bool // and it could be asked for the whole window, so that it was not restarted in it
-	Joined   bool // the holder is known to have joined the service within the window for the first time
-	Before   bool // the holder was known before it announced the service, so that it has been restarted
-	Verdict  Verdict
-	Answer   *Recorded
+	Reached          bool
+	CompleteMemory   bool // the holder remembers all claims of the window that it has granted
+	ContinuousMemory bool // and it could be asked for the whole window, so that it was not restarted in it
+	RecentlyJoined   bool // the holder is known to have joined the service within the window for the first time
+	Restarted        bool // the holder was known before it announced the service, so that it has been restarted
+	Verdict          Verdict
+	Answer           *RecordedAnswer
 }
 
 // fixed reports whether the node is one of the key's holders as far as can be told. A node that has just joined is not, and
 // is asked only so that it remembers. One that was restarted is, because it may have granted the key before; so is one
 // that is out of reach, whatever it is.
-func (r Reply) fixed() bool {
-	return !r.Reached || r.Whole || !r.Joined
+func (r Reply) countsAsHolder() bool {
+	return !r.Reached || r.CompleteMemory || !r.RecentlyJoined
 }
 
 // votes reports whether the node is certainly a holder. One without a whole memory may have joined after an earlier claim,
 // unless it is known to have been restarted.
-func (r Reply) votes() bool {
-	return r.Reached && r.fixed() && (r.Whole || r.Before)
+func (r Reply) canVote() bool {
+	return r.Reached && r.countsAsHolder() && (r.CompleteMemory || r.Restarted)
 }
 
 // Enough reports whether the replies so far, in the order of Holders.Choose, decide a claim: someone else has the key, or
 // HolderCount nodes that certainly hold it know of the claim. Others may stand before these for this entry node alone.
-func Enough(replies []Reply) bool {
+func IsDecided(replies []Reply) bool {
 	voters := 0
 	for _, reply := range replies {
 		if reply.Reached && reply.Verdict != VerdictGranted {
 			return true
 		}
-		if reply.votes() {
+		if reply.canVote() {
 			voters++
 		}
 	}
@@ -55,26 +55,26 @@
 // unbroken memory knows the claims that others have forgotten in a crash; one that took its memory back after a planned
 // stop lacks the claims that the others granted meanwhile. To ask for several whole memories always would also withstand
 // a crash between two claims that miss different holders, but two crashes in 10 min would then refuse many keys.
-func Combine(replies []Reply) (Verdict, *Recorded) {
-	holders, votes, whole, unbroken := 0, 0, 0, false
-	verdict, answer := VerdictGranted, (*Recorded)(nil)
+func DecideClaim(replies []Reply) (Verdict, *RecordedAnswer) {
+	holders, votes, completeMemories, continuous := 0, 0, 0, false
+	verdict, answer := VerdictGranted, (*RecordedAnswer)(nil)
 	for _, reply := range replies {
-		if reply.Reached && rank(reply.Verdict) > rank(verdict) {
+		if reply.Reached && precedence(reply.Verdict) > precedence(verdict) {
 			verdict, answer = reply.Verdict, reply.Answer
 		}
-		if holders == HolderCount || !reply.fixed() {
+		if holders == HolderCount || !reply.countsAsHolder() {
 			continue
 		}
 		holders++
-		if reply.votes() {
+		if reply.canVote() {
 			votes++
 		}
-		if reply.Whole {
-			whole++
+		if reply.CompleteMemory {
+			completeMemories++
 		}
-		unbroken = unbroken || reply.Unbroken
+		continuous = continuous || reply.ContinuousMemory
 	}
-	remembered := unbroken || whole > 0 && 2*whole >= holders
+	remembered := continuous || completeMemories > 0 && 2*completeMemories >= holders
 	if verdict == VerdictGranted && (!remembered || votes <= holders/2) {
 		return VerdictUnknown, nil
 	}
@@ -82,7 +82,7 @@
 }
 
 // rank orders verdicts by how much they say: a recorded answer settles everything, a grant only what is left.
-func rank(verdict Verdict) int {
+func precedence(verdict Verdict) int {
 	switch verdict {
 	case VerdictAnswered:
 		return 5
--- a/core/idempotency/quorum_test.go
+++ b/core/idempotency/quorum_test.go
@@ -12,50 +12,50 @@
 
 // fakeNode is a holder in a fake fleet.
 type fakeNode struct {
-	keys  *Keys
-	since time.Time
-	run   time.Time // its present run began then
-	up    bool
-	left  time.Time // zero while it announces the service
-	kept  []Entry   // handed over when it left
-	away  time.Time
+	keys         *KeyStore
+	memorySince  time.Time
+	runningSince time.Time // its present run began then
+	up           bool
+	leftAt       time.Time // zero while it announces the service
+	handedOver   []Entry   // handed over when it left
+	stoppedAt    time.Time
 }
 
 // fakeFleet is a set of holders and of the views that entry nodes have of them.
-type fakeFleet struct {
-	now     time.Time
-	nodes   map[core.NodeID]*fakeNode
-	entries []*Holders
-	whole   *Holders // what nodes that were never restarted know of the others
-	granted map[Key]time.Time
-	claims  int
+type fakeCluster struct {
+	now        time.Time
+	nodes      map[core.NodeID]*fakeNode
+	entryNodes []*Holders
+	reference  *Holders // what nodes that were never restarted know of the others
+	grantedAt  map[Key]time.Time
+	claims     int
 }
 
-func (f *fakeFleet) endpoints() []core.Endpoint {
+func (f *fakeCluster) endpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
 	for i := range 40 {
 		id := core.NodeID(fmt.Sprint(i))
-		if node := f.nodes[id]; node != nil && (node.left.IsZero() || f.now.Sub(node.left) <= Window) {
+		if node := f.nodes[id]; node != nil && (node.leftAt.IsZero() || f.now.Sub(node.leftAt) <= Window) {
 			endpoints = append(endpoints, core.Endpoint{Node: id})
 		}
 	}
 	return endpoints
 }
 
-func (f *fakeFleet) observe() {
-	for _, entry := range append(f.entries, f.whole) {
+func (f *fakeCluster) observe() {
+	for _, entry := range append(f.entryNodes, f.reference) {
 		entry.Observe(f.now, "s", f.endpoints())
 	}
 }
 
-func (f *fakeFleet) wait(time time.Duration) {
+func (f *fakeCluster) wait(time time.Duration) {
 	for end := f.now.Add(time); f.now.Before(end); f.observe() {
 		f.now = f.now.Add(JoinLag)
 	}
 }
 
 // claim claims a key from an entry node that reaches the nodes for which the function is true.
-func (f *fakeFleet) claim(t *rapid.T, entry *Holders, key Key, reached func(core.NodeID) bool) {
+func (f *fakeCluster) claim(t *rapid.T, entry *Holders, key Key, reached func(core.NodeID) bool) {
 	f.claims++
 	owner := core.CallID(fmt.Sprint(f.claims))
 	var replies []Reply
@@ -63,7 +63,7 @@
 	since := make(map[core.NodeID]time.Time) // of the holders that were reached
 	holders := entry.Choose(f.now, key)
 	for _, holder := range holders {
-		if Enough(replies) {
+		if IsDecided(replies) {
 			break
 		}
 		node := f.nodes[holder.Node]
@@ -71,23 +71,23 @@
 			replies = append(replies, Reply{})
 			continue
 		}
-		entry.Learn(f.now, "s", f.whole.Ages(f.now, key))
-		since[holder.Node] = node.since
+		entry.MergeAges(f.now, "s", f.reference.Ages(f.now, key))
+		since[holder.Node] = node.memorySince
 		verdict, _ := node.keys.Claim(f.now, key, owner, 1, f.now.Add(time.Minute))
 		won = append(won, node)
 		replies = append(replies, Reply{
-			Reached: true, Verdict: verdict, Joined: holder.Joined,
-			Whole: f.now.Sub(node.since) >= Window+JoinLag, Unbroken: f.now.Sub(node.run) >= Window+JoinLag,
+			Reached: true, Verdict: verdict, RecentlyJoined: holder.RecentlyJoined,
+			CompleteMemory: f.now.Sub(node.memorySince) >= Window+JoinLag, ContinuousMemory: f.now.Sub(node.runningSince) >= Window+JoinLag,
 		})
 		for i, known := range entry.Choose(f.now, key)[:len(replies)] {
-			replies[i].Before = f.now.Sub(known.First) >= Window && known.First.Before(since[known.Node])
+			replies[i].Restarted = f.now.Sub(known.FirstSeen) >= Window && known.FirstSeen.Before(since[known.Node])
 		}
 	}
-	if verdict, _ := Combine(replies); verdict == VerdictGranted {
-		if before, ran := f.granted[key]; ran && f.now.Sub(before) <= Window {
+	if verdict, _ := DecideClaim(replies); verdict == VerdictGranted {
+		if before, ran := f.grantedAt[key]; ran && f.now.Sub(before) <= Window {
 			t.Fatalf("key %v was granted twice, %v apart: %+v", key, f.now.Sub(before), replies)
 		}
-		f.granted[key] = f.now
+		f.grantedAt[key] = f.now
 		return
 	}
 	for _, node := range won {
@@ -99,17 +99,17 @@
 // crashed; in both cases while holders join, leave, and hand over their memory in planned restarts.
 func TestOneKeyIsGrantedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cuts := rapid.Bool().Draw(t, "cuts") // crashes otherwise
-		f := &fakeFleet{now: epoch, nodes: make(map[core.NodeID]*fakeNode), granted: make(map[Key]time.Time)}
+		partitions := rapid.Bool().Draw(t, "cuts") // crashes otherwise
+		f := &fakeCluster{now: epoch, nodes: make(map[core.NodeID]*fakeNode), grantedAt: make(map[Key]time.Time)}
 		join := func() {
 			if len(f.nodes) < 40 {
-				f.nodes[core.NodeID(fmt.Sprint(len(f.nodes)))] = &fakeNode{keys: NewKeys(), since: f.now, run: f.now, up: true}
+				f.nodes[core.NodeID(fmt.Sprint(len(f.nodes)))] = &fakeNode{keys: NewKeyStore(), memorySince: f.now, runningSince: f.now, up: true}
 			}
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "nodes") {
 			join()
 		}
-		f.entries, f.whole = []*Holders{NewHolders(), NewHolders()}, NewHolders()
+		f.entryNodes, f.reference = []*Holders{NewHolders(), NewHolders()}, NewHolders()
 		f.observe()
 		f.wait(Window + JoinLag)
 		for range 60 {
@@ -119,36 +119,36 @@
 			case 0:
 				join()
 			case 1: // a crash
-				if cuts {
+				if partitions {
 					continue
 				}
-				node.keys, node.up, node.kept, node.left = NewKeys(), false, nil, f.now
+				node.keys, node.up, node.handedOver, node.leftAt = NewKeyStore(), false, nil, f.now
 			case 2: // a start, after a crash or a planned stop
 				if node.up {
 					continue
 				}
-				if node.kept != nil && f.now.Sub(node.away) <= Window {
-					node.keys.Restore(f.now, f.now.Sub(node.away), node.kept)
+				if node.handedOver != nil && f.now.Sub(node.stoppedAt) <= Window {
+					node.keys.Restore(f.now, f.now.Sub(node.stoppedAt), node.handedOver)
 				} else {
-					node.since = f.now
+					node.memorySince = f.now
 				}
-				node.up, node.run, node.left, node.kept = true, f.now, time.Time{}, nil
+				node.up, node.runningSince, node.leftAt, node.handedOver = true, f.now, time.Time{}, nil
 			case 3: // a planned stop
 				if node.up {
-					node.kept, node.away, node.keys, node.up = append([]Entry{}, node.keys.Export(f.now)...), f.now, NewKeys(), false
-					node.left = f.now
+					node.handedOver, node.stoppedAt, node.keys, node.up = append([]Entry{}, node.keys.Export(f.now)...), f.now, NewKeyStore(), false
+					node.leftAt = f.now
 				}
 			case 4: // an entry node starts anew
-				f.entries[0] = NewHolders()
+				f.entryNodes[0] = NewHolders()
 			default:
 				key := Key{Service: "s", Name: core.IdempotencyKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))}
 				seen := rapid.Uint64().Draw(t, "reached")
-				entry := f.entries[rapid.IntRange(0, 1).Draw(t, "entry")]
+				entry := f.entryNodes[rapid.IntRange(0, 1).Draw(t, "entry")]
 				f.observe()
 				f.claim(t, entry, key, func(id core.NodeID) bool {
 					var n int
 					fmt.Sscan(string(id), &n)
-					return !cuts || seen>>n&1 == 1
+					return !partitions || seen>>n&1 == 1
 				})
 			}
 			f.observe()
--- a/core/idempotency/suspects.go
+++ b/core/idempotency/suspects.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// suspectCrashes is the number of crashes after which a fingerprint is refused.
-	suspectCrashes = 2
-	maxSuspects    = 4096
-	maxCrashes     = 8 // remembered for each fingerprint
+	// minSuspectCrashes is the number of crashes after which a fingerprint is refused.
+	minSuspectCrashes        = 2
+	maxFingerprints          = 4096
+	maxCrashesPerFingerprint = 8 // remembered for each fingerprint
 )
 
 // Fingerprint identifies requests that are the same to a backend server.
@@ -26,8 +26,8 @@
 	return hashOf(call.Body, string(call.Tenant), string(call.Route), call.Method, path)
 }
 
-// ContentOf identifies requests that are resends of each other; unlike FingerprintOf, it covers the query.
-func ContentOf(call *core.Call) Fingerprint {
+// ContentFingerprintOf identifies requests that are resends of each other; unlike FingerprintOf, it covers the query.
+func ContentFingerprintOf(call *core.Call) Fingerprint {
 	return hashOf(call.Body, string(call.Tenant), string(call.Service), call.Method, call.Target)
 }
 
@@ -62,16 +62,16 @@
 }
 
 // Crashed records that a request was running in a crash; a repeated report of the same crash counts once.
-func (s *Suspects) Crashed(now time.Time, crash CrashID, fingerprint Fingerprint) {
+func (s *Suspects) RecordCrash(now time.Time, crash CrashID, fingerprint Fingerprint) {
 	crashes := s.crashes[fingerprint]
 	if crashes == nil {
-		if len(s.crashes) >= maxSuspects && !s.makeRoom(now) {
+		if len(s.crashes) >= maxFingerprints && !s.evict(now) {
 			return
 		}
 		crashes = make(map[CrashID]time.Time)
 		s.crashes[fingerprint] = crashes
 	}
-	if _, known := crashes[crash]; known || len(crashes) >= maxCrashes {
+	if _, known := crashes[crash]; known || len(crashes) >= maxCrashesPerFingerprint {
 		return
 	}
 	crashes[crash] = now
@@ -79,10 +79,10 @@
 
 // Suspected reports whether a request was running in at least two crashes within the window.
 func (s *Suspects) Suspected(now time.Time, fingerprint Fingerprint) bool {
-	return s.recent(now, fingerprint) >= suspectCrashes
+	return s.countRecentCrashes(now, fingerprint) >= minSuspectCrashes
 }
 
-func (s *Suspects) recent(now time.Time, fingerprint Fingerprint) int {
+func (s *Suspects) countRecentCrashes(now time.Time, fingerprint Fingerprint) int {
 	for crash, at := range s.crashes[fingerprint] {
 		if now.Sub(at) > Window {
 			delete(s.crashes[fingerprint], crash)
@@ -91,20 +91,20 @@
 	return len(s.crashes[fingerprint])
 }
 
-// makeRoom drops aged entries, or else one that is not suspected: a request that ran in one crash proves little.
-func (s *Suspects) makeRoom(now time.Time) bool {
-	var spare Fingerprint
+// evict drops aged entries, or else one that is not suspected: a request that ran in one crash proves little.
+func (s *Suspects) evict(now time.Time) bool {
+	var evictable Fingerprint
 	found := false
 	for fingerprint := range s.crashes {
-		switch n := s.recent(now, fingerprint); {
+		switch n := s.countRecentCrashes(now, fingerprint); {
 		case n == 0:
 			delete(s.crashes, fingerprint)
-		case n < suspectCrashes:
-			spare, found = fingerprint, true
+		case n < minSuspectCrashes:
+			evictable, found = fingerprint, true
 		}
 	}
-	if len(s.crashes) >= maxSuspects && found {
-		delete(s.crashes, spare)
+	if len(s.crashes) >= maxFingerprints && found {
+		delete(s.crashes, evictable)
 	}
-	return len(s.crashes) < maxSuspects
+	return len(s.crashes) < maxFingerprints
 }
--- a/core/idempotency/transfer.go
+++ b/core/idempotency/transfer.go
@@ -10,13 +10,13 @@
 
 // Entry is a remembered key on its way to another node. It has ages instead of times, since clocks differ.
 type Entry struct {
-	Key     Key           `msgpack:"key"`
-	Owner   core.CallID   `msgpack:"owner"`
-	Content Fingerprint   `msgpack:"content"`
-	Verdict Verdict       `msgpack:"verdict"`
-	Age     time.Duration `msgpack:"age"`  // since the claim
-	Left    time.Duration `msgpack:"left"` // until the call must have been settled
-	Answer  *Recorded     `msgpack:"answer"`
+	Key       Key             `msgpack:"key"`
+	Owner     core.CallID     `msgpack:"owner"`
+	Content   Fingerprint     `msgpack:"content"`
+	Verdict   Verdict         `msgpack:"verdict"`
+	Age       time.Duration   `msgpack:"age"`  // since the claim
+	Remaining time.Duration   `msgpack:"left"` // until the call must have been settled
+	Answer    *RecordedAnswer `msgpack:"answer"`
 }
 
 // Bytes is about the size of an entry.
@@ -35,22 +35,22 @@
 }
 
 // Export returns all entries, oldest first.
-func (k *Keys) Export(now time.Time) []Entry {
+func (k *KeyStore) Export(now time.Time) []Entry {
 	k.expire(now)
 	entries := make([]Entry, 0, len(k.entries))
-	for _, age := range k.order {
+	for _, age := range k.byAge {
 		held := k.entries[age.key]
-		if held == nil || !held.claimed.Equal(age.claimed) {
+		if held == nil || !held.claimedAt.Equal(age.claimedAt) {
 			continue // given back, and perhaps claimed again later
 		}
 		entries = append(entries, Entry{
-			Key:     age.key,
-			Owner:   held.owner,
-			Content: held.content,
-			Verdict: held.verdict,
-			Age:     now.Sub(held.claimed),
-			Left:    held.until.Sub(now),
-			Answer:  held.answer,
+			Key:       age.key,
+			Owner:     held.owner,
+			Content:   held.content,
+			Verdict:   held.verdict,
+			Age:       now.Sub(held.claimedAt),
+			Remaining: held.settleBy.Sub(now),
+			Answer:    held.answer,
 		})
 	}
 	return entries
@@ -58,28 +58,28 @@
 
 // Restore adds entries that were exported the given time ago. A key that has been claimed here since then keeps its new
 // entry, whose call was granted by the other holders.
-func (k *Keys) Restore(now time.Time, away time.Duration, entries []Entry) {
+func (k *KeyStore) Restore(now time.Time, away time.Duration, entries []Entry) {
 	for _, e := range entries {
-		if k.entries[e.Key] != nil || len(k.order) >= maxKeys {
+		if k.entries[e.Key] != nil || len(k.byAge) >= maxKeys {
 			continue
 		}
 		held := &keyEntry{
-			owner:   e.Owner,
-			content: e.Content,
-			verdict: e.Verdict,
-			until:   now.Add(e.Left - away),
-			claimed: now.Add(-e.Age - away),
-			answer:  e.Answer,
+			owner:     e.Owner,
+			content:   e.Content,
+			verdict:   e.Verdict,
+			settleBy:  now.Add(e.Remaining - away),
+			claimedAt: now.Add(-e.Age - away),
+			answer:    e.Answer,
 		}
 		if held.answer != nil {
-			k.recorded += len(held.answer.Body)
+			k.recordedBytes += len(held.answer.Body)
 		}
 		k.entries[e.Key] = held
-		k.order = append(k.order, keyAge{
-			key:     e.Key,
-			claimed: held.claimed,
+		k.byAge = append(k.byAge, keyAge{
+			key:       e.Key,
+			claimedAt: held.claimedAt,
 		})
 	}
-	slices.SortStableFunc(k.order, func(a, b keyAge) int { return cmp.Compare(a.claimed.UnixNano(), b.claimed.UnixNano()) })
+	slices.SortStableFunc(k.byAge, func(a, b keyAge) int { return cmp.Compare(a.claimedAt.UnixNano(), b.claimedAt.UnixNano()) })
 	k.expire(now)
 }
--- a/core/lease/changes.go
+++ b/core/lease/changes.go
@@ -11,18 +11,18 @@
 	All View = iota
 	// Local has the endpoints that a local owner vouches for; it is what goes up to a parent or across to control instances.
 	Local
-	views
+	viewCount
 )
 
-// maxLog bounds the changes that a subscriber may lag behind before it has to compare digests.
-const maxLog = 4096
+// maxLoggedChanges bounds the changes that a subscriber may lag behind before it has to compare digests.
+const maxLoggedChanges = 4096
 
 type change struct {
-	leftKey
-	only Owner // set if nothing changed for others
+	endpointKey
+	onlyFor Owner // set if nothing changed for others
 }
 
-// changeLog grows up to maxLog items and then overwrites the oldest.
+// changeLog grows up to maxLoggedChanges items and then overwrites the oldest.
 type changeLog struct {
 	items []change
 	next  uint64
@@ -41,16 +41,16 @@
 
 func (l *changeLog) append(endpoint core.Endpoint, only Owner) {
 	item := change{
-		leftKey: leftKey{
+		endpointKey: endpointKey{
 			node:    endpoint.Node,
 			service: endpoint.Service,
 		},
-		only: only,
+		onlyFor: only,
 	}
-	if len(l.items) < maxLog {
+	if len(l.items) < maxLoggedChanges {
 		l.items = append(l.items, item)
 	} else {
-		l.items[l.next%maxLog] = item
+		l.items[l.next%maxLoggedChanges] = item
 	}
 	l.next++
 }
@@ -76,7 +76,7 @@
 // owner; it returns false if the log does not reach back that far.
 func (t *Table) Changes(view View, since uint64, to Owner, wanted func(core.ServiceName) bool) (ChangeSet, bool) {
 	log := &t.logs[view]
-	if since > log.next || log.next-since > maxLog {
+	if since > log.next || log.next-since > maxLoggedChanges {
 		return ChangeSet{}, false
 	}
 	set := ChangeSet{
@@ -87,8 +87,8 @@
 	}
 	seen := make(map[change]bool, log.next-since)
 	for at := since; at < log.next; at++ {
-		item := log.items[at%maxLog]
-		if seen[item] || !wanted(item.service) || (item.only != Owner{} && item.only != to) {
+		item := log.items[at%maxLoggedChanges]
+		if seen[item] || !wanted(item.service) || (item.onlyFor != Owner{} && item.onlyFor != to) {
 			continue
 		}
 		seen[item] = true
@@ -102,12 +102,12 @@
 	if held == nil {
 		return // forgotten after TombstoneAge; every subscriber has read its removal by then
 	}
-	current := held.standing()
+	current := held.state()
 	listed := current.live && current.endpoint.Service == item.service
-	if listed && view == All && item.only == (Owner{}) && !current.seenBy(to) {
+	if listed && view == All && item.onlyFor == (Owner{}) && !current.visibleTo(to) {
 		return // the subscriber announced it
 	}
-	if listed && ((view == All && current.seenBy(to)) || (view == Local && current.local)) {
+	if listed && ((view == All && current.visibleTo(to)) || (view == Local && current.local)) {
 		set.Upserts = append(set.Upserts, current.endpoint)
 		return
 	}
--- a/core/lease/query.go
+++ b/core/lease/query.go
@@ -24,12 +24,12 @@
 // EndpointsFor returns the live endpoints of a service that an owner is sent, sorted by node.
 func (t *Table) EndpointsFor(owner Owner, service core.ServiceName) []core.Endpoint {
 	return slices.DeleteFunc(t.Endpoints(service), func(endpoint core.Endpoint) bool {
-		return !t.entries[endpoint.Node].standing().seenBy(owner)
+		return !t.entries[endpoint.Node].state().visibleTo(owner)
 	})
 }
 
 // Held returns a node's last known endpoint, also one that left.
-func (t *Table) Held(node core.NodeID) (core.Endpoint, bool) {
+func (t *Table) Lookup(node core.NodeID) (core.Endpoint, bool) {
 	held := t.entries[node]
 	if held == nil {
 		return core.Endpoint{}, false
@@ -41,7 +41,7 @@
 func (t *Table) LocalEndpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
 	for _, held := range t.entries {
-		if held.standing().local {
+		if held.state().local {
 			endpoints = append(endpoints, held.endpoint)
 		}
 	}
@@ -50,9 +50,9 @@
 }
 
 // Tombstones returns the endpoints that left a service at or after the given time, sorted by node.
-func (t *Table) Tombstones(since time.Time, wanted func(core.ServiceName) bool) []Left {
-	var found []Left
-	for _, left := range t.left {
+func (t *Table) Tombstones(since time.Time, wanted func(core.ServiceName) bool) []Tombstone {
+	var found []Tombstone
+	for _, left := range t.tombstones {
 		if !left.At.Before(since) && wanted(left.Endpoint.Service) {
 			found = append(found, left)
 		}
@@ -100,7 +100,7 @@
 }
 
 // Live returns the number of live endpoints.
-func (t *Table) Live() int {
+func (t *Table) LiveCount() int {
 	live := 0
 	for _, members := range t.services {
 		live += len(members)
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -13,9 +13,9 @@
 	MaxEntries = 16_384
 	// maxNameBytes bounds the names in an announcement, so that MaxEntries bounds the memory too.
 	maxNameBytes = 256
-	// elsewhereGrace is how long an owner's claim outlives its end while the endpoint moves to another owner, whose claim may
+	// movedLeaseGrace is how long an owner's claim outlives its end while the endpoint moves to another owner, whose claim may
 	// arrive later because it takes another way.
-	elsewhereGrace = 5 * time.Second
+	movedLeaseGrace = 5 * time.Second
 )
 
 // Owner vouches for endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
@@ -35,7 +35,7 @@
 }
 
 // Left is an endpoint that left its service at a point in time.
-type Left struct {
+type Tombstone struct {
 	Endpoint core.Endpoint
 	At       time.Time
 }
@@ -45,43 +45,43 @@
 	owners   map[Owner]bool
 }
 
-type leftKey struct {
+type endpointKey struct {
 	node    core.NodeID
 	service core.ServiceName
 }
 
-type fadingClaim struct {
+type expiringLease struct {
 	owner Owner
 	node  core.NodeID
 }
 
 type lostOwner struct {
-	direct   core.NodeID
-	directAt time.Time
-	restAt   time.Time
+	neighbour          core.NodeID
+	neighbourExpiresAt time.Time
+	othersExpireAt     time.Time
 }
 
 // Table is the set of leases; it is not safe for concurrent use.
 type Table struct {
-	entries  map[core.NodeID]*entry // live ones and, until they expire, those that left
-	services map[core.ServiceName]map[core.NodeID]bool
-	left     map[leftKey]Left
-	lost     map[Owner]lostOwner
-	fading   map[fadingClaim]time.Time
-	dirty    map[core.ServiceName]bool
-	logs     [views]changeLog
-	refused  uint64
+	entries    map[core.NodeID]*entry // live ones and, until they expire, those that left
+	services   map[core.ServiceName]map[core.NodeID]bool
+	tombstones map[endpointKey]Tombstone
+	lostOwners map[Owner]lostOwner
+	expiring   map[expiringLease]time.Time
+	dirty      map[core.ServiceName]bool
+	logs       [viewCount]changeLog
+	refused    uint64
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		entries:  make(map[core.NodeID]*entry),
-		services: make(map[core.ServiceName]map[core.NodeID]bool),
-		left:     make(map[leftKey]Left),
-		lost:     make(map[Owner]lostOwner),
-		fading:   make(map[fadingClaim]time.Time),
-		dirty:    make(map[core.ServiceName]bool),
+		entries:    make(map[core.NodeID]*entry),
+		services:   make(map[core.ServiceName]map[core.NodeID]bool),
+		tombstones: make(map[endpointKey]Tombstone),
+		lostOwners: make(map[Owner]lostOwner),
+		expiring:   make(map[expiringLease]time.Time),
+		dirty:      make(map[core.ServiceName]bool),
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	held := t.entries[endpoint.Node]
 	if held == nil {
-		if len(t.entries) >= MaxEntries && !t.forgetOldest() {
+		if len(t.entries) >= MaxEntries && !t.evictOldestTombstone() {
 			t.refused++
 			return false
 		}
@@ -117,7 +117,7 @@
 		}
 		held.owners[owner] = true
 	})
-	delete(t.fading, fadingClaim{
+	delete(t.expiring, expiringLease{
 		owner: owner,
 		node:  endpoint.Node,
 	})
@@ -135,20 +135,20 @@
 // that is newer ends the claim of all owners, since they vouched for what the node announced before.
 func (t *Table) Remove(now time.Time, owner Owner, removal Removal) {
 	held := t.entries[removal.Node]
-	gone := core.Endpoint{
+	removed := core.Endpoint{
 		Incarnation: removal.Incarnation,
 		Sequence:    removal.Sequence,
 	}
-	if held == nil || held.endpoint.Service != removal.Service || held.endpoint.Newer(gone) {
+	if held == nil || held.endpoint.Service != removal.Service || held.endpoint.Newer(removed) {
 		return
 	}
 	if removal.Elsewhere {
-		t.fade(now, owner, held)
+		t.startExpiry(now, owner, held)
 		return
 	}
 	t.update(now, held, func() {
 		delete(held.owners, owner)
-		if gone.Newer(held.endpoint) {
+		if removed.Newer(held.endpoint) {
 			clear(held.owners)
 		}
 		if len(held.owners) == 0 {
@@ -157,33 +157,33 @@
 	})
 }
 
-func (t *Table) fade(now time.Time, owner Owner, held *entry) {
+func (t *Table) startExpiry(now time.Time, owner Owner, held *entry) {
 	if !held.owners[owner] {
 		return
 	}
-	claim := fadingClaim{
+	claim := expiringLease{
 		owner: owner,
 		node:  held.endpoint.Node,
 	}
-	if _, begun := t.fading[claim]; !begun {
-		t.fading[claim] = now.Add(elsewhereGrace)
+	if _, begun := t.expiring[claim]; !begun {
+		t.expiring[claim] = now.Add(movedLeaseGrace)
 	}
 }
 
 // Lose starts the grace periods of an owner whose link broke: direct is the node at its other end, whose death is likely,
 // and the rest are nodes behind it, which are likely to be announced again over another link.
-func (t *Table) Lose(now time.Time, owner Owner, direct core.NodeID, directGrace, restGrace time.Duration) {
-	t.lost[owner] = lostOwner{
-		direct:   direct,
-		directAt: now.Add(directGrace),
-		restAt:   now.Add(restGrace),
+func (t *Table) DisconnectOwner(now time.Time, owner Owner, neighbour core.NodeID, neighbourGrace, othersGrace time.Duration) {
+	t.lostOwners[owner] = lostOwner{
+		neighbour:          neighbour,
+		neighbourExpiresAt: now.Add(neighbourGrace),
+		othersExpireAt:     now.Add(othersGrace),
 	}
 	t.Expire(now)
 }
 
 // Regain ends the grace period of an owner whose link is back.
-func (t *Table) Regain(owner Owner) {
-	delete(t.lost, owner)
+func (t *Table) ReconnectOwner(owner Owner) {
+	delete(t.lostOwners, owner)
 }
 
 // Retain ends an owner's claim for all endpoints that it does not name, in the services for which covers returns true.
@@ -201,10 +201,10 @@
 
 // Forget ends an owner's claims for the endpoints of a service of which it sends no more word. Those without another owner
 // vanish without a tombstone, since they have not left.
-func (t *Table) Forget(owner Owner, service core.ServiceName) {
+func (t *Table) DropLeases(owner Owner, service core.ServiceName) {
 	for node := range t.services[service] {
 		if held := t.entries[node]; held.owners[owner] {
-			t.forgetClaim(owner, held)
+			t.dropLease(owner, held)
 		}
 	}
 	if len(t.services[service]) == 0 {
@@ -212,16 +212,16 @@
 	}
 }
 
-func (t *Table) forgetClaim(owner Owner, held *entry) {
-	before := held.standing()
+func (t *Table) dropLease(owner Owner, held *entry) {
+	before := held.state()
 	delete(held.owners, owner)
-	delete(t.fading, fadingClaim{
+	delete(t.expiring, expiringLease{
 		owner: owner,
 		node:  held.endpoint.Node,
 	})
 	if len(held.owners) > 0 {
-		t.logs[All].addFor(before.sole, held.endpoint)
-		t.logs[All].addFor(held.standing().sole, held.endpoint)
+		t.logs[All].addFor(before.soleOwner, held.endpoint)
+		t.logs[All].addFor(held.state().soleOwner, held.endpoint)
 		return
 	}
 	delete(t.services[held.endpoint.Service], held.endpoint.Node)
@@ -245,35 +245,35 @@
 
 // Expire ends grace periods that are over and forgets endpoints that left more than TombstoneAge ago.
 func (t *Table) Expire(now time.Time) {
-	for owner, lost := range t.lost {
-		if held := t.entries[lost.direct]; held != nil && held.owners[owner] && !now.Before(lost.directAt) {
+	for owner, lost := range t.lostOwners {
+		if held := t.entries[lost.neighbour]; held != nil && held.owners[owner] && !now.Before(lost.neighbourExpiresAt) {
 			t.update(now, held, func() { delete(held.owners, owner) })
 		}
-		if !now.Before(lost.restAt) {
+		if !now.Before(lost.othersExpireAt) {
 			t.Retain(now, owner, nil, func(core.ServiceName) bool { return true })
-			delete(t.lost, owner)
+			delete(t.lostOwners, owner)
 		}
 	}
-	for claim, until := range t.fading {
+	for claim, until := range t.expiring {
 		if now.Before(until) {
 			continue
 		}
 		if held := t.entries[claim.node]; held != nil {
 			t.update(now, held, func() { delete(held.owners, claim.owner) })
 		}
-		delete(t.fading, claim)
+		delete(t.expiring, claim)
 	}
-	for key, left := range t.left {
+	for key, left := range t.tombstones {
 		if now.Sub(left.At) >= TombstoneAge {
-			t.forget(key)
+			t.removeTombstone(key)
 		}
 	}
 }
 
-func (t *Table) forgetOldest() bool {
-	var oldest leftKey
+func (t *Table) evictOldestTombstone() bool {
+	var oldest endpointKey
 	var at time.Time
-	for key, left := range t.left {
+	for key, left := range t.tombstones {
 		if at.IsZero() || left.At.Before(at) {
 			oldest, at = key, left.At
 		}
@@ -281,58 +281,58 @@
 	if at.IsZero() {
 		return false
 	}
-	t.forget(oldest)
+	t.removeTombstone(oldest)
 	return true
 }
 
-func (t *Table) forget(key leftKey) {
-	delete(t.left, key)
+func (t *Table) removeTombstone(key endpointKey) {
+	delete(t.tombstones, key)
 	if held := t.entries[key.node]; held != nil && len(held.owners) == 0 && held.endpoint.Service == key.service {
 		delete(t.entries, key.node)
 	}
 }
 
-type standing struct {
+type leaseState struct {
 	endpoint    core.Endpoint
 	live, local bool
-	sole        Owner // set if one owner only vouches
+	soleOwner   Owner // set if one owner only vouches
 }
 
-func (e *entry) standing() standing {
-	now := standing{
+func (e *entry) state() leaseState {
+	state := leaseState{
 		endpoint: e.endpoint,
 		live:     len(e.owners) > 0,
 	}
 	for owner := range e.owners {
-		now.local = now.local || !owner.Remote
+		state.local = state.local || !owner.Remote
 		if len(e.owners) == 1 {
-			now.sole = owner
+			state.soleOwner = owner
 		}
 	}
-	return now
+	return state
 }
 
-// seenBy reports whether an owner is sent the endpoint: not if nobody else vouches for it, since its own claim coming back
+// visibleTo reports whether an owner is sent the endpoint: not if nobody else vouches for it, since its own claim coming back
 // would keep the endpoint alive after the owner lost it.
-func (s standing) seenBy(owner Owner) bool {
-	return s.live && s.sole != owner
+func (s leaseState) visibleTo(owner Owner) bool {
+	return s.live && s.soleOwner != owner
 }
 
 // update runs a change of one entry and brings the index, the tombstones and the change logs up to date.
 func (t *Table) update(now time.Time, held *entry, change func()) {
-	before := held.standing()
+	before := held.state()
 	change()
-	after := held.standing()
+	after := held.state()
 	moved := before.endpoint.Service != after.endpoint.Service
 	if before.live && (!after.live || moved) {
-		t.unlist(now, before.endpoint, after.endpoint)
+		t.unindex(now, before.endpoint, after.endpoint)
 	}
 	if after.live && (!before.live || before.endpoint != after.endpoint) {
-		t.list(after.endpoint)
+		t.index(after.endpoint)
 	}
-	if before.live && after.live && before.sole != after.sole {
-		t.logs[All].addFor(before.sole, after.endpoint)
-		t.logs[All].addFor(after.sole, after.endpoint)
+	if before.live && after.live && before.soleOwner != after.soleOwner {
+		t.logs[All].addFor(before.soleOwner, after.endpoint)
+		t.logs[All].addFor(after.soleOwner, after.endpoint)
 	}
 	if before.local && (!after.local || moved) {
 		t.logs[Local].add(before.endpoint)
@@ -342,14 +342,14 @@
 	}
 }
 
-func (t *Table) list(endpoint core.Endpoint) {
+func (t *Table) index(endpoint core.Endpoint) {
 	members := t.services[endpoint.Service]
 	if members == nil {
 		members = make(map[core.NodeID]bool)
 		t.services[endpoint.Service] = members
 	}
 	members[endpoint.Node] = true
-	delete(t.left, leftKey{
+	delete(t.tombstones, endpointKey{
 		node:    endpoint.Node,
 		service: endpoint.Service,
 	})
@@ -357,13 +357,13 @@
 	t.logs[All].add(endpoint)
 }
 
-func (t *Table) unlist(now time.Time, endpoint, last core.Endpoint) {
+func (t *Table) unindex(now time.Time, endpoint, last core.Endpoint) {
 	delete(t.services[endpoint.Service], endpoint.Node)
 	if len(t.services[endpoint.Service]) == 0 {
 		delete(t.services, endpoint.Service)
 	}
 	endpoint.Incarnation, endpoint.Sequence = last.Incarnation, last.Sequence
-	t.bury(Left{
+	t.storeTombstone(Tombstone{
 		Endpoint: endpoint,
 		At:       now,
 	})
@@ -371,26 +371,26 @@
 	t.logs[All].add(endpoint)
 }
 
-func (t *Table) bury(left Left) {
-	if len(t.left) >= MaxEntries {
-		t.forgetOldest()
+func (t *Table) storeTombstone(left Tombstone) {
+	if len(t.tombstones) >= MaxEntries {
+		t.evictOldestTombstone()
 	}
-	t.left[leftKey{
+	t.tombstones[endpointKey{
 		node:    left.Endpoint.Node,
 		service: left.Endpoint.Service,
 	}] = left
 }
 
 // Remember adds an endpoint that left before the table knew it, unless the node announces the service now.
-func (t *Table) Remember(now time.Time, left Left) {
+func (t *Table) AddTombstone(now time.Time, left Tombstone) {
 	if !valid(left.Endpoint) || now.Sub(left.At) >= TombstoneAge || t.services[left.Endpoint.Service][left.Endpoint.Node] {
 		return
 	}
-	key := leftKey{
+	key := endpointKey{
 		node:    left.Endpoint.Node,
 		service: left.Endpoint.Service,
 	}
-	if _, known := t.left[key]; !known {
-		t.bury(left)
+	if _, known := t.tombstones[key]; !known {
+		t.storeTombstone(left)
 	}
 }
--- a/core/lease/table_test.go
+++ b/core/lease/table_test.go
@@ -66,7 +66,7 @@
 }
 
 // Guards against endpoints that vanish when a subtree has moved and its old link is noticed to be dead.
-func TestLossOfOneOwnerKeepsWhatAnotherVouchesFor(t *testing.T) {
+func TestLostOwnerKeepsEndpointsLeasedByOthers(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
 	for _, node := range []core.NodeID{"relay", "below", "moved"} {
@@ -75,7 +75,7 @@
 	table.Announce(start, right, announced("moved", 1, 1, "s"))
 	table.Announce(start, right, announced("both", 1, 1, "s"))
 	table.Announce(start, left, announced("both", 1, 1, "s"))
-	table.Lose(start, left, "relay", 2*time.Second, 10*time.Second)
+	table.DisconnectOwner(start, left, "relay", 2*time.Second, 10*time.Second)
 	names := func(at time.Duration) (list []core.NodeID) {
 		table.Expire(start.Add(at))
 		for _, e := range table.Endpoints("s") {
@@ -89,7 +89,7 @@
 }
 
 // Guards against an endpoint that lives for ever because two owners tell each other their own claim.
-func TestOwnClaimDoesNotComeBack(t *testing.T) {
+func TestOwnLeaseIsNotSentBack(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
 	table.Announce(start, left, announced("n", 1, 1, "s"))
@@ -107,7 +107,7 @@
 }
 
 // Guards against a removal that outruns the announcement by the endpoint's new owner.
-func TestClaimThatMovedElsewhereFades(t *testing.T) {
+func TestLeaseMovedElsewhereExpiresAfterGrace(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
 	e := announced("n", 1, 1, "s")
@@ -128,7 +128,7 @@
 	e := announced("n", 1, 1, "s")
 	table.Announce(start, left, e)
 	table.Remove(start, left, removal(e))
-	table.Remember(start, lease.Left{Endpoint: announced("m", 1, 1, "s"), At: start.Add(-time.Minute)})
+	table.AddTombstone(start, lease.Tombstone{Endpoint: announced("m", 1, 1, "s"), At: start.Add(-time.Minute)})
 	table.Expire(start.Add(9*time.Minute - time.Millisecond))
 	c.Assert(table.Tombstones(start.Add(-time.Minute), anyService), qt.HasLen, 2)
 	table.Expire(start.Add(9 * time.Minute))
@@ -148,7 +148,7 @@
 	c.Assert(table.Announce(start, left, announced("late", 1, 1, "s")), qt.IsFalse)
 	table.Remove(start, left, removal(announced("0", 1, 1, "s")))
 	c.Assert(table.Announce(start, left, announced("late", 1, 1, "s")), qt.IsTrue)
-	c.Assert(table.Live(), qt.Equals, lease.MaxEntries)
+	c.Assert(table.LiveCount(), qt.Equals, lease.MaxEntries)
 	_, reached := table.Changes(lease.All, 0, right, anyService)
 	c.Assert(reached, qt.IsFalse)
 }
@@ -157,7 +157,7 @@
 func TestFollowerHasTheEndpointsOfItsParent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, follower := lease.New(), lease.New()
-		viewer := lease.Owner{Name: "viewer"}
+		subscriber := lease.Owner{Name: "viewer"}
 		now, position := start, uint64(0)
 		services := []core.ServiceName{"a", "b"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -172,9 +172,9 @@
 			case 2:
 				table.Remove(now, owner, removal(e))
 			case 3:
-				table.Lose(now, owner, e.Node, time.Second, 2*time.Second)
+				table.DisconnectOwner(now, owner, e.Node, time.Second, 2*time.Second)
 			case 4:
-				changes, reached := table.Changes(lease.All, position, viewer, anyService)
+				changes, reached := table.Changes(lease.All, position, subscriber, anyService)
 				if !reached {
 					t.Fatal("log of 4096 changes overflowed")
 				}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -13,8 +13,8 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func voter(id core.ControlID, silent time.Duration) membership.View {
-	return membership.View{
+func voter(id core.ControlID, silent time.Duration) membership.MemberStatus {
+	return membership.MemberStatus{
 		Member: raft.Member{
 			Peer:    raft.Peer{ID: id, Identity: raft.Identity(id) + "-1"},
 			Address: string(id) + ":1",
@@ -24,7 +24,7 @@
 	}
 }
 
-func learner(id core.ControlID, silent time.Duration, caughtUp bool) membership.View {
+func learner(id core.ControlID, silent time.Duration, caughtUp bool) membership.MemberStatus {
 	view := voter(id, silent)
 	view.Voter, view.CaughtUp = false, caughtUp
 	return view
@@ -41,56 +41,59 @@
 // voter that is removed while nobody could take its place, and against more voters than wanted.
 func TestNextChange(t *testing.T) {
 	c := qt.New(t)
-	lost := membership.LostAfter + time.Millisecond
+	silent := membership.MemberTimeout + time.Millisecond
 	for _, test := range []struct {
 		name      string
-		members   []membership.View
+		members   []membership.MemberStatus
 		newcomers []membership.Newcomer
 		want      raft.ChangeKind
-		who       core.ControlID
+		peer      core.ControlID
 	}{
-		{name: "complete", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", 0)}},
-		{name: "silent, nobody waits", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", lost)}},
+		{name: "complete", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0)}},
+		{name: "silent, nobody waits", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent)}},
 		{
-			name: "lost its disk", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", 0)},
-			newcomers: []membership.Newcomer{newcomer("c", "c-2")}, want: raft.ChangeReplace, who: "c",
+			name: "lost its disk", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0)},
+			newcomers: []membership.Newcomer{newcomer("c", "c-2")}, want: raft.ChangeReplace, peer: "c",
 		},
 		{
-			name: "known newcomer", members: []membership.View{voter("a", 0), voter("b", 0), learner("c", 0, false)},
+			name: "known newcomer", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), learner("c", 0, false)},
 			newcomers: []membership.Newcomer{newcomer("c", "c-1")},
 		},
 		{
-			name: "at another address", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", lost)},
-			newcomers: []membership.Newcomer{newcomer("d", "d-1")}, want: raft.ChangeAdd, who: "d",
+			name: "at another address", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent)},
+			newcomers: []membership.Newcomer{newcomer("d", "d-1")}, want: raft.ChangeAdd, peer: "d",
 		},
-		{name: "not caught up", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", lost), learner("d", 0, false)}},
+		{name: "not caught up", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent), learner("d", 0, false)}},
 		{
-			name: "gives up its place", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", lost), learner("d", 0, true)},
-			want: raft.ChangeRemove, who: "c",
+			name: "gives up its place", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent), learner("d", 0, true)},
+			want: raft.ChangeRemove, peer: "c",
 		},
 		{
-			name: "takes the place", members: []membership.View{voter("a", 0), voter("b", 0), learner("d", 0, true)},
-			want: raft.ChangePromote, who: "d",
+			name: "takes the place", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), learner("d", 0, true)},
+			want: raft.ChangePromote, peer: "d",
 		},
-		{name: "silent learner", members: []membership.View{voter("a", 0), voter("b", 0), learner("d", lost, true)}},
-		{name: "waits", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", 0, true)}},
+		{name: "silent learner", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), learner("d", silent, true)}},
+		{name: "waits", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", 0, true)}},
 		{
-			name: "forgotten learner", members: []membership.View{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", time.Minute, true)},
-			want: raft.ChangeRemove, who: "d",
+			name: "forgotten learner", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", time.Minute, true)},
+			want: raft.ChangeRemove, peer: "d",
 		},
 	} {
-		change, due := membership.Next(now, 3, test.members, test.newcomers)
+		change, due := membership.NextChange(now, 3, test.members, test.newcomers)
 		c.Assert(due, qt.Equals, test.want != "", qt.Commentf(test.name))
 		c.Assert(change.Kind, qt.Equals, test.want, qt.Commentf(test.name))
-		c.Assert(change.Peer.ID, qt.Equals, test.who, qt.Commentf(test.name))
+		c.Assert(change.Peer.ID, qt.Equals, test.peer, qt.Commentf(test.name))
 	}
 }
 
 // Guards against voters that gather in one data centre although learners wait in others.
 func TestLearnersFillEmptyDataCentresFirst(t *testing.T) {
 	c := qt.New(t)
-	in := func(v membership.View, centre core.DataCentre) membership.View { v.DataCentre = centre; return v }
-	change, due := membership.Next(now, 3, []membership.View{
+	in := func(v membership.MemberStatus, centre core.DataCentre) membership.MemberStatus {
+		v.DataCentre = centre
+		return v
+	}
+	change, due := membership.NextChange(now, 3, []membership.MemberStatus{
 		in(voter("a", 0), "west"), in(voter("b", 0), "east"),
 		in(learner("c", 0, true), "west"), in(learner("d", 0, true), "north"),
 	}, nil)
--- a/core/packed/packed.go
+++ b/core/packed/packed.go
@@ -18,26 +18,26 @@
 // Decode decodes one value. It returns io.ErrUnexpectedEOF for one that states more items or bytes than there are:
 // msgpack v5.4.1 allocates a slice of the stated length at once, which ends the process if memory does not suffice.
 func Decode(data []byte, target any) error {
-	if err := check(data); err != nil {
+	if err := checkComplete(data); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(data, target)
 }
 
 // check reports whether the first value is complete; each item takes at least one byte.
-func check(data []byte) error {
-	var left [maxDepth]uint64 // items of each open array or map
+func checkComplete(data []byte) error {
+	var remaining [maxDepth]uint64 // items of each open array or map
 	depth := 0
-	left[0] = 1
+	remaining[0] = 1
 	for {
-		for left[depth] == 0 {
+		for remaining[depth] == 0 {
 			if depth == 0 {
 				return nil
 			}
 			depth--
 		}
-		left[depth]--
-		size, items := head(data)
+		remaining[depth]--
+		size, items := readHeader(data)
 		if size == 0 || size > uint64(len(data)) || items > uint64(len(data))-size {
 			return io.ErrUnexpectedEOF
 		}
@@ -48,7 +48,7 @@
 		if depth++; depth == maxDepth {
 			return ErrTooDeep
 		}
-		left[depth] = items
+		remaining[depth] = items
 	}
 }
 
@@ -71,7 +71,7 @@
 }
 
 // head returns the bytes of a value without its items, zero if the length is cut, and the number of its items.
-func head(data []byte) (size, items uint64) {
+func readHeader(data []byte) (size, items uint64) {
 	if len(data) == 0 {
 		return 0, 0
 	}
@@ -92,9 +92,9 @@
 	}
 	var number [8]byte
 	copy(number[8-f.length:], data[1:1+f.length])
-	stated := binary.BigEndian.Uint64(number[:])
+	statedLength := binary.BigEndian.Uint64(number[:])
 	if f.items > 0 {
-		return 1 + f.length, f.items * stated
+		return 1 + f.length, f.items * statedLength
 	}
-	return 1 + f.length + f.fixed + stated, 0
+	return 1 + f.length + f.fixed + statedLength, 0
 }
--- a/io/callerhttp/keyed.go
+++ b/io/callerhttp/keyed.go
@@ -53,7 +53,7 @@
 		r.verdict = idempotency.VerdictGranted
 	}
 	if last.outcome == core.OutcomeAnswered {
-		r.answer = &idempotency.Recorded{
+		r.answer = &idempotency.RecordedAnswer{
 			Status:  last.answer.Status,
 			Header:  last.answer.Header.Clone(),
 			Release: last.release,
@@ -68,7 +68,7 @@
 }
 
 // replay answers a resend with the recorded answer of its first call.
-func (s *Server) replay(w http.ResponseWriter, recorded *idempotency.Recorded) {
+func (s *Server) replay(w http.ResponseWriter, recorded *idempotency.RecordedAnswer) {
 	s.outcomes[core.OutcomeAnswered].Inc()
 	for name, values := range recorded.Header {
 		w.Header()[name] = values
@@ -82,7 +82,7 @@
 // recorder keeps an answer's body for resends, up to idempotency.MaxRecordedBytes; a nil recorder keeps nothing.
 type recorder struct {
 	verdict idempotency.Verdict
-	answer  *idempotency.Recorded
+	answer  *idempotency.RecordedAnswer
 	tooLong bool
 }
 
--- a/io/callerhttp/keyed_test.go
+++ b/io/callerhttp/keyed_test.go
@@ -136,7 +136,7 @@
 	claimed chan context.Context
 }
 
-func (w claimWatcher) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.Recorded) {
+func (w claimWatcher) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	select {
 	case w.claimed <- ctx:
 	default:
--- a/io/callerhttp/path_test.go
+++ b/io/callerhttp/path_test.go
@@ -237,7 +237,7 @@
 	n := startNodeWith(t, backend, core.EndpointReady, func(crash backendhttp.Crash) {
 		mu.Lock()
 		for _, call := range crash.Calls {
-			suspects.Crashed(time.Now(), idempotency.CrashID{Node: "b", Run: crash.Run}, call.Fingerprint)
+			suspects.RecordCrash(time.Now(), idempotency.CrashID{Node: "b", Run: crash.Run}, call.Fingerprint)
 		}
 		mu.Unlock()
 		crashes <- struct{}{}
--- a/io/callerhttp/server.go
+++ b/io/callerhttp/server.go
@@ -43,8 +43,8 @@
 
 // KeyClaimer settles idempotency keys with the nodes that hold them, as nodepeer.Claims does.
 type KeyClaimer interface {
-	Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.Recorded)
-	Settle(ctx context.Context, call *core.Call, verdict idempotency.Verdict, answer *idempotency.Recorded)
+	Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer)
+	Settle(ctx context.Context, call *core.Call, verdict idempotency.Verdict, answer *idempotency.RecordedAnswer)
 }
 
 // Options configures a Server. Listener replaces Address; ReleaseAllowed, Suspected, Keys and EndpointsChanged may be nil.
--- a/io/callerhttp/wait_test.go
+++ b/io/callerhttp/wait_test.go
@@ -41,12 +41,12 @@
 }
 
 // Claim and Settle implement callerhttp.KeyClaimer.
-func (e *waitingEntry) Claim(context.Context, *core.Call) (idempotency.Verdict, *idempotency.Recorded) {
+func (e *waitingEntry) Claim(context.Context, *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	e.claims.Add(1)
 	return idempotency.VerdictGranted, nil
 }
 
-func (*waitingEntry) Settle(context.Context, *core.Call, idempotency.Verdict, *idempotency.Recorded) {
+func (*waitingEntry) Settle(context.Context, *core.Call, idempotency.Verdict, *idempotency.RecordedAnswer) {
 }
 
 func waitingWorld(t *testing.T, test func(c *qt.C, e *waitingEntry)) {
--- a/io/control/keeper.go
+++ b/io/control/keeper.go
@@ -38,7 +38,7 @@
 	if status.Leader != status.Self || !p.leadsFor(now) {
 		return
 	}
-	views := lo.Map(replica.Members(), func(m raft.Member, _ int) membership.View { return p.view(now, replica, m) })
+	views := lo.Map(replica.Members(), func(m raft.Member, _ int) membership.MemberStatus { return p.view(now, replica, m) })
 	newcomers := lo.Map(replica.Newcomers(now), func(i raftpeer.Introduction, _ int) membership.Newcomer {
 		return membership.Newcomer{
 			Peer:       i.Peer,
@@ -46,7 +46,7 @@
 			DataCentre: i.DataCentre,
 		}
 	})
-	change, due := membership.Next(now, p.settings.Voters, views, newcomers)
+	change, due := membership.NextChange(now, p.settings.Voters, views, newcomers)
 	if !due {
 		return
 	}
@@ -62,8 +62,8 @@
 	return now.Sub(p.ledSince) >= catchUpAge
 }
 
-func (p *process) view(now time.Time, replica *raftpeer.Replica, m raft.Member) membership.View {
-	view := membership.View{
+func (p *process) view(now time.Time, replica *raftpeer.Replica, m raft.Member) membership.MemberStatus {
+	view := membership.MemberStatus{
 		Member: m,
 	}
 	if m.Peer == replica.Self() {
--- a/io/distribution/admission.go
+++ b/io/distribution/admission.go
@@ -64,7 +64,7 @@
 	}
 	h.replace(greeting.ID)
 	c := h.newChild(greeting, conn)
-	h.table.Regain(c.owner)
+	h.table.ReconnectOwner(c.owner)
 	h.peerReports[id] = peerReport{
 		acknowledge: h.peerReports[id].acknowledge,
 		link:        c.id,
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -181,7 +181,7 @@
 	if isTimeout(cause) {
 		grace = 0
 	}
-	h.table.Lose(now, c.owner, c.hello.ID, grace, subtreeGrace)
+	h.table.DisconnectOwner(now, c.owner, c.hello.ID, grace, subtreeGrace)
 	h.loseSubscriptions(now, c)
 	h.changed()
 }
@@ -194,7 +194,7 @@
 	}
 	report.until = now.Add(controlGrace)
 	h.peerReports[id] = report
-	h.table.Lose(now, c.owner, "", controlGrace, controlGrace)
+	h.table.DisconnectOwner(now, c.owner, "", controlGrace, controlGrace)
 }
 
 func isTimeout(err error) bool {
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -281,5 +281,5 @@
 func (h *hub) live() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.Live()
+	return h.table.LiveCount()
 }
--- a/io/distribution/states.go
+++ b/io/distribution/states.go
@@ -66,7 +66,7 @@
 // takeStates applies state changes, and asks for the services that differ if it does not hold what a change is based on.
 func (s *Subscriber) takeStates(now time.Time, u *uplink, list []stateChange) {
 	for _, change := range list {
-		held, known := s.hub.table.Held(change.Node)
+		held, known := s.hub.table.Lookup(change.Node)
 		if known && !u.wants(held.Service) {
 			continue // crossed with the end of a subscription
 		}
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -117,7 +117,7 @@
 		return
 	}
 	delete(h.unsynced, service)
-	h.table.Forget(parentOwner, service)
+	h.table.DropLeases(parentOwner, service)
 	h.subscriptions++
 	h.changed()
 }
@@ -270,7 +270,7 @@
 
 func (h *hub) rememberLeft(now time.Time, list []left) {
 	for _, each := range list {
-		h.table.Remember(now, lease.Left{
+		h.table.AddTombstone(now, lease.Tombstone{
 			Endpoint: each.Endpoint,
 			At:       now.Add(-time.Duration(each.AgeMS) * time.Millisecond),
 		})
--- a/io/node/suspects.go
+++ b/io/node/suspects.go
@@ -27,7 +27,7 @@
 func (s *suspects) crashed(at time.Time, report core.CrashReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.memory.Crashed(at, idempotency.CrashID{
+	s.memory.RecordCrash(at, idempotency.CrashID{
 		Node: report.Node,
 		Run:  report.Run,
 	}, idempotency.Fingerprint(report.Fingerprint))
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -35,26 +35,26 @@
 
 // keyMessage claims a key or settles it. Verdict is empty in a claim.
 type keyMessage struct {
-	Token       uint64                  `msgpack:"token"`
-	Key         idempotency.Key         `msgpack:"key"`
-	Owner       core.CallID             `msgpack:"owner"`
-	Content     idempotency.Fingerprint `msgpack:"content"`
-	RemainingUS int64                   `msgpack:"remaining-us"`
-	Verdict     idempotency.Verdict     `msgpack:"verdict"`
-	Answer      *idempotency.Recorded   `msgpack:"answer"`
-	Custody     *custodyRequest         `msgpack:"custody"`
-	WantAges    bool                    `msgpack:"want-ages"` // from a node that has just started
+	Token       uint64                      `msgpack:"token"`
+	Key         idempotency.Key             `msgpack:"key"`
+	Owner       core.CallID                 `msgpack:"owner"`
+	Content     idempotency.Fingerprint     `msgpack:"content"`
+	RemainingUS int64                       `msgpack:"remaining-us"`
+	Verdict     idempotency.Verdict         `msgpack:"verdict"`
+	Answer      *idempotency.RecordedAnswer `msgpack:"answer"`
+	Custody     *custodyRequest             `msgpack:"custody"`
+	WantAges    bool                        `msgpack:"want-ages"` // from a node that has just started
 }
 
 // keyReply answers a keyMessage.
 type keyReply struct {
-	Token    uint64                `msgpack:"token"`
-	MemberUS int64                 `msgpack:"member-us"` // how long the holder has been one of the service's nodes
-	RunUS    int64                 `msgpack:"run-us"`    // how long of that in its present run
-	Verdict  idempotency.Verdict   `msgpack:"verdict"`
-	Answer   *idempotency.Recorded `msgpack:"answer"`
-	Left     bool                  `msgpack:"left"` // the holder has handed its memory over and grants nothing more
-	Custody  *custodyReply         `msgpack:"custody"`
+	Token    uint64                      `msgpack:"token"`
+	MemberUS int64                       `msgpack:"member-us"` // how long the holder has been one of the service's nodes
+	RunUS    int64                       `msgpack:"run-us"`    // how long of that in its present run
+	Verdict  idempotency.Verdict         `msgpack:"verdict"`
+	Answer   *idempotency.RecordedAnswer `msgpack:"answer"`
+	Left     bool                        `msgpack:"left"` // the holder has handed its memory over and grants nothing more
+	Custody  *custodyReply               `msgpack:"custody"`
 
 	Ages map[core.NodeID]time.Duration `msgpack:"ages"` // how long the holder has known each of the key's holders
 }
@@ -220,7 +220,7 @@
 
 // Claim returns VerdictGranted if the call may run. It waits for a running call with the same key until the context
 // ends, and then returns VerdictUnknown.
-func (c *Claims) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.Recorded) {
+func (c *Claims) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	c.observeService(call.Service)
 	for {
 		verdict, answer := c.claimOnce(ctx, call)
@@ -243,25 +243,25 @@
 }
 
 // claimOnce asks the first holder before the second, so that of two calls with one key only one gets both.
-func (c *Claims) claimOnce(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.Recorded) {
+func (c *Claims) claimOnce(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	message := keyMessage{
 		Key:         idempotency.KeyOf(call),
 		Owner:       call.ID,
-		Content:     idempotency.ContentOf(call),
+		Content:     idempotency.ContentFingerprintOf(call),
 		RemainingUS: time.Until(call.Deadline).Microseconds(),
 	}
 	message.WantAges = time.Since(c.started) < idempotency.Window+idempotency.JoinLag
 	holders := c.holdersOf(message.Key)
 	var asked []holderReply
 	var replies []idempotency.Reply
-	for i := 0; i < len(holders) && !idempotency.Enough(replies); i++ {
+	for i := 0; i < len(holders) && !idempotency.IsDecided(replies); i++ {
 		asked = append(asked, c.claimAt(ctx, holders[i], message))
 		if ages := asked[i].Ages; len(ages) > 0 {
 			holders = c.learn(message.Key, holders, ages)
 		}
 		replies = lo.Map(asked, func(r holderReply, at int) idempotency.Reply { return c.interpret(r, holders[at], call.Service) })
 	}
-	verdict, answer := idempotency.Combine(replies)
+	verdict, answer := idempotency.DecideClaim(replies)
 	c.mu.Lock()
 	c.asked[call.ID] = lo.Map(holders[:len(asked)], func(h idempotency.Holder, _ int) core.Endpoint { return h.Endpoint })
 	c.mu.Unlock()
@@ -370,7 +370,7 @@
 
 // Settle records at the nodes that were asked what became of a call whose claim was granted: VerdictAnswered with the
 // answer, VerdictUnknown, or VerdictGranted if the call was not run.
-func (c *Claims) Settle(ctx context.Context, call *core.Call, verdict idempotency.Verdict, answer *idempotency.Recorded) {
+func (c *Claims) Settle(ctx context.Context, call *core.Call, verdict idempotency.Verdict, answer *idempotency.RecordedAnswer) {
 	message := keyMessage{
 		Key:     idempotency.KeyOf(call),
 		Owner:   call.ID,
--- a/io/nodepeer/claims_test.go
+++ b/io/nodepeer/claims_test.go
@@ -94,9 +94,9 @@
 	claims := &Claims{options: ClaimsOptions{ServiceSince: func(core.ServiceName) (time.Time, bool) { return began, true }}}
 	restarted := holderReply{keyReply: keyReply{MemberUS: 1}, reached: true, at: time.Now()}
 	for _, late := range []time.Duration{0, 1} {
-		holder := idempotency.Holder{First: began.Add(idempotency.JoinLag + late), Joined: true}
+		holder := idempotency.Holder{FirstSeen: began.Add(idempotency.JoinLag + late), RecentlyJoined: true}
 		reply := claims.interpret(restarted, holder, "orders")
-		c.Assert(reply.Before, qt.Equals, late == 0)
-		c.Assert(reply.Joined, qt.Equals, late != 0)
+		c.Assert(reply.Restarted, qt.Equals, late == 0)
+		c.Assert(reply.RecentlyJoined, qt.Equals, late != 0)
 	}
 }
--- a/io/nodepeer/custody_test.go
+++ b/io/nodepeer/custody_test.go
@@ -89,7 +89,7 @@
 	first := keyed(1)
 	verdict, _ := entry.Claim(context.Background(), first)
 	c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
-	entry.Settle(context.Background(), first, idempotency.VerdictAnswered, &idempotency.Recorded{Status: 200, Body: []byte("ok")})
+	entry.Settle(context.Background(), first, idempotency.VerdictAnswered, &idempotency.RecordedAnswer{Status: 200, Body: []byte("ok")})
 
 	for i := range 3 {
 		c.Assert(claims[i].HandOver(context.Background()), qt.IsNil)
@@ -169,5 +169,5 @@
 	c.Assert(take(3), qt.Equals, 0)
 	c.Assert(k, qt.HasLen, 0)
 	c.Assert(k.answer(now, &custodyRequest{Node: "n", Parts: 1}, true).Parts, qt.Equals, 0) // this node leaves too
-	c.Assert(ask(custodyRequest{Parts: 1, Entries: []idempotency.Entry{{Answer: &idempotency.Recorded{Body: make([]byte, maxCustodyBytes)}}}}), qt.Equals, 0)
+	c.Assert(ask(custodyRequest{Parts: 1, Entries: []idempotency.Entry{{Answer: &idempotency.RecordedAnswer{Body: make([]byte, maxCustodyBytes)}}}}), qt.Equals, 0)
 }
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -38,10 +38,10 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holders.Learn(now, key.Service, ages)
+	c.holders.MergeAges(now, key.Service, ages)
 	return lo.Map(holders, func(h idempotency.Holder, _ int) idempotency.Holder {
-		if first := now.Add(-ages[h.Node]); first.Before(h.First) {
-			h.First = first
+		if first := now.Add(-ages[h.Node]); first.Before(h.FirstSeen) {
+			h.FirstSeen = first
 		}
 		return h
 	})
@@ -68,15 +68,15 @@
 		return idempotency.Reply{}
 	}
 	member, run := time.Duration(r.MemberUS)*time.Microsecond, time.Duration(r.RunUS)*time.Microsecond
-	known := c.covers(service, r.at.Sub(holder.First)) || c.isOriginal(service, holder.First)
+	known := c.covers(service, r.at.Sub(holder.FirstSeen)) || c.isOriginal(service, holder.FirstSeen)
 	return idempotency.Reply{
-		Reached:  true,
-		Whole:    c.covers(service, member),
-		Unbroken: c.covers(service, run),
-		Joined:   holder.Joined && !known,
-		Before:   known && holder.First.Before(r.at.Add(-member)),
-		Verdict:  r.Verdict,
-		Answer:   r.Answer,
+		Reached:          true,
+		CompleteMemory:   c.covers(service, member),
+		ContinuousMemory: c.covers(service, run),
+		RecentlyJoined:   holder.RecentlyJoined && !known,
+		Restarted:        known && holder.FirstSeen.Before(r.at.Add(-member)),
+		Verdict:          r.Verdict,
+		Answer:           r.Answer,
 	}
 }
 
--- a/io/nodepeer/server.go
+++ b/io/nodepeer/server.go
@@ -50,7 +50,7 @@
 
 	mu          sync.Mutex
 	attempts    *idempotency.AttemptLog
-	keys        *idempotency.Keys
+	keys        *idempotency.KeyStore
 	members     map[core.ServiceName]membership
 	custodies   custodies
 	handedOver  bool
@@ -87,7 +87,7 @@
 		revoked:     options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="not-run"}`),
 		tooLate:     options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="unknown"}`),
 		attempts:    idempotency.NewAttemptLog(),
-		keys:        idempotency.NewKeys(),
+		keys:        idempotency.NewKeyStore(),
 		members:     make(map[core.ServiceName]membership),
 		custodies:   make(custodies),
 		calls:       make(map[idempotency.AttemptKey]*serverCall),
--- a/io/raftpeer/keeper_test.go
+++ b/io/raftpeer/keeper_test.go
@@ -55,7 +55,7 @@
 	if w.now.Sub(k.ledSince) < keptLead || k.changing && w.now.Before(k.until) {
 		return
 	}
-	change, due := membership.Next(w.now, keptVoters, k.views(leader), k.newcomers(leader))
+	change, due := membership.NextChange(w.now, keptVoters, k.views(leader), k.newcomers(leader))
 	if !due {
 		return
 	}
@@ -68,9 +68,9 @@
 	}, func(string) { k.changing = false })
 }
 
-func (k *keeper) views(leader *instance) []membership.View {
-	return lo.Map(leader.engine.node.Members(), func(m raft.Member, _ int) membership.View {
-		view := membership.View{
+func (k *keeper) views(leader *instance) []membership.MemberStatus {
+	return lo.Map(leader.engine.node.Members(), func(m raft.Member, _ int) membership.MemberStatus {
+		view := membership.MemberStatus{
 			Member:    m,
 			LastHeard: k.heardAt[[2]core.ControlID{m.Peer.ID, leader.options.Self}],
 		}
