--- a/core/idempotency/attempts.go
+++ b/core/idempotency/attempts.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// Window is how long keys, attempts, revocations and crashes are remembered.
+// Window is how long keys, attempts, revocations and crashes are kept.
 const Window = 10 * time.Minute
 
 const (
-	maxConnections         = 8192   // of which at most half are open, see nodepeer
-	maxRevocations         = 65_536 // beyond that a revocation is answered with "not revoked", which is always true
-	maxNotRunPerConnection = 4096   // for each connection
-	maxOutOfOrder          = 4096   // senders race for the order on the wire, so a sequence may arrive before a lower one
+	maxConnections         = 8192   // at most half of them are open, see nodepeer
+	maxRevocations         = 65_536 // further revocations are answered with RevocationTooLate, which is always safe
+	maxNotRunPerConnection = 4096
+	maxOutOfOrder          = 4096 // concurrent senders may put a sequence on the wire before a lower one
 	pruneInterval          = time.Minute
 )
 
-// AttemptKey identifies one attempt: a random number of the connection that carries it, and its number there from 1.
+// AttemptKey identifies one attempt by the random number of its connection and its sequence number there, starting at 1.
 type AttemptKey struct {
 	Connection uint64
 	Sequence   uint64
 }
 
-// Arrival is the verdict on an attempt that has arrived.
+// Arrival says whether an attempt that has arrived may run.
 type Arrival int
 
-// The verdicts on an arrival.
+// The results of an arrival.
 const (
 	// ArrivalNew means that the attempt may run.
 	ArrivalNew Arrival = iota
 	// ArrivalRevoked means that the attempt was revoked before it arrived and must not run.
 	ArrivalRevoked
-	// ArrivalRepeated means that the attempt has arrived before, which breaks the protocol.
+	// ArrivalRepeated means that the attempt has arrived before, which violates the protocol.
 	ArrivalRepeated
 )
 
-// Revocation is the verdict on a revocation.
+// Revocation is the result of revoking an attempt.
 type Revocation int
 
-// The verdicts on a revocation.
+// The results of a revocation.
 const (
-	// RevocationDone means that the attempt was not run and never will be.
+	// RevocationDone means that the attempt has not run and never will.
 	RevocationDone Revocation = iota
-	// RevocationPending means that the attempt is in progress; its end decides.
+	// RevocationPending means that the attempt is in progress and its result is not known yet.
 	RevocationPending
 	// RevocationTooLate means that the attempt has run or that nothing is known about it.
 	RevocationTooLate
 )
 
-// AttemptLog remembers which attempts a node has seen. For each connection it keeps one number below which every
-// sequence has arrived, so its size does not grow with the number of calls.
+// AttemptLog records which attempts a node has received. For each connection it keeps the number below which all sequences have
+// arrived, so its size does not grow with the number of calls.
 type AttemptLog struct {
 	connections  map[uint64]*connectionLog
 	revocations  int
-	evictedUntil time.Time // until then, an unknown connection may be one that was forgotten too early
+	evictedUntil time.Time // until then, an unknown connection may have been evicted within the window
 	prunedAt     time.Time
 }
 
 type connectionLog struct {
 	open         bool
 	lastUsedAt   time.Time
-	arrivedBelow uint64 // all sequences below this one have arrived
+	arrivedBelow uint64 // all sequences below it have arrived
 	outOfOrder   map[uint64]struct{}
 	running      map[uint64]struct{}
 	notRun       map[uint64]struct{}
@@ -71,7 +71,7 @@
 	}
 }
 
-// Connected records a connection; it returns false if there are too many.
+// Connected records an open connection. It returns false if the connection is already open or there are too many.
 func (l *AttemptLog) Connected(now time.Time, connection uint64) bool {
 	log := l.connection(now, connection)
 	if log == nil || log.open {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// Disconnected records the end of a connection; its attempts stay known for the window.
+// Disconnected records the end of a connection. Its attempts are kept for the window.
 func (l *AttemptLog) Disconnected(now time.Time, connection uint64) {
 	if log := l.connections[connection]; log != nil {
 		log.open = false
@@ -89,7 +89,7 @@
 	}
 }
 
-// Arrived records an attempt on an open connection and says whether it may run.
+// Arrived records an attempt on an open connection and reports whether it may run.
 func (l *AttemptLog) Arrived(now time.Time, key AttemptKey) Arrival {
 	log := l.connection(now, key.Connection)
 	if log == nil || log.seen(key.Sequence) {
@@ -107,7 +107,7 @@
 	return ArrivalNew
 }
 
-// Ended records the end of an attempt; ran is false only if the backend server has seen nothing of it.
+// Ended records the end of an attempt. Ran may be false only if the backend server has received nothing of it.
 func (l *AttemptLog) Ended(key AttemptKey, ran bool) {
 	log := l.connections[key.Connection]
 	if log == nil {
@@ -118,12 +118,12 @@
 		return
 	}
 	if len(log.notRun) >= maxNotRunPerConnection {
-		clear(log.notRun) // those attempts become unknown, which is always true
+		clear(log.notRun) // the outcome of these attempts becomes unknown, which is always safe
 	}
 	log.notRun[key.Sequence] = struct{}{}
 }
 
-// Revoke keeps an attempt that has not arrived from running later, or says what became of it.
+// Revoke keeps an attempt that has not arrived from running later, or returns the state of one that has arrived.
 func (l *AttemptLog) Revoke(now time.Time, key AttemptKey) Revocation {
 	if _, known := l.connections[key.Connection]; !known && now.Before(l.evictedUntil) {
 		return RevocationTooLate
--- a/core/idempotency/holders.go
+++ b/core/idempotency/holders.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxAskedNodes  = 8    // nodes for one key
-	maxHolderNodes = 8192 // for all services
+	maxAskedNodes  = 8    // per key
+	maxHolderNodes = 8192 // over all services
 	maxServices    = 4096
 )
 
-// Holders knows which nodes announce a service or did so within the window, and chooses a key's holders among them.
+// Holders records which nodes announce each service or did so within the window, and ranks them as holders of a key.
 type Holders struct {
 	services map[core.ServiceName]*serviceNodes
 	nodes    int
@@ -31,24 +31,24 @@
 	endpoint     core.Endpoint
 	firstSeenAt  time.Time
 	lastSeenAt   time.Time
-	joinObserved bool // it was not there at the observation before
+	joinObserved bool // it was absent in the previous observation
 }
 
 // Holder is a node that is asked about a key.
 type Holder struct {
 	core.Endpoint
-	FirstSeen      time.Time // it has been known since then
-	RecentlyJoined bool      // it joined within the window, for the first time in it
+	FirstSeen      time.Time
+	RecentlyJoined bool // it joined within the window and had not been seen in it before
 }
 
-// NewHolders returns a memory without nodes.
+// NewHolders returns Holders without nodes.
 func NewHolders() *Holders {
 	return &Holders{
 		services: make(map[core.ServiceName]*serviceNodes),
 	}
 }
 
-// Observe notes the endpoints that a service has now; it is called at least every few seconds.
+// Observe records the current endpoints of a service. It must be called at least every few seconds.
 func (h *Holders) Observe(now time.Time, service core.ServiceName, endpoints []core.Endpoint) {
 	known := h.services[service]
 	if known == nil {
@@ -61,7 +61,7 @@
 		h.services[service] = known
 	}
 	nodes := known.nodes
-	joinObserved := now.Sub(known.observedAt) <= JoinLag // else it may have been there meanwhile, or before this node started
+	joinObserved := now.Sub(known.observedAt) <= JoinLag // otherwise it may have joined between observations or before this node started
 	known.observedAt = now
 	for id, node := range nodes {
 		if now.Sub(node.lastSeenAt) > Window {
@@ -80,7 +80,7 @@
 func (h *Holders) observe(now time.Time, nodes map[core.NodeID]*holderNode, endpoint core.Endpoint, joinObserved bool) {
 	if node := nodes[endpoint.Node]; node != nil {
 		if now.Sub(node.lastSeenAt) > JoinLag {
-			// It may have been away for longer than other entry nodes remember: it keeps its place but is not known.
+			// The node may have been absent for longer than other entry nodes keep it, so its age starts again.
 			node.firstSeenAt, node.joinObserved = now, false
 		}
 		node.endpoint = endpoint
@@ -99,7 +99,7 @@
 	}
 }
 
-// Ages returns how long the nodes that Choose returns have been known.
+// Ages returns for how long each node returned by Choose has been known.
 func (h *Holders) Ages(now time.Time, key Key) map[core.NodeID]time.Duration {
 	chosen := h.Choose(now, key)
 	ages := make(map[core.NodeID]time.Duration, len(chosen))
@@ -109,8 +109,8 @@
 	return ages
 }
 
-// Learn notes how long another node has known nodes of the service. It lets a node that has just started tell holders that
-// were restarted from newcomers.
+// MergeAges adopts the greater ages that another node has recorded for nodes of the service. With them, a node that has just
+// started can tell restarted holders from nodes that have newly joined.
 func (h *Holders) MergeAges(now time.Time, service core.ServiceName, ages map[core.NodeID]time.Duration) {
 	known := h.services[service]
 	if known == nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Choose returns the nodes with the highest hash of node and key, in that order. The first HolderCount that have not just
-// joined hold the key.
+// Choose ranks the nodes by rendezvous hashing of node and key and returns the first ones. The first HolderCount that have not
+// recently joined hold the key.
 func (h *Holders) Choose(now time.Time, key Key) []Holder {
 	type scored struct {
 		holder Holder
--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// Guards against an attempt that runs after "not run", for any order of arrivals, ends and revocations.
+// Guards against an attempt that runs after its revocation has succeeded, for any order of arrivals, ends and revocations.
 func TestRevokedAttemptsNeverRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := NewAttemptLog()
@@ -41,7 +41,7 @@
 					revoked[sequence] = true
 				case RevocationPending:
 					if !running[sequence] {
-						t.Fatalf("attempt %d is said to be running", sequence)
+						t.Fatalf("attempt %d is reported as running", sequence)
 					}
 				}
 			case 3:
@@ -54,7 +54,7 @@
 	})
 }
 
-// Guards against a log that grows with the number of calls or revocations, and against a false not-run once it is full.
+// Guards against a log that grows with the number of calls or revocations, and against a false RevocationDone once it is full.
 func TestAttemptLogIsBounded(t *testing.T) {
 	c := qt.New(t)
 	log := NewAttemptLog()
@@ -79,12 +79,12 @@
 		full.Disconnected(epoch.Add(time.Duration(i)), 1+i)
 	}
 	c.Assert(len(full.connections), qt.Equals, maxConnections)
-	c.Assert(full.Revoke(epoch, AttemptKey{Connection: 1, Sequence: 1}), qt.Equals, RevocationTooLate) // forgotten, so unknown
+	c.Assert(full.Revoke(epoch, AttemptKey{Connection: 1, Sequence: 1}), qt.Equals, RevocationTooLate) // evicted, so unknown
 	later := epoch.Add(2 * Window)
 	c.Assert(full.Revoke(later, AttemptKey{Connection: 1 << 40, Sequence: 1}), qt.Equals, RevocationDone)
 }
 
-// Guards against two owners of one key, a lost recorded answer, and a key that stays with a call that was not run.
+// Guards against two owners of one key, a lost recorded answer, and a key that stays with a call that has not run.
 func TestKeyHasOneOwner(t *testing.T) {
 	c := qt.New(t)
 	keys, key := NewKeyStore(), Key{Tenant: "a", Service: "s", Name: "k"}
@@ -112,7 +112,7 @@
 	c.Assert(claim(epoch.Add(Window+2*time.Second), "four", 1), qt.Equals, VerdictUnknown)
 }
 
-// Guards against forgetting a key early to make room for others.
+// Guards against removing a key early to make room for others.
 func TestFullStoreRefusesNewKeys(t *testing.T) {
 	c := qt.New(t)
 	keys := NewKeyStore()
@@ -127,7 +127,7 @@
 	c.Assert(verdict, qt.Equals, VerdictGranted)
 }
 
-// Guards against a run on the replies of holders that cannot know, or against the reply of one that does.
+// Guards against a grant based on replies of holders that cannot know, and against ignoring the reply of one that does.
 func TestClaimNeedsEachReachedHolderAndAMajority(t *testing.T) {
 	c := qt.New(t)
 	reply := func(verdict Verdict, complete bool) Reply {
@@ -142,12 +142,12 @@
 	newcomers := []Reply{joined, joined, joined}
 	restartedNewcomer := joined
 	restartedNewcomer.Restarted = true
-	c.Assert(IsDecided([]Reply{restartedNewcomer, granted, granted}), qt.IsFalse)     // it is no holder yet
-	c.Assert(IsDecided(newcomers), qt.IsFalse)                                        // else such a key would stay unknown although old nodes can be asked
-	c.Assert(IsDecided(append(newcomers, granted, granted, unreachable)), qt.IsFalse) // the silent one may be a newcomer too
+	c.Assert(IsDecided([]Reply{restartedNewcomer, granted, granted}), qt.IsFalse)     // the newcomer is not a holder yet
+	c.Assert(IsDecided(newcomers), qt.IsFalse)                                        // otherwise the key stays unknown although older nodes can be asked
+	c.Assert(IsDecided(append(newcomers, granted, granted, unreachable)), qt.IsFalse) // the unreachable node may be a newcomer too
 	c.Assert(IsDecided(append(newcomers, granted, granted, restarted)), qt.IsTrue)
-	c.Assert(IsDecided([]Reply{unclear, granted, granted}), qt.IsFalse) // only this entry node may take the first for a holder
-	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)          // else a resend would miss it after one of them was restarted
+	c.Assert(IsDecided([]Reply{unclear, granted, granted}), qt.IsFalse) // only this entry node may take the first node for a holder
+	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)          // otherwise a resend misses the key after one of them has restarted
 	c.Assert(IsDecided([]Reply{reply(VerdictRunning, false)}), qt.IsTrue)
 	for _, test := range []struct {
 		replies []Reply
@@ -158,15 +158,15 @@
 		{replies: []Reply{granted, granted, unreachable}, want: VerdictGranted},
 		{replies: []Reply{restarted, granted, granted}, want: VerdictGranted},
 		{replies: []Reply{joined, joined, granted, granted, unreachable}, want: VerdictGranted},
-		{replies: []Reply{restarted, unreachable, unreachable, granted, granted}, want: VerdictUnknown}, // others do not replace a holder
+		{replies: []Reply{restarted, unreachable, unreachable, granted, granted}, want: VerdictUnknown}, // nodes beyond the holders do not count
 		{replies: []Reply{unreachable, restarted, restarted, granted}, want: VerdictUnknown},
-		{replies: []Reply{unreachable, granted}, want: VerdictUnknown}, // another entry node may reach only the other one
+		{replies: []Reply{unreachable, granted}, want: VerdictUnknown}, // another entry node may reach only the other holder
 		{replies: []Reply{granted, restarted, unreachable}, want: VerdictGranted},
-		{replies: []Reply{restored, restarted, unreachable}, want: VerdictUnknown}, // the others may have granted it during the stop
+		{replies: []Reply{restored, restarted, unreachable}, want: VerdictUnknown}, // the other two may have granted the key during the stop
 		{replies: []Reply{restored, restored, unreachable}, want: VerdictGranted},
 		{replies: []Reply{restored, restarted}, want: VerdictGranted},
 		{replies: []Reply{restarted, restarted, restarted}, want: VerdictUnknown},
-		{replies: []Reply{restarted, restarted, unreachable}, want: VerdictUnknown}, // the third may have held the key alone
+		{replies: []Reply{restarted, restarted, unreachable}, want: VerdictUnknown}, // only the third may still have the key
 		{replies: []Reply{restarted, unreachable, unreachable}, want: VerdictUnknown},
 		{replies: []Reply{granted, unclear, unreachable}, want: VerdictUnknown}, // the second may have joined after the third granted the key
 		{replies: []Reply{unreachable, unreachable, granted}, want: VerdictUnknown},
@@ -183,7 +183,7 @@
 	}
 }
 
-// Guards against a second run when nodes that know nothing of a key push its holders out of the first two places.
+// Guards against a second run when nodes that know nothing of a key displace its holders from the first two ranks.
 func TestClaimFindsEarlierHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders, key := NewHolders(), Key{Service: "s", Name: core.IdempotencyKey(rapid.String().Draw(t, "key"))}
@@ -230,7 +230,7 @@
 	})
 }
 
-// Guards against taking a node that was restarted, or was there before this node looked, for one that never held a key.
+// Guards against mistaking a node that has restarted, or was present before this node looked, for one that never held a key.
 func TestOnlyObservedJoinsCountAsJoins(t *testing.T) {
 	c := qt.New(t)
 	holders, a, b := NewHolders(), core.Endpoint{Node: "a"}, core.Endpoint{Node: "b"}
@@ -252,15 +252,15 @@
 	holders.Observe(epoch, "s", []core.Endpoint{a})
 	holders.Observe(epoch.Add(JoinLag), "s", []core.Endpoint{a})
 	c.Assert(first(), qt.Equals, epoch)
-	holders.Observe(epoch.Add(2*JoinLag+1), "s", []core.Endpoint{a}) // others may have forgotten it meanwhile
+	holders.Observe(epoch.Add(2*JoinLag+1), "s", []core.Endpoint{a}) // other nodes may have removed it meanwhile
 	c.Assert(first(), qt.Equals, epoch.Add(2*JoinLag+1))
 	holders = NewHolders()
 	holders.Observe(epoch, "s", []core.Endpoint{a})
-	holders.Observe(epoch.Add(JoinLag+1), "s", []core.Endpoint{a, b}) // this node did not look for too long
+	holders.Observe(epoch.Add(JoinLag+1), "s", []core.Endpoint{a, b}) // the previous observation is too long ago
 	c.Assert(joined(epoch.Add(JoinLag+1)), qt.DeepEquals, map[core.NodeID]bool{"a": false, "b": false})
 }
 
-// Guards against a key whose holders change as soon as a node leaves, so that a resend finds no memory.
+// Guards against a key whose holders change as soon as a node leaves, so that a resend does not find the key.
 func TestHoldersOutliveTheirEndpoints(t *testing.T) {
 	c := qt.New(t)
 	holders, spread := NewHolders(), make(map[core.NodeID]int)
@@ -287,11 +287,11 @@
 	c.Assert(holders.nodes, qt.Equals, 0)
 }
 
-// Guards against blaming a request for one crash, for a repeated report of it, or for ever.
+// Guards against suspecting a request after one crash, after a repeated report of it, or for ever.
 func TestSuspectsNeedTwoCrashes(t *testing.T) {
 	c := qt.New(t)
 	suspects := NewSuspects()
-	for i := range maxFingerprints + 100 { // each ran in one crash
+	for i := range maxFingerprints + 100 { // one crash each
 		suspects.RecordCrash(epoch, CrashID{Node: "n", Run: "1"}, Fingerprint(1000+i))
 	}
 	c.Assert(len(suspects.crashes) <= maxFingerprints, qt.IsTrue)
--- a/core/idempotency/keys.go
+++ b/core/idempotency/keys.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	maxKeys = 131_072 // 218 keys a second over the window
-	// MaxRecordedBytes bounds the body of one recorded answer.
+	maxKeys = 131_072 // allows 218 keys a second over the window
+	// MaxRecordedBytes limits the body of one recorded answer.
 	MaxRecordedBytes      = 64 << 10
 	maxTotalRecordedBytes = 16 << 20
 )
 
-// Key identifies what a caller wants to happen at most once.
+// Key identifies a request that must run at most once.
 type Key struct {
 	Tenant  core.TenantID       `msgpack:"tenant"`
 	Service core.ServiceName    `msgpack:"service"`
@@ -30,7 +30,7 @@
 	}
 }
 
-// Recorded is an answer that a resend of its request gets.
+// RecordedAnswer is the answer that a resend of its request gets.
 type RecordedAnswer struct {
 	Status  int          `msgpack:"status"`
 	Header  http.Header  `msgpack:"header"`
@@ -38,7 +38,7 @@
 	Release core.Release `msgpack:"release"`
 }
 
-// Verdict is a holder's answer to a claim, or what several holders' answers come to.
+// Verdict is a holder's answer to a claim, or the combined answer of several holders.
 type Verdict string
 
 // The verdicts on a claim.
@@ -49,20 +49,20 @@
 	VerdictRunning Verdict = "running"
 	// VerdictAnswered means that a call with the key was answered and the answer is recorded.
 	VerdictAnswered Verdict = "answered"
-	// VerdictUnknown means that a call with the key may have run, or that nobody remembers.
+	// VerdictUnknown means that a call with the key may have run, or that no holder can tell.
 	VerdictUnknown Verdict = "unknown"
-	// VerdictConflict means that the key belongs to another request.
+	// VerdictConflict means that the key was used for a different request.
 	VerdictConflict Verdict = "conflict"
-	// VerdictFull means that the holder can remember no more keys.
+	// VerdictFull means that the holder cannot store more keys.
 	VerdictFull Verdict = "full"
 )
 
-// Keys is one holder's memory of idempotency keys. An entry stays for the window; a full memory refuses new keys rather
-// than forget one.
+// KeyStore holds the idempotency keys of one holder. An entry is kept for the window; a full store refuses new keys instead of
+// evicting one.
 type KeyStore struct {
 	entries       map[Key]*keyEntry
 	byAge         []keyAge // oldest first
-	recordedBytes int      // bytes of bodies
+	recordedBytes int      // total size of the recorded bodies
 }
 
 type keyEntry struct {
@@ -79,15 +79,15 @@
 	claimedAt time.Time
 }
 
-// NewKeyStore returns an empty memory.
+// NewKeyStore returns an empty store.
 func NewKeyStore() *KeyStore {
 	return &KeyStore{
 		entries: make(map[Key]*keyEntry),
 	}
 }
 
-// Claim gives the key to a call, which must settle it by the given time, or says who has it. A repeated claim of the
-// same call is granted again.
+// Claim assigns the key to a call, which must settle it by settleBy, or returns the state of the call that has the key and its
+// recorded answer. A repeated claim of the same call is granted again.
 func (k *KeyStore) Claim(now time.Time, key Key, owner core.CallID, content Fingerprint, settleBy time.Time) (Verdict, *RecordedAnswer) {
 	k.expire(now)
 	entry := k.entries[key]
@@ -112,12 +112,12 @@
 	case entry.verdict == VerdictRunning && entry.owner == owner:
 		return VerdictGranted, nil
 	case entry.verdict == VerdictRunning && now.After(entry.settleBy):
-		entry.verdict = VerdictUnknown // its entry node has not settled it
+		entry.verdict = VerdictUnknown // the entry node of the call has not settled it in time
 	}
 	return entry.verdict, entry.answer
 }
 
-// Settle records what became of the owner's call: granted means that it has not run and gives the key back.
+// Settle records the outcome of the owner's call. VerdictGranted means that the call has not run and releases the key.
 func (k *KeyStore) Settle(now time.Time, key Key, owner core.CallID, verdict Verdict, answer *RecordedAnswer) {
 	k.expire(now)
 	entry := k.entries[key]
@@ -143,7 +143,7 @@
 		expired++
 		entry := k.entries[age.key]
 		if entry == nil || !entry.claimedAt.Equal(age.claimedAt) {
-			continue // given back, and perhaps claimed again later
+			continue // released, and possibly claimed again later
 		}
 		if entry.answer != nil {
 			k.recordedBytes -= len(entry.answer.Body)
--- a/core/idempotency/quorum.go
+++ b/core/idempotency/quorum.go
@@ -5,35 +5,35 @@
 // HolderCount is the number of nodes that hold each key. A claim needs a majority of them.
 const HolderCount = 3
 
-// JoinLag is how long a node that joins a service may be unknown to an entry node.
+// JoinLag is the maximum time for which a node that joins a service may be unknown to an entry node.
 const JoinLag = 10 * time.Second
 
-// Reply is what one holder said about a claim.
+// Reply is one holder's reply to a claim.
 type Reply struct {
 	Reached          bool
-	CompleteMemory   bool // the holder remembers all claims of the window that it has granted
-	ContinuousMemory bool // and it could be asked for the whole window, so that it was not restarted in it
-	RecentlyJoined   bool // the holder is known to have joined the service within the window for the first time
-	Restarted        bool // the holder was known before it announced the service, so that it has been restarted
+	CompleteMemory   bool // the holder has all claims that it granted within the window
+	ContinuousMemory bool // and has been running for the whole window
+	RecentlyJoined   bool // the holder is known to have joined the service for the first time within the window
+	Restarted        bool // the holder was known before it announced the service, so it has restarted
 	Verdict          Verdict
 	Answer           *RecordedAnswer
 }
 
-// fixed reports whether the node is one of the key's holders as far as can be told. A node that has just joined is not, and
-// is asked only so that it remembers. One that was restarted is, because it may have granted the key before; so is one
-// that is out of reach, whatever it is.
+// countsAsHolder reports whether the node must be counted among the key's holders. A node that has recently joined is not; it is
+// asked only so that it stores the claim. A restarted node is, because it may have granted the key before, and so is any
+// unreachable node.
 func (r Reply) countsAsHolder() bool {
 	return !r.Reached || r.CompleteMemory || !r.RecentlyJoined
 }
 
-// votes reports whether the node is certainly a holder. One without a whole memory may have joined after an earlier claim,
-// unless it is known to have been restarted.
+// canVote reports whether the node is certainly a holder. Without a complete memory, it may have joined after an earlier claim,
+// unless it is known to have restarted.
 func (r Reply) canVote() bool {
 	return r.Reached && r.countsAsHolder() && (r.CompleteMemory || r.Restarted)
 }
 
-// Enough reports whether the replies so far, in the order of Holders.Choose, decide a claim: someone else has the key, or
-// HolderCount nodes that certainly hold it know of the claim. Others may stand before these for this entry node alone.
+// IsDecided reports whether the replies so far, in the order of Holders.Choose, decide a claim: either a holder has not granted it,
+// or HolderCount certain holders have stored it. Nodes that only this entry node ranks before those do not count.
 func IsDecided(replies []Reply) bool {
 	voters := 0
 	for _, reply := range replies {
@@ -47,14 +47,14 @@
 	return voters >= HolderCount
 }
 
-// Combine decides a claim from the replies in the order of Holders.Choose: it must have won at each node that was reached.
-// Among the key's holders, which are the first HolderCount that are fixed, a majority must vote for it, and either one
-// must have an unbroken memory or so many whole ones that each majority has one of them.
+// DecideClaim combines the replies to a claim, in the order of Holders.Choose. The claim is granted if every reached node has
+// granted it, a majority of the key's holders (the first HolderCount nodes that count as holders) can vote, and either one of them
+// has a continuous memory, or so many have a complete one that every majority includes one of these.
 //
-// Of two claims for one key at most one has the majority, also if the entry nodes reach different nodes. A node with an
-// unbroken memory knows the claims that others have forgotten in a crash; one that took its memory back after a planned
-// stop lacks the claims that the others granted meanwhile. To ask for several whole memories always would also withstand
-// a crash between two claims that miss different holders, but two crashes in 10 min would then refuse many keys.
+// At most one of two claims for a key gets the majority, even if the entry nodes reach different nodes. A node with a continuous
+// memory has the claims that others have lost in a crash; a node that restored its memory after a planned stop lacks the claims
+// that the others granted meanwhile. Always requiring several complete memories would also tolerate a crash between two claims that
+// miss different holders, but two crashes within 10 min would then refuse many keys.
 func DecideClaim(replies []Reply) (Verdict, *RecordedAnswer) {
 	holders, votes, completeMemories, continuous := 0, 0, 0, false
 	verdict, answer := VerdictGranted, (*RecordedAnswer)(nil)
@@ -81,7 +81,7 @@
 	return verdict, answer
 }
 
-// rank orders verdicts by how much they say: a recorded answer settles everything, a grant only what is left.
+// precedence orders verdicts by how conclusive they are, from a grant up to a recorded answer.
 func precedence(verdict Verdict) int {
 	switch verdict {
 	case VerdictAnswered:
--- a/core/idempotency/quorum_test.go
+++ b/core/idempotency/quorum_test.go
@@ -10,23 +10,23 @@
 	"parsleyport/core"
 )
 
-// fakeNode is a holder in a fake fleet.
+// fakeNode is a holder in a fakeCluster.
 type fakeNode struct {
 	keys         *KeyStore
 	memorySince  time.Time
-	runningSince time.Time // its present run began then
+	runningSince time.Time // start of its current run
 	up           bool
 	leftAt       time.Time // zero while it announces the service
-	handedOver   []Entry   // handed over when it left
+	handedOver   []Entry   // exported entries, set by a planned stop
 	stoppedAt    time.Time
 }
 
-// fakeFleet is a set of holders and of the views that entry nodes have of them.
+// fakeCluster is a set of holders and the views that entry nodes have of them.
 type fakeCluster struct {
 	now        time.Time
 	nodes      map[core.NodeID]*fakeNode
 	entryNodes []*Holders
-	reference  *Holders // what nodes that were never restarted know of the others
+	reference  *Holders // the view of nodes that were never restarted
 	grantedAt  map[Key]time.Time
 	claims     int
 }
@@ -54,13 +54,13 @@
 	}
 }
 
-// claim claims a key from an entry node that reaches the nodes for which the function is true.
+// claim claims a key from an entry node that reaches the nodes for which reached returns true.
 func (f *fakeCluster) claim(t *rapid.T, entry *Holders, key Key, reached func(core.NodeID) bool) {
 	f.claims++
 	owner := core.CallID(fmt.Sprint(f.claims))
 	var replies []Reply
 	var won []*fakeNode
-	since := make(map[core.NodeID]time.Time) // of the holders that were reached
+	since := make(map[core.NodeID]time.Time) // memorySince of the reached holders
 	holders := entry.Choose(f.now, key)
 	for _, holder := range holders {
 		if IsDecided(replies) {
@@ -95,11 +95,11 @@
 	}
 }
 
-// Guards against two runs of one key: by entry nodes that are each cut off from the other's holders, or after holders have
-// crashed; in both cases while holders join, leave, and hand over their memory in planned restarts.
+// Guards against two runs of one key, either by entry nodes that are partitioned from each other's holders, or after holders have
+// crashed. In both cases holders join, leave, and hand over their entries in planned restarts.
 func TestOneKeyIsGrantedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		partitions := rapid.Bool().Draw(t, "cuts") // crashes otherwise
+		partitions := rapid.Bool().Draw(t, "cuts") // crashes if false
 		f := &fakeCluster{now: epoch, nodes: make(map[core.NodeID]*fakeNode), grantedAt: make(map[Key]time.Time)}
 		join := func() {
 			if len(f.nodes) < 40 {
@@ -138,7 +138,7 @@
 					node.handedOver, node.stoppedAt, node.keys, node.up = append([]Entry{}, node.keys.Export(f.now)...), f.now, NewKeyStore(), false
 					node.leftAt = f.now
 				}
-			case 4: // an entry node starts anew
+			case 4: // an entry node restarts without its view
 				f.entryNodes[0] = NewHolders()
 			default:
 				key := Key{Service: "s", Name: core.IdempotencyKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))}
--- a/core/idempotency/suspects.go
+++ b/core/idempotency/suspects.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// minSuspectCrashes is the number of crashes after which a fingerprint is refused.
+	// minSuspectCrashes is the number of crashes from which on a fingerprint is refused.
 	minSuspectCrashes        = 2
 	maxFingerprints          = 4096
-	maxCrashesPerFingerprint = 8 // remembered for each fingerprint
+	maxCrashesPerFingerprint = 8
 )
 
-// Fingerprint identifies requests that are the same to a backend server.
+// Fingerprint identifies requests that a backend server handles alike.
 type Fingerprint uint64
 
-// FingerprintOf is the hash of tenant, route, method, path and body.
+// FingerprintOf hashes tenant, route, method, path and body.
 func FingerprintOf(call *core.Call) Fingerprint {
 	path, _, _ := strings.Cut(call.Target, "?")
 	return hashOf(call.Body, string(call.Tenant), string(call.Route), call.Method, path)
 }
 
-// ContentFingerprintOf identifies requests that are resends of each other; unlike FingerprintOf, it covers the query.
+// ContentFingerprintOf identifies resends of a request. It hashes tenant, service, method, path, query and body.
 func ContentFingerprintOf(call *core.Call) Fingerprint {
 	return hashOf(call.Body, string(call.Tenant), string(call.Service), call.Method, call.Target)
 }
@@ -43,25 +43,25 @@
 	return Fingerprint(digest.Sum64())
 }
 
-// CrashID names one end of a backend server's process: its node and the run that it had announced.
+// CrashID identifies one crash of a backend server by its node and the run that it had announced.
 type CrashID struct {
 	Node core.NodeID
 	Run  string
 }
 
-// Suspects remembers which requests were running when backend servers crashed.
+// Suspects records which requests were running when backend servers crashed.
 type Suspects struct {
 	crashes map[Fingerprint]map[CrashID]time.Time
 }
 
-// NewSuspects returns an empty memory.
+// NewSuspects returns Suspects without crashes.
 func NewSuspects() *Suspects {
 	return &Suspects{
 		crashes: make(map[Fingerprint]map[CrashID]time.Time),
 	}
 }
 
-// Crashed records that a request was running in a crash; a repeated report of the same crash counts once.
+// RecordCrash records that a request was running during a crash. Repeated reports of the same crash count once.
 func (s *Suspects) RecordCrash(now time.Time, crash CrashID, fingerprint Fingerprint) {
 	crashes := s.crashes[fingerprint]
 	if crashes == nil {
@@ -77,7 +77,7 @@
 	crashes[crash] = now
 }
 
-// Suspected reports whether a request was running in at least two crashes within the window.
+// Suspected reports whether a request was running during at least two crashes within the window.
 func (s *Suspects) Suspected(now time.Time, fingerprint Fingerprint) bool {
 	return s.countRecentCrashes(now, fingerprint) >= minSuspectCrashes
 }
@@ -91,7 +91,7 @@
 	return len(s.crashes[fingerprint])
 }
 
-// evict drops aged entries, or else one that is not suspected: a request that ran in one crash proves little.
+// evict removes expired fingerprints, or else one that is not suspected, since a single crash is weak evidence.
 func (s *Suspects) evict(now time.Time) bool {
 	var evictable Fingerprint
 	found := false
--- a/core/idempotency/transfer.go
+++ b/core/idempotency/transfer.go
@@ -8,18 +8,18 @@
 	"parsleyport/core"
 )
 
-// Entry is a remembered key on its way to another node. It has ages instead of times, since clocks differ.
+// Entry is a stored key in transfer to another node. It holds ages instead of times because clocks differ.
 type Entry struct {
 	Key       Key             `msgpack:"key"`
 	Owner     core.CallID     `msgpack:"owner"`
 	Content   Fingerprint     `msgpack:"content"`
 	Verdict   Verdict         `msgpack:"verdict"`
 	Age       time.Duration   `msgpack:"age"`  // since the claim
-	Remaining time.Duration   `msgpack:"left"` // until the call must have been settled
+	Remaining time.Duration   `msgpack:"left"` // until the call must be settled
 	Answer    *RecordedAnswer `msgpack:"answer"`
 }
 
-// Bytes is about the size of an entry.
+// Bytes returns the approximate encoded size of an entry.
 func (e Entry) Bytes() int {
 	size := 256 + len(e.Key.Tenant) + len(e.Key.Service) + len(e.Key.Name)
 	if e.Answer != nil {
@@ -41,7 +41,7 @@
 	for _, age := range k.byAge {
 		held := k.entries[age.key]
 		if held == nil || !held.claimedAt.Equal(age.claimedAt) {
-			continue // given back, and perhaps claimed again later
+			continue // released, and possibly claimed again later
 		}
 		entries = append(entries, Entry{
 			Key:       age.key,
@@ -56,8 +56,8 @@
 	return entries
 }
 
-// Restore adds entries that were exported the given time ago. A key that has been claimed here since then keeps its new
-// entry, whose call was granted by the other holders.
+// Restore adds entries that were exported the given duration ago. A key that has been claimed here since then keeps its new entry,
+// whose call was granted by the other holders.
 func (k *KeyStore) Restore(now time.Time, away time.Duration, entries []Entry) {
 	for _, e := range entries {
 		if k.entries[e.Key] != nil || len(k.byAge) >= maxKeys {
--- a/core/lease/changes.go
+++ b/core/lease/changes.go
@@ -2,27 +2,27 @@
 
 import "parsleyport/core"
 
-// View selects the endpoints that a subscriber sees.
+// View selects the endpoints that a subscriber is sent.
 type View int
 
 // The views of a table.
 const (
-	// All has every live endpoint; it is what goes down to children.
+	// All has every live endpoint. It is sent to children.
 	All View = iota
-	// Local has the endpoints that a local owner vouches for; it is what goes up to a parent or across to control instances.
+	// Local has the endpoints leased by a local owner. It is sent to the parent or to the other control instances.
 	Local
 	viewCount
 )
 
-// maxLoggedChanges bounds the changes that a subscriber may lag behind before it has to compare digests.
+// maxLoggedChanges is the number of changes by which a subscriber may lag before it has to compare digests.
 const maxLoggedChanges = 4096
 
 type change struct {
 	endpointKey
-	onlyFor Owner // set if nothing changed for others
+	onlyFor Owner // set if nothing changed for other owners
 }
 
-// changeLog grows up to maxLoggedChanges items and then overwrites the oldest.
+// changeLog is a ring buffer of the last maxLoggedChanges changes.
 type changeLog struct {
 	items []change
 	next  uint64
@@ -32,7 +32,7 @@
 	l.append(endpoint, Owner{})
 }
 
-// addFor notes a change of who else vouches for an endpoint, which concerns only the sole owner before or after it.
+// addFor logs a change of an endpoint's other owners, which concerns only the owner that was or becomes the sole one.
 func (l *changeLog) addFor(sole Owner, endpoint core.Endpoint) {
 	if sole != (Owner{}) {
 		l.append(endpoint, sole)
@@ -55,25 +55,25 @@
 	l.next++
 }
 
-// ChangeSet leads a subscriber from one position of the change log to Next.
+// ChangeSet brings a subscriber from one position of the change log to Next.
 type ChangeSet struct {
 	Upserts  []core.Endpoint
 	Removals []Removal
 	Next     uint64
 }
 
-// Empty reports whether there is nothing to send.
+// Empty reports whether there are no changes to send.
 func (c ChangeSet) Empty() bool {
 	return len(c.Upserts) == 0 && len(c.Removals) == 0
 }
 
-// Position returns the current end of a view's change log.
+// Position returns the end of a view's change log.
 func (t *Table) Position(view View) uint64 {
 	return t.logs[view].next
 }
 
-// Changes returns the present state of what changed in a view since a position, each endpoint once, as it is sent to an
-// owner; it returns false if the log does not reach back that far.
+// Changes returns the current state of the endpoints of a view that changed since a position, each once, as it is sent to an owner.
+// It returns false if the change log does not reach back that far.
 func (t *Table) Changes(view View, since uint64, to Owner, wanted func(core.ServiceName) bool) (ChangeSet, bool) {
 	log := &t.logs[view]
 	if since > log.next || log.next-since > maxLoggedChanges {
@@ -100,7 +100,7 @@
 func (t *Table) collect(view View, item change, to Owner, set *ChangeSet) {
 	held := t.entries[item.node]
 	if held == nil {
-		return // forgotten after TombstoneAge; every subscriber has read its removal by then
+		return // removed after TombstoneAge; every subscriber has read the removal by then
 	}
 	current := held.state()
 	listed := current.live && current.endpoint.Service == item.service
--- a/core/lease/query.go
+++ b/core/lease/query.go
@@ -21,14 +21,14 @@
 	return endpoints
 }
 
-// EndpointsFor returns the live endpoints of a service that an owner is sent, sorted by node.
+// EndpointsFor returns the live endpoints of a service that are visible to an owner, sorted by node.
 func (t *Table) EndpointsFor(owner Owner, service core.ServiceName) []core.Endpoint {
 	return slices.DeleteFunc(t.Endpoints(service), func(endpoint core.Endpoint) bool {
 		return !t.entries[endpoint.Node].state().visibleTo(owner)
 	})
 }
 
-// Held returns a node's last known endpoint, also one that left.
+// Lookup returns the last known endpoint of a node, also if it has left.
 func (t *Table) Lookup(node core.NodeID) (core.Endpoint, bool) {
 	held := t.entries[node]
 	if held == nil {
@@ -37,7 +37,7 @@
 	return held.endpoint, true
 }
 
-// LocalEndpoints returns the endpoints that a local owner vouches for, sorted by node.
+// LocalEndpoints returns the endpoints leased by a local owner, sorted by node.
 func (t *Table) LocalEndpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
 	for _, held := range t.entries {
@@ -61,7 +61,7 @@
 	return found
 }
 
-// Digests returns a hash over the live endpoints of each service for which wanted returns true; it does not depend on the order.
+// Digests returns an order-independent hash of the live endpoints of each service for which wanted returns true.
 func (t *Table) Digests(wanted func(core.ServiceName) bool) map[core.ServiceName]core.Hash {
 	digests := make(map[core.ServiceName]core.Hash)
 	for service, members := range t.services {
@@ -84,7 +84,7 @@
 	return core.Hash(xxhash.Sum64(encoded))
 }
 
-// TakeDirty returns the services whose live endpoints changed since the last call.
+// TakeDirty returns the services whose live endpoints have changed since the previous call.
 func (t *Table) TakeDirty() []core.ServiceName {
 	services := make([]core.ServiceName, 0, len(t.dirty))
 	for service := range t.dirty {
@@ -94,12 +94,12 @@
 	return services
 }
 
-// Refused returns how many announcements were not accepted because they were malformed or the table was full.
+// Refused returns the number of announcements that were refused because they were malformed or the table was full.
 func (t *Table) Refused() uint64 {
 	return t.refused
 }
 
-// Live returns the number of live endpoints.
+// LiveCount returns the number of live endpoints.
 func (t *Table) LiveCount() int {
 	live := 0
 	for _, members := range t.services {
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// TombstoneAge is how long an endpoint that left is remembered: the window of the idempotency keys.
+	// TombstoneAge is how long a tombstone is kept. It equals the window of the idempotency keys.
 	TombstoneAge = 10 * time.Minute
-	// MaxEntries bounds live and remembered endpoints: five times the planned 2,700 nodes and their daily restarts.
+	// MaxEntries limits live endpoints and tombstones: five times the planned 2,700 nodes and their daily restarts.
 	MaxEntries = 16_384
-	// maxNameBytes bounds the names in an announcement, so that MaxEntries bounds the memory too.
+	// maxNameBytes limits the names in an announcement, so that MaxEntries also limits the memory.
 	maxNameBytes = 256
-	// movedLeaseGrace is how long an owner's claim outlives its end while the endpoint moves to another owner, whose claim may
-	// arrive later because it takes another way.
+	// movedLeaseGrace is how long a lease is kept after its owner has reported that the endpoint moved to another owner, whose
+	// lease may arrive later because it takes another path.
 	movedLeaseGrace = 5 * time.Second
 )
 
-// Owner vouches for endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
+// Owner holds leases on endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
 type Owner struct {
 	Name   string
 	Remote bool
 }
 
-// Removal says that a node no longer serves a service as of its announcement with the given sequence. Elsewhere says that
-// the sender only stopped vouching for it, and knows the endpoint to be live by the claim of others.
+// Removal says that a node does not serve a service any more, as of its announcement with the given sequence. With Elsewhere, only
+// the sender's lease ends, and the sender knows the endpoint to be live by the leases of other owners.
 type Removal struct {
 	Elsewhere   bool             `msgpack:"elsewhere,omitempty"`
 	Node        core.NodeID      `msgpack:"node"`
@@ -34,7 +34,7 @@
 	Service     core.ServiceName `msgpack:"service"`
 }
 
-// Left is an endpoint that left its service at a point in time.
+// Tombstone is an endpoint that has left its service.
 type Tombstone struct {
 	Endpoint core.Endpoint
 	At       time.Time
@@ -61,9 +61,9 @@
 	othersExpireAt     time.Time
 }
 
-// Table is the set of leases; it is not safe for concurrent use.
+// Table holds the leases. It is not safe for concurrent use.
 type Table struct {
-	entries    map[core.NodeID]*entry // live ones and, until they expire, those that left
+	entries    map[core.NodeID]*entry // live endpoints and, until their tombstones expire, those that left
 	services   map[core.ServiceName]map[core.NodeID]bool
 	tombstones map[endpointKey]Tombstone
 	lostOwners map[Owner]lostOwner
@@ -85,8 +85,8 @@
 	}
 }
 
-// Announce records that an owner vouches for an endpoint; it returns false if a newer announcement of the node is held
-// or the table is full. Equal announcements of several owners add up, so that a subtree can move between two parents.
+// Announce adds an owner's lease on an endpoint. It returns false if a newer announcement of the node is known or the table is
+// full. Several owners may hold leases for the same announcement, so that a subtree can move between two parents.
 func (t *Table) Announce(now time.Time, owner Owner, endpoint core.Endpoint) bool {
 	if !valid(endpoint) {
 		t.refused++
@@ -109,11 +109,11 @@
 	}
 	t.update(now, held, func() {
 		if endpoint.Newer(held.endpoint) {
-			clear(held.owners) // they vouched for an older announcement
+			clear(held.owners) // their leases are for an older announcement
 			held.endpoint = endpoint
 		}
 		if len(held.owners) == 0 {
-			held.endpoint = endpoint // a removal may have left the sequence beside the service before the last one
+			held.endpoint = endpoint // a removal may have combined its sequence with the service announced before it
 		}
 		held.owners[owner] = true
 	})
@@ -131,8 +131,8 @@
 		len(endpoint.DataCentre) <= maxNameBytes
 }
 
-// Remove ends an owner's claim for an endpoint. A removal that is older than the held announcement changes nothing, and one
-// that is newer ends the claim of all owners, since they vouched for what the node announced before.
+// Remove ends an owner's lease on an endpoint. A removal older than the known announcement is ignored; one that is newer ends the
+// leases of all owners, since these are for an earlier announcement.
 func (t *Table) Remove(now time.Time, owner Owner, removal Removal) {
 	held := t.entries[removal.Node]
 	removed := core.Endpoint{
@@ -170,8 +170,8 @@
 	}
 }
 
-// Lose starts the grace periods of an owner whose link broke: direct is the node at its other end, whose death is likely,
-// and the rest are nodes behind it, which are likely to be announced again over another link.
+// DisconnectOwner starts the grace periods of an owner whose link is broken. The neighbour is the node at the other end of the link,
+// which has probably failed; the others are the nodes behind it, which will probably be announced again over another link.
 func (t *Table) DisconnectOwner(now time.Time, owner Owner, neighbour core.NodeID, neighbourGrace, othersGrace time.Duration) {
 	t.lostOwners[owner] = lostOwner{
 		neighbour:          neighbour,
@@ -181,12 +181,12 @@
 	t.Expire(now)
 }
 
-// Regain ends the grace period of an owner whose link is back.
+// ReconnectOwner ends the grace periods of an owner whose link has been restored.
 func (t *Table) ReconnectOwner(owner Owner) {
 	delete(t.lostOwners, owner)
 }
 
-// Retain ends an owner's claim for all endpoints that it does not name, in the services for which covers returns true.
+// Retain ends an owner's leases on all endpoints that are not named, in the services for which covers returns true.
 func (t *Table) Retain(now time.Time, owner Owner, named []core.Endpoint, covers func(core.ServiceName) bool) {
 	kept := make(map[core.NodeID]bool, len(named))
 	for _, endpoint := range named {
@@ -199,8 +199,8 @@
 	}
 }
 
-// Forget ends an owner's claims for the endpoints of a service of which it sends no more word. Those without another owner
-// vanish without a tombstone, since they have not left.
+// DropLeases ends an owner's leases on the endpoints of a service about which the owner sends no more updates. Endpoints without
+// another owner are removed without a tombstone, since they have not left.
 func (t *Table) DropLeases(owner Owner, service core.ServiceName) {
 	for node := range t.services[service] {
 		if held := t.entries[node]; held.owners[owner] {
@@ -229,7 +229,7 @@
 	t.dirty[held.endpoint.Service] = true
 }
 
-// ServicesOf returns the services with endpoints that an owner vouches for.
+// ServicesOf returns the services with endpoints on which an owner holds leases.
 func (t *Table) ServicesOf(owner Owner) []core.ServiceName {
 	var services []core.ServiceName
 	for service, members := range t.services {
@@ -243,7 +243,7 @@
 	return services
 }
 
-// Expire ends grace periods that are over and forgets endpoints that left more than TombstoneAge ago.
+// Expire ends leases whose grace period is over and removes tombstones older than TombstoneAge.
 func (t *Table) Expire(now time.Time) {
 	for owner, lost := range t.lostOwners {
 		if held := t.entries[lost.neighbour]; held != nil && held.owners[owner] && !now.Before(lost.neighbourExpiresAt) {
@@ -295,7 +295,7 @@
 type leaseState struct {
 	endpoint    core.Endpoint
 	live, local bool
-	soleOwner   Owner // set if one owner only vouches
+	soleOwner   Owner // zero unless there is exactly one owner
 }
 
 func (e *entry) state() leaseState {
@@ -312,13 +312,13 @@
 	return state
 }
 
-// visibleTo reports whether an owner is sent the endpoint: not if nobody else vouches for it, since its own claim coming back
-// would keep the endpoint alive after the owner lost it.
+// visibleTo reports whether an owner is sent the endpoint. The sole owner is not: if its own lease came back to it, the endpoint
+// would stay alive after the owner has lost it.
 func (s leaseState) visibleTo(owner Owner) bool {
 	return s.live && s.soleOwner != owner
 }
 
-// update runs a change of one entry and brings the index, the tombstones and the change logs up to date.
+// update applies a change to one entry and updates the index, the tombstones and the change logs.
 func (t *Table) update(now time.Time, held *entry, change func()) {
 	before := held.state()
 	change()
@@ -381,7 +381,7 @@
 	}] = left
 }
 
-// Remember adds an endpoint that left before the table knew it, unless the node announces the service now.
+// AddTombstone adds an endpoint that left before the table knew it, unless the node announces the service now.
 func (t *Table) AddTombstone(now time.Time, left Tombstone) {
 	if !valid(left.Endpoint) || now.Sub(left.At) >= TombstoneAge || t.services[left.Endpoint.Service][left.Endpoint.Node] {
 		return
--- a/core/lease/table_test.go
+++ b/core/lease/table_test.go
@@ -40,7 +40,7 @@
 
 func anyService(core.ServiceName) bool { return true }
 
-// Guards against a late message of an earlier run or announcement that replaces or removes a newer endpoint.
+// Guards against a delayed message of an earlier incarnation or announcement that replaces or removes a newer endpoint.
 func TestNewerAnnouncementWins(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
@@ -50,7 +50,7 @@
 	table.Remove(start, left, removal(older))
 	c.Assert(table.Endpoints("s"), qt.DeepEquals, []core.Endpoint{newer})
 
-	// A withdrawal is newer than what anyone vouches for.
+	// A withdrawal is newer than the announcement that any owner has leased.
 	table.Announce(start, right, newer)
 	withdrawn := newer
 	withdrawn.Sequence++
@@ -58,14 +58,14 @@
 	c.Assert(table.Endpoints("s"), qt.HasLen, 0)
 	c.Assert(table.Announce(start, right, newer), qt.IsFalse)
 
-	// The removal from one service may carry the sequence of the announcement for the next.
+	// The removal from one service may carry the sequence of the announcement for the next service.
 	moved := withdrawn
 	moved.Service = "t"
 	c.Assert(table.Announce(start, right, moved), qt.IsTrue)
 	c.Assert(table.Endpoints("t"), qt.DeepEquals, []core.Endpoint{moved})
 }
 
-// Guards against endpoints that vanish when a subtree has moved and its old link is noticed to be dead.
+// Guards against endpoints that are removed when the broken link of a subtree is detected after the subtree has moved.
 func TestLostOwnerKeepsEndpointsLeasedByOthers(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
@@ -88,7 +88,7 @@
 	c.Assert(names(10*time.Second), qt.DeepEquals, []core.NodeID{"both", "moved"})
 }
 
-// Guards against an endpoint that lives for ever because two owners tell each other their own claim.
+// Guards against an endpoint that stays alive because two owners send each other their own lease.
 func TestOwnLeaseIsNotSentBack(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
@@ -106,7 +106,7 @@
 	c.Assert(changes.Removals, qt.HasLen, 1)
 }
 
-// Guards against a removal that outruns the announcement by the endpoint's new owner.
+// Guards against a removal that overtakes the announcement by the endpoint's new owner.
 func TestLeaseMovedElsewhereExpiresAfterGrace(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
@@ -121,7 +121,7 @@
 	c.Assert(table.Endpoints("s"), qt.HasLen, 0)
 }
 
-// Guards against key holders that are forgotten within the window, and against tombstones that stay for ever.
+// Guards against key holders that are removed within the window, and against tombstones that are never removed.
 func TestTombstonesLastTenMinutes(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
@@ -137,8 +137,8 @@
 	c.Assert(table.Tombstones(start.Add(-time.Minute), anyService), qt.HasLen, 0)
 }
 
-// Guards against memory that grows with announcements of ever new nodes, and against a full table that cannot take a node
-// although others have left.
+// Guards against memory that grows with announcements of new nodes, and against a full table that refuses a node although others
+// have left.
 func TestTableIsBounded(t *testing.T) {
 	c := qt.New(t)
 	table := lease.New()
@@ -153,7 +153,7 @@
 	c.Assert(reached, qt.IsFalse)
 }
 
-// Guards against a subscriber that ends up with other endpoints than its parent after any order of changes.
+// Guards against a subscriber that ends up with other endpoints than its parent after some order of changes.
 func TestFollowerHasTheEndpointsOfItsParent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, follower := lease.New(), lease.New()
@@ -163,7 +163,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			owner := rapid.SampledFrom([]lease.Owner{left, right, parent}).Draw(t, "owner")
-			// A node raises its sequence with each change, so one sequence never has two services.
+			// A node increments its sequence with each change, so one sequence never has two services.
 			sequence := rapid.Uint64Range(1, 6).Draw(t, "sequence")
 			e := announced(rapid.SampledFrom([]core.NodeID{"x", "y", "z"}).Draw(t, "node"), 1, sequence, services[sequence/2%2])
 			switch rapid.IntRange(0, 4).Draw(t, "operation") {
--- a/core/membership/doc.go
+++ b/core/membership/doc.go
@@ -1,3 +1,3 @@
-// Package membership decides which instances take part in the replicated log when instances fail, lose their disks or are
+// Package membership decides which control instances are members of the replicated log when instances fail, lose their disks or are
 // replaced at other addresses.
 package membership
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// MemberTimeout is the silence after which a member may be replaced by another instance: more than an election takes, so that
-	// a change of leader removes nobody.
+	// MemberTimeout is the silence after which a voter may be replaced by another instance. It is longer than an election, so that
+	// a change of leader removes no member.
 	MemberTimeout = 2500 * time.Millisecond
-	// learnerTimeout is the silence after which a learner is forgotten. It has no vote, so that nothing hurries.
+	// learnerTimeout is the silence after which a learner is removed. It is long because a learner has no vote.
 	learnerTimeout = 30 * time.Second
-	// maxLearners bounds the instances that are kept up to date without a vote.
+	// maxLearners limits the instances that are kept up to date without a vote.
 	maxLearners = 3
 )
 
-// View is what the leader knows of one member.
+// MemberStatus is the leader's view of one member.
 type MemberStatus struct {
 	raft.Member
-	LastHeard time.Time // the leader's own is the present
-	CaughtUp  bool      // a learner that holds nearly all of the log
+	LastHeard time.Time // the current time for the leader itself
+	CaughtUp  bool      // whether a learner has nearly all of the log
 }
 
-// Newcomer is an instance that has introduced itself and is not a member.
+// Newcomer is an instance that has introduced itself but is not a member.
 type Newcomer struct {
 	Peer       raft.Peer
 	Address    string
 	DataCentre core.DataCentre
 }
 
-// Next returns the next change of the membership, one at a time: an instance that lost its disk is replaced by its new
-// identity, newcomers become learners, learners that have caught up fill the places without a voter, and a voter that is
-// silent gives its place up to a learner that waits. Without a learner, a silent voter stays: removing it would help nobody.
+// NextChange returns the next membership change, one at a time. An instance that lost its disk is replaced by its new identity,
+// newcomers become learners, learners that have caught up are promoted while voters are missing, and a silent voter is removed if a
+// learner can replace it. Without such a learner, a silent voter stays, since removing it would gain nothing.
 func NextChange(now time.Time, voters int, members []MemberStatus, newcomers []Newcomer) (raft.Change, bool) {
 	for _, newcomer := range newcomers {
 		if change, due := admit(newcomer, members); due {
@@ -61,7 +61,7 @@
 	return raft.Change{}, false
 }
 
-// admit makes a newcomer a learner, in place of its name's earlier identity if there is one.
+// admit adds a newcomer as a learner, or replaces the earlier identity of the same instance.
 func admit(newcomer Newcomer, members []MemberStatus) (raft.Change, bool) {
 	change := raft.Change{
 		Kind:       raft.ChangeAdd,
@@ -77,7 +77,7 @@
 	return change, newcomer.Address != "" && learners < maxLearners
 }
 
-// bestLearner returns a live learner that has caught up, from the data centre with the fewest voters.
+// bestLearner returns the live, caught-up learner in the data centre with the fewest live voters.
 func bestLearner(now time.Time, members []MemberStatus) (MemberStatus, bool) {
 	votersIn := make(map[core.DataCentre]int)
 	for _, m := range members {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against a disk that is lost and never replaced, against an instance that votes before it holds the log, against a
-// voter that is removed while nobody could take its place, and against more voters than wanted.
+// Guards against a lost disk that is never replaced, against an instance that votes before it has the log, against removing a voter
+// that no learner can replace, and against more voters than wanted.
 func TestNextChange(t *testing.T) {
 	c := qt.New(t)
 	silent := membership.MemberTimeout + time.Millisecond
@@ -86,7 +86,7 @@
 	}
 }
 
-// Guards against voters that gather in one data centre although learners wait in others.
+// Guards against voters that accumulate in one data centre although learners in others are available.
 func TestLearnersFillEmptyDataCentresFirst(t *testing.T) {
 	c := qt.New(t)
 	in := func(v membership.MemberStatus, centre core.DataCentre) membership.MemberStatus {
--- a/core/packed/doc.go
+++ b/core/packed/doc.go
@@ -1,2 +1,2 @@
-// Package packed decodes msgpack that other processes or a disk supply.
+// Package packed decodes msgpack from untrusted sources, such as other processes or a disk.
 package packed
--- a/core/packed/packed.go
+++ b/core/packed/packed.go
@@ -8,15 +8,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxDepth bounds nested arrays and maps: msgpack skips what it does not know recursively, and Go ends a process whose
-// stack overflows. The messages of the project have less than 10 levels.
+// maxDepth limits the nesting of arrays and maps: msgpack skips unknown values recursively, and Go ends a process whose stack
+// overflows. The project's own messages have less than 10 levels.
 const maxDepth = 32
 
-// ErrTooDeep means that arrays and maps are nested more deeply than any message of the project.
+// ErrTooDeep means that arrays and maps are nested more deeply than in any message of the project.
 const ErrTooDeep = errors.ConstError("nested too deeply")
 
-// Decode decodes one value. It returns io.ErrUnexpectedEOF for one that states more items or bytes than there are:
-// msgpack v5.4.1 allocates a slice of the stated length at once, which ends the process if memory does not suffice.
+// Decode decodes one value into target. It returns io.ErrUnexpectedEOF for a value that states more items or bytes than the data
+// has: msgpack v5.4.1 allocates a slice of the stated length at once, which ends the process if there is not enough memory.
 func Decode(data []byte, target any) error {
 	if err := checkComplete(data); err != nil {
 		return err
@@ -24,9 +24,9 @@
 	return msgpack.Unmarshal(data, target)
 }
 
-// check reports whether the first value is complete; each item takes at least one byte.
+// checkComplete returns an error unless the first value is complete. Each item takes at least one byte.
 func checkComplete(data []byte) error {
-	var remaining [maxDepth]uint64 // items of each open array or map
+	var remaining [maxDepth]uint64 // items left in each open array or map
 	depth := 0
 	remaining[0] = 1
 	for {
@@ -52,8 +52,8 @@
 	}
 }
 
-// format is how a code from 0xc0 to 0xdf goes on: a length of so many bytes, then fixed bytes and either as many bytes as the
-// length says or as many times items.
+// format describes the encoding after a code from 0xc0 to 0xdf: the size of the length field, the fixed bytes after it, and the
+// number of items per unit of length. Without items, the length counts bytes.
 type format struct {
 	length, fixed, items uint64
 }
@@ -70,7 +70,7 @@
 	0x1e: {length: 2, items: 2}, 0x1f: {length: 4, items: 2}, // map
 }
 
-// head returns the bytes of a value without its items, zero if the length is cut, and the number of its items.
+// readHeader returns the encoded size of a value without its items, zero if its length field is truncated, and the number of items.
 func readHeader(data []byte) (size, items uint64) {
 	if len(data) == 0 {
 		return 0, 0
--- a/core/packed/packed_test.go
+++ b/core/packed/packed_test.go
@@ -13,8 +13,8 @@
 	"parsleyport/core/packed"
 )
 
-// Guards against a short message that ends the process: by a length that exceeds it, or by deep nesting that overflows the
-// stack. Also guards against a valid message that is refused.
+// Guards against a short message that ends the process, by a length that exceeds the message or by deep nesting that overflows the
+// stack. Also guards against refusing a valid message.
 func TestOnlyCompleteValuesAreDecoded(t *testing.T) {
 	c := qt.New(t)
 	type item struct{ A, B uint64 }
--- a/core/ring/doc.go
+++ b/core/ring/doc.go
@@ -1,2 +1,2 @@
-// Package ring provides bounded queues that join the goroutines of a process.
+// Package ring provides a bounded queue between the goroutines of a process.
 package ring
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -5,20 +5,20 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded first-in first-out queue for any number of producers and consumers.
+// Ring is a bounded FIFO queue for any number of producers and consumers.
 type Ring[T any] struct {
 	items   chan T
 	dropped atomic.Uint64
 }
 
-// New returns a ring that holds at most capacity items; capacity must be at least 1.
+// New returns a ring that holds at most capacity items. Capacities below 1 count as 1.
 func New[T any](capacity int) *Ring[T] {
 	return &Ring[T]{
 		items: make(chan T, max(capacity, 1)),
 	}
 }
 
-// TryPush appends an item and returns false, counting a drop, if the ring is full.
+// TryPush appends an item. If the ring is full, it counts the item as dropped and returns false.
 func (r *Ring[T]) TryPush(item T) bool {
 	select {
 	case r.items <- item:
@@ -29,7 +29,7 @@
 	}
 }
 
-// Push appends an item, waiting for room; it returns the context's error if that ends first.
+// Push appends an item, waiting while the ring is full. It returns the context's error if the context ends first.
 func (r *Ring[T]) Push(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -39,7 +39,7 @@
 	}
 }
 
-// Pop removes the oldest item, waiting for one; it returns the context's error if that ends first.
+// Pop removes the oldest item, waiting while the ring is empty. It returns the context's error if the context ends first.
 func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
 	select {
 	case item := <-r.items:
@@ -50,7 +50,7 @@
 	}
 }
 
-// Items returns the channel behind the ring, for use in a select statement of a consumer.
+// Items returns the channel behind the ring, for the select statement of a consumer.
 func (r *Ring[T]) Items() <-chan T {
 	return r.items
 }
@@ -60,7 +60,7 @@
 	return len(r.items)
 }
 
-// Dropped returns how many items TryPush did not accept.
+// Dropped returns the number of items that TryPush did not accept.
 func (r *Ring[T]) Dropped() uint64 {
 	return r.dropped.Load()
 }
--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Guards against a goroutine that waits on a ring after its process was told to stop.
+// Guards against a goroutine that keeps waiting on a ring after its context has ended.
 func TestRingWaitsEndWithTheContext(t *testing.T) {
 	c := qt.New(t)
 	queue := ring.New[int](1)
