--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// Pick implements core.Picker. Endpoints that were tried or are leaving are never chosen, ejected ones only above the panic threshold.
+// Pick implements core.Picker. Endpoints that were tried or are leaving are never chosen, ejected ones only above the panic
+// threshold.
 func (b *Balancer) Pick(now time.Time, request core.PickRequest, candidates []core.Endpoint) (core.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/balancer/expected.go
+++ b/core/balancer/expected.go
@@ -96,7 +96,8 @@
 func (e estimate) responseTime() time.Duration { return e.wait + e.serviceTime }
 
 // estimateResponse estimates the response time of one more call. Calls in excess of the slots are queued; the service time grows
-// with the utilisation and the failure rate, and during the slow start. Fallback is the service time of an endpoint without a report.
+// with the utilisation and the failure rate, and is longer during the slow start. The fallback is the service time of an endpoint
+// without a report.
 func (m *member) estimateResponse(now time.Time, route core.RouteName, fallback time.Duration) estimate {
 	serviceTime := m.load.ServiceTime
 	if serviceTime == 0 {
@@ -127,11 +128,11 @@
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
 		return m.endpoint.DataCentre == b.options.DataCentre
 	})
-	softDeadline := request.SoftDeadline
-	if softDeadline.IsZero() || now.After(softDeadline) {
-		softDeadline = request.Deadline
+	dueBy := request.SoftDeadline
+	if dueBy.IsZero() || now.After(dueBy) {
+		dueBy = request.Deadline
 	}
-	onTime := func(e estimate) bool { return softDeadline.IsZero() || !now.Add(e.responseTime()).After(softDeadline) }
+	onTime := func(e estimate) bool { return dueBy.IsZero() || !now.Add(e.responseTime()).After(dueBy) }
 	localChoice, localEstimate := b.sampleByResponseTime(now, request.Route, local, fallback, onTime)
 	if localChoice != nil && onTime(localEstimate) {
 		return localChoice
--- a/core/balancer/member.go
+++ b/core/balancer/member.go
@@ -67,11 +67,11 @@
 }
 
 func (m *member) slowStartRatio(now time.Time) float64 {
-	left := m.slowStartEnd.Sub(now)
-	if left <= 0 {
+	remaining := m.slowStartEnd.Sub(now)
+	if remaining <= 0 {
 		return 1
 	}
-	return max(minSlowStartRatio, 1-float64(left)/float64(slowStartDuration))
+	return max(minSlowStartRatio, 1-float64(remaining)/float64(slowStartDuration))
 }
 
 func (m *member) failureRate() float64 {
--- a/core/endpoint.go
+++ b/core/endpoint.go
@@ -23,7 +23,7 @@
 	State       EndpointState `json:"state" msgpack:"state"`
 }
 
-// Newer reports whether e supersedes other, an announcement of the same node: incarnations are compared first, then sequence numbers.
+// Newer reports whether e supersedes other, an announcement of the same node. Incarnations are compared before sequence numbers.
 func (e Endpoint) Newer(other Endpoint) bool {
 	if e.Incarnation != other.Incarnation {
 		return e.Incarnation > other.Incarnation
--- a/core/idempotency/holders.go
+++ b/core/idempotency/holders.go
@@ -37,7 +37,7 @@
 // Holder is a node that is asked about a key.
 type Holder struct {
 	core.Endpoint
-	FirstSeen      time.Time
+	FirstSeen      time.Time // starts again after an absence of more than JoinLag
 	RecentlyJoined bool // it joined within the window and had not been seen in it before
 }
 
@@ -61,7 +61,8 @@
 		h.services[service] = known
 	}
 	nodes := known.nodes
-	joinObserved := now.Sub(known.observedAt) <= JoinLag // otherwise it may have joined between observations or before this node started
+	// After a longer gap, a new node may have joined between the observations or before this node started.
+	joinObserved := now.Sub(known.observedAt) <= JoinLag
 	known.observedAt = now
 	for id, node := range nodes {
 		if now.Sub(node.lastSeenAt) > Window {
--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -143,11 +143,11 @@
 	restartedNewcomer := joined
 	restartedNewcomer.Restarted = true
 	c.Assert(IsDecided([]Reply{restartedNewcomer, granted, granted}), qt.IsFalse)     // the newcomer is not a holder yet
-	c.Assert(IsDecided(newcomers), qt.IsFalse)                                        // otherwise the key stays unknown although older nodes can be asked
+	c.Assert(IsDecided(newcomers), qt.IsFalse)                                        // older nodes can still be asked
 	c.Assert(IsDecided(append(newcomers, granted, granted, unreachable)), qt.IsFalse) // the unreachable node may be a newcomer too
 	c.Assert(IsDecided(append(newcomers, granted, granted, restarted)), qt.IsTrue)
 	c.Assert(IsDecided([]Reply{unclear, granted, granted}), qt.IsFalse) // only this entry node may take the first node for a holder
-	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)          // otherwise a resend misses the key after one of them has restarted
+	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)          // a resend would miss the key after one has restarted
 	c.Assert(IsDecided([]Reply{reply(VerdictRunning, false)}), qt.IsTrue)
 	for _, test := range []struct {
 		replies []Reply
@@ -158,17 +158,17 @@
 		{replies: []Reply{granted, granted, unreachable}, want: VerdictGranted},
 		{replies: []Reply{restarted, granted, granted}, want: VerdictGranted},
 		{replies: []Reply{joined, joined, granted, granted, unreachable}, want: VerdictGranted},
-		{replies: []Reply{restarted, unreachable, unreachable, granted, granted}, want: VerdictUnknown}, // nodes beyond the holders do not count
+		{replies: []Reply{restarted, unreachable, unreachable, granted, granted}, want: VerdictUnknown}, // only the first three are holders
 		{replies: []Reply{unreachable, restarted, restarted, granted}, want: VerdictUnknown},
 		{replies: []Reply{unreachable, granted}, want: VerdictUnknown}, // another entry node may reach only the other holder
 		{replies: []Reply{granted, restarted, unreachable}, want: VerdictGranted},
-		{replies: []Reply{restored, restarted, unreachable}, want: VerdictUnknown}, // the other two may have granted the key during the stop
+		{replies: []Reply{restored, restarted, unreachable}, want: VerdictUnknown}, // the others may have granted it during the stop
 		{replies: []Reply{restored, restored, unreachable}, want: VerdictGranted},
 		{replies: []Reply{restored, restarted}, want: VerdictGranted},
 		{replies: []Reply{restarted, restarted, restarted}, want: VerdictUnknown},
 		{replies: []Reply{restarted, restarted, unreachable}, want: VerdictUnknown}, // only the third may still have the key
 		{replies: []Reply{restarted, unreachable, unreachable}, want: VerdictUnknown},
-		{replies: []Reply{granted, unclear, unreachable}, want: VerdictUnknown}, // the second may have joined after the third granted the key
+		{replies: []Reply{granted, unclear, unreachable}, want: VerdictUnknown}, // the second may have joined after a grant by the third
 		{replies: []Reply{unreachable, unreachable, granted}, want: VerdictUnknown},
 		{replies: []Reply{unreachable, unreachable}, want: VerdictUnknown},
 		{replies: nil, want: VerdictUnknown},
--- a/core/idempotency/quorum.go
+++ b/core/idempotency/quorum.go
@@ -33,7 +33,7 @@
 }
 
 // IsDecided reports whether the replies so far, in the order of Holders.Choose, decide a claim: either a holder has not granted it,
-// or HolderCount certain holders have stored it. Nodes that only this entry node ranks before those do not count.
+// or HolderCount certain holders have stored it. Other nodes do not count, since perhaps only this entry node ranks them so high.
 func IsDecided(replies []Reply) bool {
 	voters := 0
 	for _, reply := range replies {
--- a/core/lease/query.go
+++ b/core/lease/query.go
@@ -52,9 +52,9 @@
 // Tombstones returns the endpoints that left a service at or after the given time, sorted by node.
 func (t *Table) Tombstones(since time.Time, wanted func(core.ServiceName) bool) []Tombstone {
 	var found []Tombstone
-	for _, left := range t.tombstones {
-		if !left.At.Before(since) && wanted(left.Endpoint.Service) {
-			found = append(found, left)
+	for _, tombstone := range t.tombstones {
+		if !tombstone.At.Before(since) && wanted(tombstone.Endpoint.Service) {
+			found = append(found, tombstone)
 		}
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].Endpoint.Node < found[j].Endpoint.Node })
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -165,13 +165,13 @@
 		owner: owner,
 		node:  held.endpoint.Node,
 	}
-	if _, begun := t.expiring[claim]; !begun {
+	if _, started := t.expiring[claim]; !started {
 		t.expiring[claim] = now.Add(movedLeaseGrace)
 	}
 }
 
-// DisconnectOwner starts the grace periods of an owner whose link is broken. The neighbour is the node at the other end of the link,
-// which has probably failed; the others are the nodes behind it, which will probably be announced again over another link.
+// DisconnectOwner starts the grace periods of an owner whose link is broken. The neighbour is the node at the other end of the
+// link, which has probably failed; the others are the nodes behind it, which will probably be announced again over another link.
 func (t *Table) DisconnectOwner(now time.Time, owner Owner, neighbour core.NodeID, neighbourGrace, othersGrace time.Duration) {
 	t.lostOwners[owner] = lostOwner{
 		neighbour:          neighbour,
@@ -263,8 +263,8 @@
 		}
 		delete(t.expiring, claim)
 	}
-	for key, left := range t.tombstones {
-		if now.Sub(left.At) >= TombstoneAge {
+	for key, tombstone := range t.tombstones {
+		if now.Sub(tombstone.At) >= TombstoneAge {
 			t.removeTombstone(key)
 		}
 	}
@@ -273,9 +273,9 @@
 func (t *Table) evictOldestTombstone() bool {
 	var oldest endpointKey
 	var at time.Time
-	for key, left := range t.tombstones {
-		if at.IsZero() || left.At.Before(at) {
-			oldest, at = key, left.At
+	for key, tombstone := range t.tombstones {
+		if at.IsZero() || tombstone.At.Before(at) {
+			oldest, at = key, tombstone.At
 		}
 	}
 	if at.IsZero() {
@@ -371,26 +371,26 @@
 	t.logs[All].add(endpoint)
 }
 
-func (t *Table) storeTombstone(left Tombstone) {
+func (t *Table) storeTombstone(tombstone Tombstone) {
 	if len(t.tombstones) >= MaxEntries {
 		t.evictOldestTombstone()
 	}
 	t.tombstones[endpointKey{
-		node:    left.Endpoint.Node,
-		service: left.Endpoint.Service,
-	}] = left
+		node:    tombstone.Endpoint.Node,
+		service: tombstone.Endpoint.Service,
+	}] = tombstone
 }
 
 // AddTombstone adds an endpoint that left before the table knew it, unless the node announces the service now.
-func (t *Table) AddTombstone(now time.Time, left Tombstone) {
-	if !valid(left.Endpoint) || now.Sub(left.At) >= TombstoneAge || t.services[left.Endpoint.Service][left.Endpoint.Node] {
+func (t *Table) AddTombstone(now time.Time, tombstone Tombstone) {
+	if !valid(tombstone.Endpoint) || now.Sub(tombstone.At) >= TombstoneAge || t.services[tombstone.Endpoint.Service][tombstone.Endpoint.Node] {
 		return
 	}
 	key := endpointKey{
-		node:    left.Endpoint.Node,
-		service: left.Endpoint.Service,
+		node:    tombstone.Endpoint.Node,
+		service: tombstone.Endpoint.Service,
 	}
 	if _, known := t.tombstones[key]; !known {
-		t.storeTombstone(left)
+		t.storeTombstone(tombstone)
 	}
 }
--- a/core/lease/table_test.go
+++ b/core/lease/table_test.go
@@ -112,9 +112,9 @@
 	table := lease.New()
 	e := announced("n", 1, 1, "s")
 	table.Announce(start, parent, e)
-	gone := removal(e)
-	gone.Elsewhere = true
-	table.Remove(start, parent, gone)
+	moved := removal(e)
+	moved.Elsewhere = true
+	table.Remove(start, parent, moved)
 	table.Expire(start.Add(4 * time.Second))
 	c.Assert(table.Endpoints("s"), qt.HasLen, 1)
 	table.Expire(start.Add(5 * time.Second))
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -241,11 +241,11 @@
 	if !request.StartBy.IsZero() && now.After(request.StartBy) {
 		return true
 	}
-	left := request.Deadline.Sub(now)
+	remaining := request.Deadline.Sub(now)
 	if l.options.SoftDeadlineFirst {
-		return left <= 0 || left.Seconds() < minServiceTimeRatio*l.serviceTimeSeconds(request.Class)
+		return remaining <= 0 || remaining.Seconds() < minServiceTimeRatio*l.serviceTimeSeconds(request.Class)
 	}
-	return left <= 0 || left.Seconds() < l.minLatencySeconds
+	return remaining <= 0 || remaining.Seconds() < l.minLatencySeconds
 }
 
 // dispatch starts waiting calls while slots are free, serving the tenant with the fewest running calls first.
--- a/core/move.go
+++ b/core/move.go
@@ -60,7 +60,7 @@
 type EvidenceCount struct {
 	Node        NodeID                 `json:"node" msgpack:"n"`
 	Incarnation Incarnation            `json:"incarnation" msgpack:"i"`
-	DataCentre  DataCentre             `json:"data-centre,omitempty" msgpack:"d,omitempty"` // set in sums, which belong to no single node
+	DataCentre  DataCentre             `json:"data-centre,omitempty" msgpack:"d,omitempty"` // set in sums, which have no single node
 	Move        MoveID                 `json:"move,omitempty" msgpack:"m,omitempty"`        // the move that was open at the time
 	Service     ServiceName            `json:"service" msgpack:"s"`
 	Route       RouteName              `json:"route" msgpack:"r"`
--- a/core/packed/packed_test.go
+++ b/core/packed/packed_test.go
@@ -35,7 +35,7 @@
 	c.Assert(msgpack.Unmarshal(encoded, &want), qt.IsNil)
 	c.Assert(packed.Decode(encoded, &got), qt.IsNil)
 	c.Assert(got, qt.DeepEquals, want)
-	for _, cut := range []int{0, 1, len(encoded) / 2, len(encoded) - 1} {
-		c.Assert(packed.Decode(encoded[:cut], &got), qt.Equals, io.ErrUnexpectedEOF)
+	for _, length := range []int{0, 1, len(encoded) / 2, len(encoded) - 1} {
+		c.Assert(packed.Decode(encoded[:length], &got), qt.Equals, io.ErrUnexpectedEOF)
 	}
 }
--- a/core/record.go
+++ b/core/record.go
@@ -84,7 +84,7 @@
 	Tenant         TenantID          `json:"tenant"`
 	Priority       Priority          `json:"priority,omitempty"`
 	AnyRelease     bool              `json:"any-release,omitempty"`
-	MaxConnections int               `json:"max-connections,omitempty"` // limit of one backend server over all nodes, 0 if not stated
+	MaxConnections int               `json:"max-connections,omitempty"` // per backend server over all nodes, 0 if not stated
 	HealthPath     string            `json:"health-path,omitempty"`
 	Annotations    map[string]string `json:"annotations,omitempty"` // stored for operators, without effect
 }
