--- a/core/idempotency/holders.go
+++ b/core/idempotency/holders.go
@@ -38,7 +38,7 @@
 type Holder struct {
 	core.Endpoint
 	FirstSeen      time.Time // starts again after an absence of more than JoinLag
-	RecentlyJoined bool // it joined within the window and had not been seen in it before
+	RecentlyJoined bool      // it joined within the window and had not been seen in it before
 }
 
 // NewHolders returns Holders without nodes.
