--- a/core/balancer/policy.go
+++ b/core/balancer/policy.go
@@ -85,9 +85,9 @@
 }
 
 func (b *Balancer) sticky(now time.Time, session string, usable []*member) *member {
-	if held, exists := b.sessions.find(now, session); exists {
+	if node, exists := b.sessions.find(now, session); exists {
 		for _, m := range usable {
-			if m.endpoint.Node == held {
+			if m.endpoint.Node == node {
 				return m
 			}
 		}
@@ -131,8 +131,8 @@
 }
 
 func (t *sessionTable) reserve(now time.Time, session string, m *member, members map[core.NodeID]*member) {
-	if held, exists := t.reservations[session]; exists {
-		t.release(held, members)
+	if existing, exists := t.reservations[session]; exists {
+		t.release(existing, members)
 	} else if len(t.reservations) >= maxSessions {
 		return
 	}
--- a/core/idempotency/transfer.go
+++ b/core/idempotency/transfer.go
@@ -39,18 +39,18 @@
 	k.expire(now)
 	entries := make([]Entry, 0, len(k.entries))
 	for _, age := range k.byAge {
-		held := k.entries[age.key]
-		if held == nil || !held.claimedAt.Equal(age.claimedAt) {
+		entry := k.entries[age.key]
+		if entry == nil || !entry.claimedAt.Equal(age.claimedAt) {
 			continue // released, and possibly claimed again later
 		}
 		entries = append(entries, Entry{
 			Key:       age.key,
-			Owner:     held.owner,
-			Content:   held.content,
-			Verdict:   held.verdict,
-			Age:       now.Sub(held.claimedAt),
-			Remaining: held.settleBy.Sub(now),
-			Answer:    held.answer,
+			Owner:     entry.owner,
+			Content:   entry.content,
+			Verdict:   entry.verdict,
+			Age:       now.Sub(entry.claimedAt),
+			Remaining: entry.settleBy.Sub(now),
+			Answer:    entry.answer,
 		})
 	}
 	return entries
@@ -63,7 +63,7 @@
 		if k.entries[e.Key] != nil || len(k.byAge) >= maxKeys {
 			continue
 		}
-		held := &keyEntry{
+		entry := &keyEntry{
 			owner:     e.Owner,
 			content:   e.Content,
 			verdict:   e.Verdict,
@@ -71,13 +71,13 @@
 			claimedAt: now.Add(-e.Age - away),
 			answer:    e.Answer,
 		}
-		if held.answer != nil {
-			k.recordedBytes += len(held.answer.Body)
+		if entry.answer != nil {
+			k.recordedBytes += len(entry.answer.Body)
 		}
-		k.entries[e.Key] = held
+		k.entries[e.Key] = entry
 		k.byAge = append(k.byAge, keyAge{
 			key:       e.Key,
-			claimedAt: held.claimedAt,
+			claimedAt: entry.claimedAt,
 		})
 	}
 	slices.SortStableFunc(k.byAge, func(a, b keyAge) int { return cmp.Compare(a.claimedAt.UnixNano(), b.claimedAt.UnixNano()) })
--- a/core/lease/changes.go
+++ b/core/lease/changes.go
@@ -98,11 +98,11 @@
 }
 
 func (t *Table) collect(view View, item change, to Owner, set *ChangeSet) {
-	held := t.entries[item.node]
-	if held == nil {
+	e := t.entries[item.node]
+	if e == nil {
 		return // removed after TombstoneAge; every subscriber has read the removal by then
 	}
-	current := held.state()
+	current := e.state()
 	listed := current.live && current.endpoint.Service == item.service
 	if listed && view == All && item.onlyFor == (Owner{}) && !current.visibleTo(to) {
 		return // the subscriber announced it
@@ -114,8 +114,8 @@
 	set.Removals = append(set.Removals, Removal{
 		Elsewhere:   view == Local && listed,
 		Node:        item.node,
-		Incarnation: held.endpoint.Incarnation,
-		Sequence:    held.endpoint.Sequence,
+		Incarnation: e.endpoint.Incarnation,
+		Sequence:    e.endpoint.Sequence,
 		Service:     item.service,
 	})
 }
--- a/core/lease/query.go
+++ b/core/lease/query.go
@@ -30,19 +30,19 @@
 
 // Lookup returns the last known endpoint of a node, also if it has left.
 func (t *Table) Lookup(node core.NodeID) (core.Endpoint, bool) {
-	held := t.entries[node]
-	if held == nil {
+	e := t.entries[node]
+	if e == nil {
 		return core.Endpoint{}, false
 	}
-	return held.endpoint, true
+	return e.endpoint, true
 }
 
 // LocalEndpoints returns the endpoints leased by a local owner, sorted by node.
 func (t *Table) LocalEndpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
-	for _, held := range t.entries {
-		if held.state().local {
-			endpoints = append(endpoints, held.endpoint)
+	for _, e := range t.entries {
+		if e.state().local {
+			endpoints = append(endpoints, e.endpoint)
 		}
 	}
 	sort.Slice(endpoints, func(i, j int) bool { return endpoints[i].Node < endpoints[j].Node })
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -34,7 +34,7 @@
 	Service     core.ServiceName `msgpack:"service"`
 }
 
-// Tombstone is an endpoint that has left its service.
+// Tombstone is an endpoint that has left its service, and when.
 type Tombstone struct {
 	Endpoint core.Endpoint
 	At       time.Time
@@ -92,30 +92,30 @@
 		t.refused++
 		return false
 	}
-	held := t.entries[endpoint.Node]
-	if held == nil {
+	e := t.entries[endpoint.Node]
+	if e == nil {
 		if len(t.entries) >= MaxEntries && !t.evictOldestTombstone() {
 			t.refused++
 			return false
 		}
-		held = &entry{
+		e = &entry{
 			endpoint: endpoint,
 			owners:   make(map[Owner]bool, 2),
 		}
-		t.entries[endpoint.Node] = held
+		t.entries[endpoint.Node] = e
 	}
-	if held.endpoint.Newer(endpoint) {
+	if e.endpoint.Newer(endpoint) {
 		return false
 	}
-	t.update(now, held, func() {
-		if endpoint.Newer(held.endpoint) {
-			clear(held.owners) // their leases are for an older announcement
-			held.endpoint = endpoint
+	t.update(now, e, func() {
+		if endpoint.Newer(e.endpoint) {
+			clear(e.owners) // their leases are for an older announcement
+			e.endpoint = endpoint
 		}
-		if len(held.owners) == 0 {
-			held.endpoint = endpoint // a removal may have combined its sequence with the service announced before it
+		if len(e.owners) == 0 {
+			e.endpoint = endpoint // a removal may have combined its sequence with the service announced before it
 		}
-		held.owners[owner] = true
+		e.owners[owner] = true
 	})
 	delete(t.expiring, expiringLease{
 		owner: owner,
@@ -134,39 +134,39 @@
 // Remove ends an owner's lease on an endpoint. A removal older than the known announcement is ignored; one that is newer ends the
 // leases of all owners, since these are for an earlier announcement.
 func (t *Table) Remove(now time.Time, owner Owner, removal Removal) {
-	held := t.entries[removal.Node]
+	e := t.entries[removal.Node]
 	removed := core.Endpoint{
 		Incarnation: removal.Incarnation,
 		Sequence:    removal.Sequence,
 	}
-	if held == nil || held.endpoint.Service != removal.Service || held.endpoint.Newer(removed) {
+	if e == nil || e.endpoint.Service != removal.Service || e.endpoint.Newer(removed) {
 		return
 	}
 	if removal.Elsewhere {
-		t.startExpiry(now, owner, held)
+		t.startExpiry(now, owner, e)
 		return
 	}
-	t.update(now, held, func() {
-		delete(held.owners, owner)
-		if removed.Newer(held.endpoint) {
-			clear(held.owners)
+	t.update(now, e, func() {
+		delete(e.owners, owner)
+		if removed.Newer(e.endpoint) {
+			clear(e.owners)
 		}
-		if len(held.owners) == 0 {
-			held.endpoint.Incarnation, held.endpoint.Sequence = removal.Incarnation, removal.Sequence
+		if len(e.owners) == 0 {
+			e.endpoint.Incarnation, e.endpoint.Sequence = removal.Incarnation, removal.Sequence
 		}
 	})
 }
 
-func (t *Table) startExpiry(now time.Time, owner Owner, held *entry) {
-	if !held.owners[owner] {
+func (t *Table) startExpiry(now time.Time, owner Owner, e *entry) {
+	if !e.owners[owner] {
 		return
 	}
-	claim := expiringLease{
+	key := expiringLease{
 		owner: owner,
-		node:  held.endpoint.Node,
+		node:  e.endpoint.Node,
 	}
-	if _, started := t.expiring[claim]; !started {
-		t.expiring[claim] = now.Add(movedLeaseGrace)
+	if _, started := t.expiring[key]; !started {
+		t.expiring[key] = now.Add(movedLeaseGrace)
 	}
 }
 
@@ -192,9 +192,9 @@
 	for _, endpoint := range named {
 		kept[endpoint.Node] = true
 	}
-	for node, held := range t.entries {
-		if held.owners[owner] && !kept[node] && covers(held.endpoint.Service) {
-			t.update(now, held, func() { delete(held.owners, owner) })
+	for node, e := range t.entries {
+		if e.owners[owner] && !kept[node] && covers(e.endpoint.Service) {
+			t.update(now, e, func() { delete(e.owners, owner) })
 		}
 	}
 }
@@ -203,8 +203,8 @@
 // another owner are removed without a tombstone, since they have not left.
 func (t *Table) DropLeases(owner Owner, service core.ServiceName) {
 	for node := range t.services[service] {
-		if held := t.entries[node]; held.owners[owner] {
-			t.dropLease(owner, held)
+		if e := t.entries[node]; e.owners[owner] {
+			t.dropLease(owner, e)
 		}
 	}
 	if len(t.services[service]) == 0 {
@@ -212,21 +212,21 @@
 	}
 }
 
-func (t *Table) dropLease(owner Owner, held *entry) {
-	before := held.state()
-	delete(held.owners, owner)
+func (t *Table) dropLease(owner Owner, e *entry) {
+	before := e.state()
+	delete(e.owners, owner)
 	delete(t.expiring, expiringLease{
 		owner: owner,
-		node:  held.endpoint.Node,
+		node:  e.endpoint.Node,
 	})
-	if len(held.owners) > 0 {
-		t.logs[All].addFor(before.soleOwner, held.endpoint)
-		t.logs[All].addFor(held.state().soleOwner, held.endpoint)
+	if len(e.owners) > 0 {
+		t.logs[All].addFor(before.soleOwner, e.endpoint)
+		t.logs[All].addFor(e.state().soleOwner, e.endpoint)
 		return
 	}
-	delete(t.services[held.endpoint.Service], held.endpoint.Node)
-	delete(t.entries, held.endpoint.Node)
-	t.dirty[held.endpoint.Service] = true
+	delete(t.services[e.endpoint.Service], e.endpoint.Node)
+	delete(t.entries, e.endpoint.Node)
+	t.dirty[e.endpoint.Service] = true
 }
 
 // ServicesOf returns the services with endpoints on which an owner holds leases.
@@ -246,22 +246,22 @@
 // Expire ends leases whose grace period is over and removes tombstones older than TombstoneAge.
 func (t *Table) Expire(now time.Time) {
 	for owner, lost := range t.lostOwners {
-		if held := t.entries[lost.neighbour]; held != nil && held.owners[owner] && !now.Before(lost.neighbourExpiresAt) {
-			t.update(now, held, func() { delete(held.owners, owner) })
+		if e := t.entries[lost.neighbour]; e != nil && e.owners[owner] && !now.Before(lost.neighbourExpiresAt) {
+			t.update(now, e, func() { delete(e.owners, owner) })
 		}
 		if !now.Before(lost.othersExpireAt) {
 			t.Retain(now, owner, nil, func(core.ServiceName) bool { return true })
 			delete(t.lostOwners, owner)
 		}
 	}
-	for claim, until := range t.expiring {
+	for key, until := range t.expiring {
 		if now.Before(until) {
 			continue
 		}
-		if held := t.entries[claim.node]; held != nil {
-			t.update(now, held, func() { delete(held.owners, claim.owner) })
+		if e := t.entries[key.node]; e != nil {
+			t.update(now, e, func() { delete(e.owners, key.owner) })
 		}
-		delete(t.expiring, claim)
+		delete(t.expiring, key)
 	}
 	for key, tombstone := range t.tombstones {
 		if now.Sub(tombstone.At) >= TombstoneAge {
@@ -287,7 +287,7 @@
 
 func (t *Table) removeTombstone(key endpointKey) {
 	delete(t.tombstones, key)
-	if held := t.entries[key.node]; held != nil && len(held.owners) == 0 && held.endpoint.Service == key.service {
+	if e := t.entries[key.node]; e != nil && len(e.owners) == 0 && e.endpoint.Service == key.service {
 		delete(t.entries, key.node)
 	}
 }
@@ -319,10 +319,10 @@
 }
 
 // update applies a change to one entry and updates the index, the tombstones and the change logs.
-func (t *Table) update(now time.Time, held *entry, change func()) {
-	before := held.state()
+func (t *Table) update(now time.Time, e *entry, change func()) {
+	before := e.state()
 	change()
-	after := held.state()
+	after := e.state()
 	moved := before.endpoint.Service != after.endpoint.Service
 	if before.live && (!after.live || moved) {
 		t.unindex(now, before.endpoint, after.endpoint)
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -69,9 +69,9 @@
 		Address:    newcomer.Address,
 		DataCentre: newcomer.DataCentre,
 	}
-	if held, exists := lo.Find(members, func(m MemberStatus) bool { return m.Peer.ID == newcomer.Peer.ID }); exists {
+	if existing, exists := lo.Find(members, func(m MemberStatus) bool { return m.Peer.ID == newcomer.Peer.ID }); exists {
 		change.Kind = raft.ChangeReplace
-		return change, held.Peer != newcomer.Peer
+		return change, existing.Peer != newcomer.Peer
 	}
 	learners := lo.CountBy(members, func(m MemberStatus) bool { return !m.Voter })
 	return change, newcomer.Address != "" && learners < maxLearners
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -5,7 +5,7 @@
 const bucketCount = 20
 
 // BudgetOptions limit the retries of a node: in each Window to Ratio times the number of calls, or to MinRetries if that is more.
-// With Additive, MinRetries is added to the ratio instead.
+// With Additive, MinRetries is added to that number instead.
 type BudgetOptions struct {
 	Window     time.Duration
 	Ratio      float64
