--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -14,24 +14,24 @@
 type Options struct {
 	DataCentre core.DataCentre
 	Policy     Policy // empty for PolicyPowerOfTwo
-	Seed       uint64 // equal seeds give equal choices
+	Seed       uint64 // seed of the random choices; equal seeds give equal choices
 }
 
-// Balancer implements core.Picker; it may be used from several goroutines.
+// Balancer implements core.Picker. It is safe for concurrent use.
 type Balancer struct {
-	options  Options
-	mu       sync.Mutex // guards all fields below
-	random   *rand.Rand
-	members  map[core.NodeID]*member
-	sessions sessionTable
-	next     int // round robin
-	forgetAt time.Time
-	started  time.Time
+	options         Options
+	mu              sync.Mutex // guards all fields below
+	random          *rand.Rand
+	members         map[core.NodeID]*member
+	sessions        sessionTable
+	roundRobinIndex int
+	nextRemovalAt   time.Time
+	firstUsedAt     time.Time
 }
 
 var _ core.Picker = (*Balancer)(nil)
 
-// New returns a balancer; an unknown policy is treated as PolicyPowerOfTwo.
+// New returns a balancer. An unknown policy is treated as PolicyPowerOfTwo.
 func New(options Options) *Balancer {
 	return &Balancer{
 		options:  options,
@@ -41,7 +41,8 @@
 	}
 }
 
-// Pick implements core.Picker: endpoints that were tried, leave, or are ejected come last or not at all.
+// Pick implements core.Picker. Endpoints that were tried or are leaving are never chosen, ejected ones only above the panic
+// threshold.
 func (b *Balancer) Pick(now time.Time, request core.PickRequest, candidates []core.Endpoint) (core.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +58,7 @@
 	return chosen.endpoint, true
 }
 
-// usable returns the members to choose from, after ejections and the panic threshold.
+// usable returns the members to choose from after outlier ejection and the panic threshold.
 func (b *Balancer) usable(now time.Time, request core.PickRequest, candidates []core.Endpoint) []*member {
 	all := make([]*member, 0, len(candidates))
 	for _, endpoint := range candidates {
@@ -66,9 +67,9 @@
 			all = append(all, m)
 		}
 	}
-	b.forget(now)
+	b.removeStale(now)
 	healthy := lo.Filter(all, func(m *member, _ int) bool { return !m.ejected(now) })
-	if float64(len(all)-len(healthy)) > panicShare*float64(len(all)) {
+	if float64(len(all)-len(healthy)) > panicThresholdRatio*float64(len(all)) {
 		healthy = all
 	}
 	preferred := lo.Filter(healthy, func(m *member, _ int) bool { return !m.avoided(now) })
@@ -78,30 +79,30 @@
 	return healthy
 }
 
-// member returns the statistics of an endpoint; a new incarnation starts with fresh ones.
+// member returns the statistics of an endpoint. A new incarnation or release starts with empty statistics.
 func (b *Balancer) member(now time.Time, endpoint core.Endpoint) *member {
-	if b.started.IsZero() {
-		b.started = now
-	}
-	held, exists := b.members[endpoint.Node]
-	if !exists || held.endpoint.Incarnation != endpoint.Incarnation || held.endpoint.Release != endpoint.Release {
-		// What is known right at the start of this node was running before it, so it is taken as warm.
-		warm := now.Sub(b.started) < time.Second
-		held = newMember(now, endpoint, warm)
-		b.members[endpoint.Node] = held
-	}
-	held.endpoint = endpoint
-	held.seenAt = now
-	return held
+	if b.firstUsedAt.IsZero() {
+		b.firstUsedAt = now
+	}
+	m, exists := b.members[endpoint.Node]
+	if !exists || m.endpoint.Incarnation != endpoint.Incarnation || m.endpoint.Release != endpoint.Release {
+		// Endpoints that are known when this node starts were already running, so they skip the slow start.
+		skipSlowStart := now.Sub(b.firstUsedAt) < time.Second
+		m = newMember(now, endpoint, skipSlowStart)
+		b.members[endpoint.Node] = m
+	}
+	m.endpoint = endpoint
+	m.lastCandidateAt = now
+	return m
 }
 
-func (b *Balancer) forget(now time.Time) {
-	if now.Before(b.forgetAt) {
+func (b *Balancer) removeStale(now time.Time) {
+	if now.Before(b.nextRemovalAt) {
 		return
 	}
-	b.forgetAt = now.Add(forgetAfter / 10)
+	b.nextRemovalAt = now.Add(memberRetention / 10)
 	for id, m := range b.members {
-		if m.outstanding == 0 && now.Sub(m.seenAt) > forgetAfter {
+		if m.outstanding == 0 && now.Sub(m.lastCandidateAt) > memberRetention {
 			delete(b.members, id)
 		}
 	}
@@ -114,47 +115,47 @@
 	defer b.mu.Unlock()
 	m, exists := b.members[result.Endpoint.Node]
 	if !exists || m.endpoint.Incarnation != result.Endpoint.Incarnation {
-		return // an attempt at an earlier run says nothing about this one
+		return // an attempt at an earlier incarnation says nothing about this one
 	}
 	m.outstanding = max(0, m.outstanding-1)
-	halfLife := loadHalfLife
+	halfLife := localLoadHalfLife
 	if m.endpoint.DataCentre != b.options.DataCentre {
-		halfLife = remoteHalfLife
+		halfLife = remoteLoadHalfLife
 	}
 	m.observeLoad(now, result.Route, result.Load, halfLife)
-	if result.Unneeded {
-		if result.Latency.Seconds() > m.latency {
-			m.observeLatency(now, result.Latency) // it would have taken even longer
+	if result.Discarded {
+		if result.Latency.Seconds() > m.latencySeconds {
+			m.observeLatency(now, result.Latency) // a lower bound: the cancelled attempt would have taken longer
 		}
 		return
 	}
 	if result.Outcome == core.OutcomeNotRun && !result.Failed {
-		m.avoidUntil = now.Add(avoidAfterRefusal)
+		m.avoidUntil = now.Add(refusalAvoidance)
 		return
 	}
-	m.observe(now, result.Latency, result.Failed)
+	m.observeAttempt(now, result.Latency, result.Failed)
 	if result.Failed && b.isOutlier(m) {
 		m.eject(now)
 	}
 }
 
 func (b *Balancer) isOutlier(m *member) bool {
-	if m.consecutive >= ejectAfterFailures {
+	if m.consecutiveFailures >= maxConsecutiveFailures {
 		return true
 	}
-	if m.calls < ejectMinCalls {
+	if m.recentCalls < minEjectionCalls {
 		return false
 	}
-	rate := m.failures / m.calls
-	return rate >= ejectRateFloor && rate >= ejectRateRatio*b.rateOfOthers(m)
+	rate := m.recentFailures / m.recentCalls
+	return rate >= minEjectionFailureRatio && rate >= ejectionFailureRateRatio*b.failureRateOfOthers(m)
 }
 
-func (b *Balancer) rateOfOthers(m *member) float64 {
+func (b *Balancer) failureRateOfOthers(m *member) float64 {
 	calls, failures := 0.0, 0.0
 	for _, other := range b.members {
 		if other != m && other.endpoint.Service == m.endpoint.Service {
-			calls += other.calls
-			failures += other.failures
+			calls += other.recentCalls
+			failures += other.recentFailures
 		}
 	}
 	if calls == 0 {
@@ -163,7 +164,7 @@
 	return failures / calls
 }
 
-// EndpointStatus describes an endpoint as this node sees it.
+// EndpointStatus is this node's view of an endpoint.
 type EndpointStatus struct {
 	Node        core.NodeID `json:"node"`
 	Outstanding int         `json:"outstanding"`
@@ -172,7 +173,7 @@
 	Ejected     bool        `json:"ejected"`
 }
 
-// Status describes all known endpoints, for a state dump.
+// Status returns the status of all known endpoints for a state dump.
 func (b *Balancer) Status(now time.Time) []EndpointStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -180,7 +181,7 @@
 		return EndpointStatus{
 			Node:        id,
 			Outstanding: m.outstanding,
-			LatencyMS:   m.latency * 1000,
+			LatencyMS:   m.latencySeconds * 1000,
 			FailureRate: m.failureRate(),
 			Ejected:     m.ejected(now),
 		}
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -28,8 +28,8 @@
 	return list
 }
 
-// drive makes calls one after another and returns how many each node got.
-func drive(b *balancer.Balancer, now *time.Time, calls int, candidates []core.Endpoint, answer func(core.Endpoint) (time.Duration, bool)) map[core.NodeID]int {
+// runCalls makes calls one after another and returns how many each node got.
+func runCalls(b *balancer.Balancer, now *time.Time, calls int, candidates []core.Endpoint, answer func(core.Endpoint) (time.Duration, bool)) map[core.NodeID]int {
 	picked := make(map[core.NodeID]int)
 	for range calls {
 		endpoint, ok := b.Pick(*now, core.PickRequest{Service: "transcripts", Release: "v1"}, candidates)
@@ -53,23 +53,23 @@
 	return time.Millisecond, false
 }
 
-// Guards against a bad backend server that keeps getting calls because it fails fast.
+// Guards against a broken backend server that attracts calls because it fails fast.
 func TestFailingEndpointIsEjected(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
-	picked := drive(b, &now, 400, endpoints(4, "a"), func(e core.Endpoint) (time.Duration, bool) {
+	picked := runCalls(b, &now, 400, endpoints(4, "a"), func(e core.Endpoint) (time.Duration, bool) {
 		return time.Millisecond, e.Node == "a-0"
 	})
 	c.Assert(picked["a-0"] <= 10, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
-// Guards against refusing all callers when most endpoints look bad, which more likely is a fault of the measurement.
+// Guards against refusing all calls when most endpoints look bad, which more likely is a fault of the measurement.
 func TestPanicThresholdKeepsServing(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
-	picked := drive(b, &now, 400, endpoints(4, "a"), func(core.Endpoint) (time.Duration, bool) {
+	picked := runCalls(b, &now, 400, endpoints(4, "a"), func(core.Endpoint) (time.Duration, bool) {
 		return time.Millisecond, true
 	})
 	total := 0
@@ -80,16 +80,16 @@
 	c.Assert(picked, qt.HasLen, 4)
 }
 
-// Guards against calls that cross data centres without need, and against staying near when the near one is much worse.
-func TestOwnDataCentreFirstUnlessWorse(t *testing.T) {
+// Guards against calls that cross data centres without need, and against staying local when the local endpoints are much worse.
+func TestLocalDataCentreIsPreferredUnlessMuchWorse(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
 	both := append(endpoints(3, "a"), endpoints(3, "b")...)
-	picked := drive(b, &now, 300, both, healthy)
+	picked := runCalls(b, &now, 300, both, healthy)
 	c.Assert(picked["a-0"]+picked["a-1"]+picked["a-2"], qt.Equals, 300)
 
-	picked = drive(b, &now, 600, both, func(e core.Endpoint) (time.Duration, bool) {
+	picked = runCalls(b, &now, 600, both, func(e core.Endpoint) (time.Duration, bool) {
 		if e.DataCentre == "a" {
 			return 100 * time.Millisecond, false
 		}
@@ -98,23 +98,23 @@
 	c.Assert(picked["b-0"]+picked["b-1"]+picked["b-2"] > 300, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
-// Guards against a cold backend server that gets its full share at once.
-func TestSlowStartLimitsANewRun(t *testing.T) {
+// Guards against a newly started backend server that gets its full share of calls at once.
+func TestSlowStartLimitsNewEndpoints(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	b := balancer.New(balancer.Options{DataCentre: "a"})
 	list := endpoints(4, "a")
-	drive(b, &now, 200, list[:3], healthy)
+	runCalls(b, &now, 200, list[:3], healthy)
 	now = now.Add(time.Minute)
-	picked := drive(b, &now, 100, list, healthy) // 1 s, a tenth of the slow start
+	picked := runCalls(b, &now, 100, list, healthy) // 1 s, a tenth of the slow start
 	c.Assert(picked["a-3"] < 10, qt.IsTrue, qt.Commentf("picked %v", picked))
 
 	now = now.Add(time.Minute)
-	picked = drive(b, &now, 400, list, healthy)
+	picked = runCalls(b, &now, 400, list, healthy)
 	c.Assert(picked["a-3"] > 50, qt.IsTrue, qt.Commentf("picked %v", picked))
 }
 
-// Guards against a second attempt at an endpoint that already failed the call, and against calls to a leaving one.
+// Guards against a second attempt at an endpoint that already failed the call, and against calls to a leaving endpoint.
 func TestTriedAndLeavingEndpointsAreNotPicked(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{DataCentre: "a"})
@@ -124,8 +124,8 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// Guards against an endpoint that refused a call being asked again at once while others are free.
-func TestRefusalSteersAway(t *testing.T) {
+// Guards against another call to an endpoint right after it refused one, while other endpoints are available.
+func TestRefusingEndpointIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{DataCentre: "a"})
 	list := endpoints(2, "a")
@@ -140,7 +140,7 @@
 	}
 }
 
-// Guards against sessions that change their endpoint while it is healthy, or that all pile up on one.
+// Guards against sessions that leave a healthy endpoint, or that all end up at the same one.
 func TestStickySessionsAreSpreadAndKept(t *testing.T) {
 	c := qt.New(t)
 	b := balancer.New(balancer.Options{
--- a/core/idempotency/transfer.go
+++ b/core/idempotency/transfer.go
@@ -8,18 +8,18 @@
 	"parsleyport/core"
 )
 
-// Entry is a remembered key on its way to another node. It has ages instead of times, since clocks differ.
+// Entry is a stored key in transfer to another node. It holds ages instead of times because clocks differ.
 type Entry struct {
-	Key     Key           `msgpack:"key"`
-	Owner   core.CallID   `msgpack:"owner"`
-	Content Fingerprint   `msgpack:"content"`
-	Verdict Verdict       `msgpack:"verdict"`
-	Age     time.Duration `msgpack:"age"`  // since the claim
-	Left    time.Duration `msgpack:"left"` // until the call must have been settled
-	Answer  *Recorded     `msgpack:"answer"`
+	Key       Key             `msgpack:"key"`
+	Owner     core.CallID     `msgpack:"owner"`
+	Content   Fingerprint     `msgpack:"content"`
+	Verdict   Verdict         `msgpack:"verdict"`
+	Age       time.Duration   `msgpack:"age"`  // since the claim
+	Remaining time.Duration   `msgpack:"left"` // until the call must be settled
+	Answer    *RecordedAnswer `msgpack:"answer"`
 }
 
-// Bytes is about the size of an entry.
+// Bytes returns the approximate encoded size of an entry.
 func (e Entry) Bytes() int {
 	size := 256 + len(e.Key.Tenant) + len(e.Key.Service) + len(e.Key.Name)
 	if e.Answer != nil {
@@ -35,51 +35,51 @@
 }
 
 // Export returns all entries, oldest first.
-func (k *Keys) Export(now time.Time) []Entry {
+func (k *KeyStore) Export(now time.Time) []Entry {
 	k.expire(now)
 	entries := make([]Entry, 0, len(k.entries))
-	for _, age := range k.order {
-		held := k.entries[age.key]
-		if held == nil || !held.claimed.Equal(age.claimed) {
-			continue // given back, and perhaps claimed again later
+	for _, age := range k.byAge {
+		entry := k.entries[age.key]
+		if entry == nil || !entry.claimedAt.Equal(age.claimedAt) {
+			continue // released, and possibly claimed again later
 		}
 		entries = append(entries, Entry{
-			Key:     age.key,
-			Owner:   held.owner,
-			Content: held.content,
-			Verdict: held.verdict,
-			Age:     now.Sub(held.claimed),
-			Left:    held.until.Sub(now),
-			Answer:  held.answer,
+			Key:       age.key,
+			Owner:     entry.owner,
+			Content:   entry.content,
+			Verdict:   entry.verdict,
+			Age:       now.Sub(entry.claimedAt),
+			Remaining: entry.settleBy.Sub(now),
+			Answer:    entry.answer,
 		})
 	}
 	return entries
 }
 
-// Restore adds entries that were exported the given time ago. A key that has been claimed here since then keeps its new
-// entry, whose call was granted by the other holders.
-func (k *Keys) Restore(now time.Time, away time.Duration, entries []Entry) {
+// Restore adds entries that were exported the given duration ago. A key that has been claimed here since then keeps its new entry,
+// whose call was granted by the other holders.
+func (k *KeyStore) Restore(now time.Time, away time.Duration, entries []Entry) {
 	for _, e := range entries {
-		if k.entries[e.Key] != nil || len(k.order) >= maxKeys {
+		if k.entries[e.Key] != nil || len(k.byAge) >= maxKeys {
 			continue
 		}
-		held := &keyEntry{
-			owner:   e.Owner,
-			content: e.Content,
-			verdict: e.Verdict,
-			until:   now.Add(e.Left - away),
-			claimed: now.Add(-e.Age - away),
-			answer:  e.Answer,
+		entry := &keyEntry{
+			owner:     e.Owner,
+			content:   e.Content,
+			verdict:   e.Verdict,
+			settleBy:  now.Add(e.Remaining - away),
+			claimedAt: now.Add(-e.Age - away),
+			answer:    e.Answer,
 		}
-		if held.answer != nil {
-			k.recorded += len(held.answer.Body)
+		if entry.answer != nil {
+			k.recordedBytes += len(entry.answer.Body)
 		}
-		k.entries[e.Key] = held
-		k.order = append(k.order, keyAge{
-			key:     e.Key,
-			claimed: held.claimed,
+		k.entries[e.Key] = entry
+		k.byAge = append(k.byAge, keyAge{
+			key:       e.Key,
+			claimedAt: entry.claimedAt,
 		})
 	}
-	slices.SortStableFunc(k.order, func(a, b keyAge) int { return cmp.Compare(a.claimed.UnixNano(), b.claimed.UnixNano()) })
+	slices.SortStableFunc(k.byAge, func(a, b keyAge) int { return cmp.Compare(a.claimedAt.UnixNano(), b.claimedAt.UnixNano()) })
 	k.expire(now)
 }
--- a/core/lease/query.go
+++ b/core/lease/query.go
@@ -21,28 +21,28 @@
 	return endpoints
 }
 
-// EndpointsFor returns the live endpoints of a service that an owner is sent, sorted by node.
+// EndpointsFor returns the live endpoints of a service that are visible to an owner, sorted by node.
 func (t *Table) EndpointsFor(owner Owner, service core.ServiceName) []core.Endpoint {
 	return slices.DeleteFunc(t.Endpoints(service), func(endpoint core.Endpoint) bool {
-		return !t.entries[endpoint.Node].standing().seenBy(owner)
+		return !t.entries[endpoint.Node].state().visibleTo(owner)
 	})
 }
 
-// Held returns a node's last known endpoint, also one that left.
-func (t *Table) Held(node core.NodeID) (core.Endpoint, bool) {
-	held := t.entries[node]
-	if held == nil {
+// Lookup returns the last known endpoint of a node, also if it has left.
+func (t *Table) Lookup(node core.NodeID) (core.Endpoint, bool) {
+	e := t.entries[node]
+	if e == nil {
 		return core.Endpoint{}, false
 	}
-	return held.endpoint, true
+	return e.endpoint, true
 }
 
-// LocalEndpoints returns the endpoints that a local owner vouches for, sorted by node.
+// LocalEndpoints returns the endpoints leased by a local owner, sorted by node.
 func (t *Table) LocalEndpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
-	for _, held := range t.entries {
-		if held.standing().local {
-			endpoints = append(endpoints, held.endpoint)
+	for _, e := range t.entries {
+		if e.state().local {
+			endpoints = append(endpoints, e.endpoint)
 		}
 	}
 	sort.Slice(endpoints, func(i, j int) bool { return endpoints[i].Node < endpoints[j].Node })
@@ -50,18 +50,18 @@
 }
 
 // Tombstones returns the endpoints that left a service at or after the given time, sorted by node.
-func (t *Table) Tombstones(since time.Time, wanted func(core.ServiceName) bool) []Left {
-	var found []Left
-	for _, left := range t.left {
-		if !left.At.Before(since) && wanted(left.Endpoint.Service) {
-			found = append(found, left)
+func (t *Table) Tombstones(since time.Time, wanted func(core.ServiceName) bool) []Tombstone {
+	var found []Tombstone
+	for _, tombstone := range t.tombstones {
+		if !tombstone.At.Before(since) && wanted(tombstone.Endpoint.Service) {
+			found = append(found, tombstone)
 		}
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].Endpoint.Node < found[j].Endpoint.Node })
 	return found
 }
 
-// Digests returns a hash over the live endpoints of each service for which wanted returns true; it does not depend on the order.
+// Digests returns an order-independent hash of the live endpoints of each service for which wanted returns true.
 func (t *Table) Digests(wanted func(core.ServiceName) bool) map[core.ServiceName]core.Hash {
 	digests := make(map[core.ServiceName]core.Hash)
 	for service, members := range t.services {
@@ -84,7 +84,7 @@
 	return core.Hash(xxhash.Sum64(encoded))
 }
 
-// TakeDirty returns the services whose live endpoints changed since the last call.
+// TakeDirty returns the services whose live endpoints have changed since the previous call.
 func (t *Table) TakeDirty() []core.ServiceName {
 	services := make([]core.ServiceName, 0, len(t.dirty))
 	for service := range t.dirty {
@@ -94,13 +94,13 @@
 	return services
 }
 
-// Refused returns how many announcements were not accepted because they were malformed or the table was full.
+// Refused returns the number of announcements that were refused because they were malformed or the table was full.
 func (t *Table) Refused() uint64 {
 	return t.refused
 }
 
-// Live returns the number of live endpoints.
-func (t *Table) Live() int {
+// LiveCount returns the number of live endpoints.
+func (t *Table) LiveCount() int {
 	live := 0
 	for _, members := range t.services {
 		live += len(members)
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// TombstoneAge is how long an endpoint that left is remembered: the window of the idempotency keys.
+	// TombstoneAge is how long a tombstone is kept. It equals the window of the idempotency keys.
 	TombstoneAge = 10 * time.Minute
-	// MaxEntries bounds live and remembered endpoints: five times the planned 2,700 nodes and their daily restarts.
+	// MaxEntries limits live endpoints and tombstones: five times the planned 2,700 nodes and their daily restarts.
 	MaxEntries = 16_384
-	// maxNameBytes bounds the names in an announcement, so that MaxEntries bounds the memory too.
+	// maxNameBytes limits the names in an announcement, so that MaxEntries also limits the memory.
 	maxNameBytes = 256
-	// elsewhereGrace is how long an owner's claim outlives its end while the endpoint moves to another owner, whose claim may
-	// arrive later because it takes another way.
-	elsewhereGrace = 5 * time.Second
+	// movedLeaseGrace is how long a lease is kept after its owner has reported that the endpoint moved to another owner, whose
+	// lease may arrive later because it takes another path.
+	movedLeaseGrace = 5 * time.Second
 )
 
-// Owner vouches for endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
+// Owner holds leases on endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
 type Owner struct {
 	Name   string
 	Remote bool
 }
 
-// Removal says that a node no longer serves a service as of its announcement with the given sequence. Elsewhere says that
-// the sender only stopped vouching for it, and knows the endpoint to be live by the claim of others.
+// Removal says that a node does not serve a service any more, as of its announcement with the given sequence. With Elsewhere, only
+// the sender's lease ends, and the sender knows the endpoint to be live by the leases of other owners.
 type Removal struct {
 	Elsewhere   bool             `msgpack:"elsewhere,omitempty"`
 	Node        core.NodeID      `msgpack:"node"`
@@ -34,8 +34,8 @@
 	Service     core.ServiceName `msgpack:"service"`
 }
 
-// Left is an endpoint that left its service at a point in time.
-type Left struct {
+// Tombstone is an endpoint that has left its service, and when.
+type Tombstone struct {
 	Endpoint core.Endpoint
 	At       time.Time
 }
@@ -45,79 +45,79 @@
 	owners   map[Owner]bool
 }
 
-type leftKey struct {
+type endpointKey struct {
 	node    core.NodeID
 	service core.ServiceName
 }
 
-type fadingClaim struct {
+type expiringLease struct {
 	owner Owner
 	node  core.NodeID
 }
 
 type lostOwner struct {
-	direct   core.NodeID
-	directAt time.Time
-	restAt   time.Time
+	neighbour          core.NodeID
+	neighbourExpiresAt time.Time
+	othersExpireAt     time.Time
 }
 
-// Table is the set of leases; it is not safe for concurrent use.
+// Table holds the leases. It is not safe for concurrent use.
 type Table struct {
-	entries  map[core.NodeID]*entry // live ones and, until they expire, those that left
-	services map[core.ServiceName]map[core.NodeID]bool
-	left     map[leftKey]Left
-	lost     map[Owner]lostOwner
-	fading   map[fadingClaim]time.Time
-	dirty    map[core.ServiceName]bool
-	logs     [views]changeLog
-	refused  uint64
+	entries    map[core.NodeID]*entry // live endpoints and, until their tombstones expire, those that left
+	services   map[core.ServiceName]map[core.NodeID]bool
+	tombstones map[endpointKey]Tombstone
+	lostOwners map[Owner]lostOwner
+	expiring   map[expiringLease]time.Time
+	dirty      map[core.ServiceName]bool
+	logs       [viewCount]changeLog
+	refused    uint64
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		entries:  make(map[core.NodeID]*entry),
-		services: make(map[core.ServiceName]map[core.NodeID]bool),
-		left:     make(map[leftKey]Left),
-		lost:     make(map[Owner]lostOwner),
-		fading:   make(map[fadingClaim]time.Time),
-		dirty:    make(map[core.ServiceName]bool),
+		entries:    make(map[core.NodeID]*entry),
+		services:   make(map[core.ServiceName]map[core.NodeID]bool),
+		tombstones: make(map[endpointKey]Tombstone),
+		lostOwners: make(map[Owner]lostOwner),
+		expiring:   make(map[expiringLease]time.Time),
+		dirty:      make(map[core.ServiceName]bool),
 	}
 }
 
-// Announce records that an owner vouches for an endpoint; it returns false if a newer announcement of the node is held
-// or the table is full. Equal announcements of several owners add up, so that a subtree can move between two parents.
+// Announce adds an owner's lease on an endpoint. It returns false if a newer announcement of the node is known or the table is
+// full. Several owners may hold leases for the same announcement, so that a subtree can move between two parents.
 func (t *Table) Announce(now time.Time, owner Owner, endpoint core.Endpoint) bool {
 	if !valid(endpoint) {
 		t.refused++
 		return false
 	}
-	held := t.entries[endpoint.Node]
-	if held == nil {
-		if len(t.entries) >= MaxEntries && !t.forgetOldest() {
+	e := t.entries[endpoint.Node]
+	if e == nil {
+		if len(t.entries) >= MaxEntries && !t.evictOldestTombstone() {
 			t.refused++
 			return false
 		}
-		held = &entry{
+		e = &entry{
 			endpoint: endpoint,
 			owners:   make(map[Owner]bool, 2),
 		}
-		t.entries[endpoint.Node] = held
+		t.entries[endpoint.Node] = e
 	}
-	if held.endpoint.Newer(endpoint) {
+	if e.endpoint.Newer(endpoint) {
 		return false
 	}
-	t.update(now, held, func() {
-		if endpoint.Newer(held.endpoint) {
-			clear(held.owners) // they vouched for an older announcement
-			held.endpoint = endpoint
+	t.update(now, e, func() {
+		if endpoint.Newer(e.endpoint) {
+			clear(e.owners) // their leases are for an older announcement
+			e.endpoint = endpoint
 		}
-		if len(held.owners) == 0 {
-			held.endpoint = endpoint // a removal may have left the sequence beside the service before the last one
+		if len(e.owners) == 0 {
+			e.endpoint = endpoint // a removal may have combined its sequence with the service announced before it
 		}
-		held.owners[owner] = true
+		e.owners[owner] = true
 	})
-	delete(t.fading, fadingClaim{
+	delete(t.expiring, expiringLease{
 		owner: owner,
 		node:  endpoint.Node,
 	})
@@ -131,80 +131,80 @@
 		len(endpoint.DataCentre) <= maxNameBytes
 }
 
-// Remove ends an owner's claim for an endpoint. A removal that is older than the held announcement changes nothing, and one
-// that is newer ends the claim of all owners, since they vouched for what the node announced before.
+// Remove ends an owner's lease on an endpoint. A removal older than the known announcement is ignored; one that is newer ends the
+// leases of all owners, since these are for an earlier announcement.
 func (t *Table) Remove(now time.Time, owner Owner, removal Removal) {
-	held := t.entries[removal.Node]
-	gone := core.Endpoint{
+	e := t.entries[removal.Node]
+	removed := core.Endpoint{
 		Incarnation: removal.Incarnation,
 		Sequence:    removal.Sequence,
 	}
-	if held == nil || held.endpoint.Service != removal.Service || held.endpoint.Newer(gone) {
+	if e == nil || e.endpoint.Service != removal.Service || e.endpoint.Newer(removed) {
 		return
 	}
 	if removal.Elsewhere {
-		t.fade(now, owner, held)
+		t.startExpiry(now, owner, e)
 		return
 	}
-	t.update(now, held, func() {
-		delete(held.owners, owner)
-		if gone.Newer(held.endpoint) {
-			clear(held.owners)
+	t.update(now, e, func() {
+		delete(e.owners, owner)
+		if removed.Newer(e.endpoint) {
+			clear(e.owners)
 		}
-		if len(held.owners) == 0 {
-			held.endpoint.Incarnation, held.endpoint.Sequence = removal.Incarnation, removal.Sequence
+		if len(e.owners) == 0 {
+			e.endpoint.Incarnation, e.endpoint.Sequence = removal.Incarnation, removal.Sequence
 		}
 	})
 }
 
-func (t *Table) fade(now time.Time, owner Owner, held *entry) {
-	if !held.owners[owner] {
+func (t *Table) startExpiry(now time.Time, owner Owner, e *entry) {
+	if !e.owners[owner] {
 		return
 	}
-	claim := fadingClaim{
+	key := expiringLease{
 		owner: owner,
-		node:  held.endpoint.Node,
+		node:  e.endpoint.Node,
 	}
-	if _, begun := t.fading[claim]; !begun {
-		t.fading[claim] = now.Add(elsewhereGrace)
+	if _, started := t.expiring[key]; !started {
+		t.expiring[key] = now.Add(movedLeaseGrace)
 	}
 }
 
-// Lose starts the grace periods of an owner whose link broke: direct is the node at its other end, whose death is likely,
-// and the rest are nodes behind it, which are likely to be announced again over another link.
-func (t *Table) Lose(now time.Time, owner Owner, direct core.NodeID, directGrace, restGrace time.Duration) {
-	t.lost[owner] = lostOwner{
-		direct:   direct,
-		directAt: now.Add(directGrace),
-		restAt:   now.Add(restGrace),
+// DisconnectOwner starts the grace periods of an owner whose link is broken. The neighbour is the node at the other end of the
+// link, which has probably failed; the others are the nodes behind it, which will probably be announced again over another link.
+func (t *Table) DisconnectOwner(now time.Time, owner Owner, neighbour core.NodeID, neighbourGrace, othersGrace time.Duration) {
+	t.lostOwners[owner] = lostOwner{
+		neighbour:          neighbour,
+		neighbourExpiresAt: now.Add(neighbourGrace),
+		othersExpireAt:     now.Add(othersGrace),
 	}
 	t.Expire(now)
 }
 
-// Regain ends the grace period of an owner whose link is back.
-func (t *Table) Regain(owner Owner) {
-	delete(t.lost, owner)
+// ReconnectOwner ends the grace periods of an owner whose link has been restored.
+func (t *Table) ReconnectOwner(owner Owner) {
+	delete(t.lostOwners, owner)
 }
 
-// Retain ends an owner's claim for all endpoints that it does not name, in the services for which covers returns true.
+// Retain ends an owner's leases on all endpoints that are not named, in the services for which covers returns true.
 func (t *Table) Retain(now time.Time, owner Owner, named []core.Endpoint, covers func(core.ServiceName) bool) {
 	kept := make(map[core.NodeID]bool, len(named))
 	for _, endpoint := range named {
 		kept[endpoint.Node] = true
 	}
-	for node, held := range t.entries {
-		if held.owners[owner] && !kept[node] && covers(held.endpoint.Service) {
-			t.update(now, held, func() { delete(held.owners, owner) })
+	for node, e := range t.entries {
+		if e.owners[owner] && !kept[node] && covers(e.endpoint.Service) {
+			t.update(now, e, func() { delete(e.owners, owner) })
 		}
 	}
 }
 
-// Forget ends an owner's claims for the endpoints of a service of which it sends no more word. Those without another owner
-// vanish without a tombstone, since they have not left.
-func (t *Table) Forget(owner Owner, service core.ServiceName) {
+// DropLeases ends an owner's leases on the endpoints of a service about which the owner sends no more updates. Endpoints without
+// another owner are removed without a tombstone, since they have not left.
+func (t *Table) DropLeases(owner Owner, service core.ServiceName) {
 	for node := range t.services[service] {
-		if held := t.entries[node]; held.owners[owner] {
-			t.forgetClaim(owner, held)
+		if e := t.entries[node]; e.owners[owner] {
+			t.dropLease(owner, e)
 		}
 	}
 	if len(t.services[service]) == 0 {
@@ -212,24 +212,24 @@
 	}
 }
 
-func (t *Table) forgetClaim(owner Owner, held *entry) {
-	before := held.standing()
-	delete(held.owners, owner)
-	delete(t.fading, fadingClaim{
+func (t *Table) dropLease(owner Owner, e *entry) {
+	before := e.state()
+	delete(e.owners, owner)
+	delete(t.expiring, expiringLease{
 		owner: owner,
-		node:  held.endpoint.Node,
+		node:  e.endpoint.Node,
 	})
-	if len(held.owners) > 0 {
-		t.logs[All].addFor(before.sole, held.endpoint)
-		t.logs[All].addFor(held.standing().sole, held.endpoint)
+	if len(e.owners) > 0 {
+		t.logs[All].addFor(before.soleOwner, e.endpoint)
+		t.logs[All].addFor(e.state().soleOwner, e.endpoint)
 		return
 	}
-	delete(t.services[held.endpoint.Service], held.endpoint.Node)
-	delete(t.entries, held.endpoint.Node)
-	t.dirty[held.endpoint.Service] = true
+	delete(t.services[e.endpoint.Service], e.endpoint.Node)
+	delete(t.entries, e.endpoint.Node)
+	t.dirty[e.endpoint.Service] = true
 }
 
-// ServicesOf returns the services with endpoints that an owner vouches for.
+// ServicesOf returns the services with endpoints on which an owner holds leases.
 func (t *Table) ServicesOf(owner Owner) []core.ServiceName {
 	var services []core.ServiceName
 	for service, members := range t.services {
@@ -243,96 +243,96 @@
 	return services
 }
 
-// Expire ends grace periods that are over and forgets endpoints that left more than TombstoneAge ago.
+// Expire ends leases whose grace period is over and removes tombstones older than TombstoneAge.
 func (t *Table) Expire(now time.Time) {
-	for owner, lost := range t.lost {
-		if held := t.entries[lost.direct]; held != nil && held.owners[owner] && !now.Before(lost.directAt) {
-			t.update(now, held, func() { delete(held.owners, owner) })
+	for owner, lost := range t.lostOwners {
+		if e := t.entries[lost.neighbour]; e != nil && e.owners[owner] && !now.Before(lost.neighbourExpiresAt) {
+			t.update(now, e, func() { delete(e.owners, owner) })
 		}
-		if !now.Before(lost.restAt) {
+		if !now.Before(lost.othersExpireAt) {
 			t.Retain(now, owner, nil, func(core.ServiceName) bool { return true })
-			delete(t.lost, owner)
+			delete(t.lostOwners, owner)
 		}
 	}
-	for claim, until := range t.fading {
+	for key, until := range t.expiring {
 		if now.Before(until) {
 			continue
 		}
-		if held := t.entries[claim.node]; held != nil {
-			t.update(now, held, func() { delete(held.owners, claim.owner) })
+		if e := t.entries[key.node]; e != nil {
+			t.update(now, e, func() { delete(e.owners, key.owner) })
 		}
-		delete(t.fading, claim)
+		delete(t.expiring, key)
 	}
-	for key, left := range t.left {
-		if now.Sub(left.At) >= TombstoneAge {
-			t.forget(key)
+	for key, tombstone := range t.tombstones {
+		if now.Sub(tombstone.At) >= TombstoneAge {
+			t.removeTombstone(key)
 		}
 	}
 }
 
-func (t *Table) forgetOldest() bool {
-	var oldest leftKey
+func (t *Table) evictOldestTombstone() bool {
+	var oldest endpointKey
 	var at time.Time
-	for key, left := range t.left {
-		if at.IsZero() || left.At.Before(at) {
-			oldest, at = key, left.At
+	for key, tombstone := range t.tombstones {
+		if at.IsZero() || tombstone.At.Before(at) {
+			oldest, at = key, tombstone.At
 		}
 	}
 	if at.IsZero() {
 		return false
 	}
-	t.forget(oldest)
+	t.removeTombstone(oldest)
 	return true
 }
 
-func (t *Table) forget(key leftKey) {
-	delete(t.left, key)
-	if held := t.entries[key.node]; held != nil && len(held.owners) == 0 && held.endpoint.Service == key.service {
+func (t *Table) removeTombstone(key endpointKey) {
+	delete(t.tombstones, key)
+	if e := t.entries[key.node]; e != nil && len(e.owners) == 0 && e.endpoint.Service == key.service {
 		delete(t.entries, key.node)
 	}
 }
 
-type standing struct {
+type leaseState struct {
 	endpoint    core.Endpoint
 	live, local bool
-	sole        Owner // set if one owner only vouches
+	soleOwner   Owner // zero unless there is exactly one owner
 }
 
-func (e *entry) standing() standing {
-	now := standing{
+func (e *entry) state() leaseState {
+	state := leaseState{
 		endpoint: e.endpoint,
 		live:     len(e.owners) > 0,
 	}
 	for owner := range e.owners {
-		now.local = now.local || !owner.Remote
+		state.local = state.local || !owner.Remote
 		if len(e.owners) == 1 {
-			now.sole = owner
+			state.soleOwner = owner
 		}
 	}
-	return now
+	return state
 }
 
-// seenBy reports whether an owner is sent the endpoint: not if nobody else vouches for it, since its own claim coming back
-// would keep the endpoint alive after the owner lost it.
-func (s standing) seenBy(owner Owner) bool {
-	return s.live && s.sole != owner
+// visibleTo reports whether an owner is sent the endpoint. The sole owner is not: if its own lease came back to it, the endpoint
+// would stay alive after the owner has lost it.
+func (s leaseState) visibleTo(owner Owner) bool {
+	return s.live && s.soleOwner != owner
 }
 
-// update runs a change of one entry and brings the index, the tombstones and the change logs up to date.
-func (t *Table) update(now time.Time, held *entry, change func()) {
-	before := held.standing()
+// update applies a change to one entry and updates the index, the tombstones and the change logs.
+func (t *Table) update(now time.Time, e *entry, change func()) {
+	before := e.state()
 	change()
-	after := held.standing()
+	after := e.state()
 	moved := before.endpoint.Service != after.endpoint.Service
 	if before.live && (!after.live || moved) {
-		t.unlist(now, before.endpoint, after.endpoint)
+		t.unindex(now, before.endpoint, after.endpoint)
 	}
 	if after.live && (!before.live || before.endpoint != after.endpoint) {
-		t.list(after.endpoint)
+		t.index(after.endpoint)
 	}
-	if before.live && after.live && before.sole != after.sole {
-		t.logs[All].addFor(before.sole, after.endpoint)
-		t.logs[All].addFor(after.sole, after.endpoint)
+	if before.live && after.live && before.soleOwner != after.soleOwner {
+		t.logs[All].addFor(before.soleOwner, after.endpoint)
+		t.logs[All].addFor(after.soleOwner, after.endpoint)
 	}
 	if before.local && (!after.local || moved) {
 		t.logs[Local].add(before.endpoint)
@@ -342,14 +342,14 @@
 	}
 }
 
-func (t *Table) list(endpoint core.Endpoint) {
+func (t *Table) index(endpoint core.Endpoint) {
 	members := t.services[endpoint.Service]
 	if members == nil {
 		members = make(map[core.NodeID]bool)
 		t.services[endpoint.Service] = members
 	}
 	members[endpoint.Node] = true
-	delete(t.left, leftKey{
+	delete(t.tombstones, endpointKey{
 		node:    endpoint.Node,
 		service: endpoint.Service,
 	})
@@ -357,13 +357,13 @@
 	t.logs[All].add(endpoint)
 }
 
-func (t *Table) unlist(now time.Time, endpoint, last core.Endpoint) {
+func (t *Table) unindex(now time.Time, endpoint, last core.Endpoint) {
 	delete(t.services[endpoint.Service], endpoint.Node)
 	if len(t.services[endpoint.Service]) == 0 {
 		delete(t.services, endpoint.Service)
 	}
 	endpoint.Incarnation, endpoint.Sequence = last.Incarnation, last.Sequence
-	t.bury(Left{
+	t.storeTombstone(Tombstone{
 		Endpoint: endpoint,
 		At:       now,
 	})
@@ -371,26 +371,26 @@
 	t.logs[All].add(endpoint)
 }
 
-func (t *Table) bury(left Left) {
-	if len(t.left) >= MaxEntries {
-		t.forgetOldest()
+func (t *Table) storeTombstone(tombstone Tombstone) {
+	if len(t.tombstones) >= MaxEntries {
+		t.evictOldestTombstone()
 	}
-	t.left[leftKey{
-		node:    left.Endpoint.Node,
-		service: left.Endpoint.Service,
-	}] = left
+	t.tombstones[endpointKey{
+		node:    tombstone.Endpoint.Node,
+		service: tombstone.Endpoint.Service,
+	}] = tombstone
 }
 
-// Remember adds an endpoint that left before the table knew it, unless the node announces the service now.
-func (t *Table) Remember(now time.Time, left Left) {
-	if !valid(left.Endpoint) || now.Sub(left.At) >= TombstoneAge || t.services[left.Endpoint.Service][left.Endpoint.Node] {
+// AddTombstone adds an endpoint that left before the table knew it, unless the node announces the service now.
+func (t *Table) AddTombstone(now time.Time, tombstone Tombstone) {
+	if !valid(tombstone.Endpoint) || now.Sub(tombstone.At) >= TombstoneAge || t.services[tombstone.Endpoint.Service][tombstone.Endpoint.Node] {
 		return
 	}
-	key := leftKey{
-		node:    left.Endpoint.Node,
-		service: left.Endpoint.Service,
+	key := endpointKey{
+		node:    tombstone.Endpoint.Node,
+		service: tombstone.Endpoint.Service,
 	}
-	if _, known := t.left[key]; !known {
-		t.bury(left)
+	if _, known := t.tombstones[key]; !known {
+		t.storeTombstone(tombstone)
 	}
 }
--- /dev/null
+++ b/core/limiter/softdeadline.go
@@ -0,0 +1,186 @@
+package limiter
+
+import (
+	"slices"
+	"time"
+
+	"parsleyport/core"
+)
+
+// The rules of this file are made for overloads that last seconds to minutes, caused by a burst, a loss of backend servers or
+// callers that retry at once. In order of arrival or of deadlines, every call then gets its slot only after its soft deadline
+// has passed. Calls that can still meet their soft deadline therefore go first, and calls that would miss even their deadline
+// behind them are refused early, while there is time to try another backend server.
+
+const (
+	// minServiceTimeRatio is the part of the average service time that must be left until a call's deadline. It is below 1
+	// because calls of one route differ in length.
+	minServiceTimeRatio = 0.8
+	// onTimeServiceTimeRatio is the multiple of the average service time that must be left until a call's soft deadline for the
+	// call to count as on time.
+	onTimeServiceTimeRatio = 1.25
+	// lifoQueueRatio is the number of waiting on-time calls per slot above which they are served last in, first out. In order of
+	// their soft deadlines, the oldest calls would start with too little time, one after another, and all would be late.
+	lifoQueueRatio = 0.5
+	// saturatedQueueRatio is the number of waiting on-time calls per slot above which all other calls are refused. While more
+	// on-time calls arrive, the others would only wait until their deadlines.
+	saturatedQueueRatio = 1.0
+	// queueCheckInterval is the minimum time between searches of the queue for calls that can no longer be served in time.
+	queueCheckInterval = 50 * time.Millisecond
+	// classSampleWeight is the weight of one sample in the moving average of a class, minClassSamples the number of samples
+	// from which on the average is used.
+	classSampleWeight = 0.1
+	minClassSamples   = 5
+	maxClasses        = 1024
+)
+
+// classServiceTime is the moving average of the service time of one class of calls.
+type classServiceTime struct {
+	averageSeconds float64
+	samples        int
+}
+
+func (l *Limiter) observeClassServiceTime(class core.RouteName, latency time.Duration) {
+	known := l.classes[class]
+	if known == nil {
+		if len(l.classes) >= maxClasses {
+			clear(l.classes)
+		}
+		known = &classServiceTime{
+			averageSeconds: latency.Seconds(),
+		}
+		l.classes[class] = known
+	}
+	known.samples++
+	known.averageSeconds += (latency.Seconds() - known.averageSeconds) * classSampleWeight
+}
+
+// serviceTimeSeconds returns the average service time of a class, or of all calls if the class has too few samples. It is zero
+// if nothing is known.
+func (l *Limiter) serviceTimeSeconds(class core.RouteName) float64 {
+	if known := l.classes[class]; known != nil && known.samples >= minClassSamples {
+		return known.averageSeconds
+	}
+	return l.averageLatencySeconds
+}
+
+// meetsSoftDeadline reports whether a call that starts now is expected to be answered by its soft deadline.
+func (l *Limiter) meetsSoftDeadline(now time.Time, r Request) bool {
+	return !r.SoftDeadline.IsZero() && r.SoftDeadline.Sub(now).Seconds() >= onTimeServiceTimeRatio*l.serviceTimeSeconds(r.Class)
+}
+
+// latestStart returns the time by which a call must start to meet its soft deadline.
+func (l *Limiter) latestStart(r Request) time.Time {
+	return r.SoftDeadline.Add(-time.Duration(l.serviceTimeSeconds(r.Class) * float64(time.Second)))
+}
+
+// servedBefore reports whether a is served before b. Higher priorities come first, then calls that meet their soft deadline.
+// Among the latter, the one that must start first precedes, or with lifo the newest one; LIFO order gives calls of short and of
+// long routes the same share of the slots.
+func (l *Limiter) servedBefore(now time.Time, lifo bool, a, b entry) bool {
+	if a.request.Priority != b.request.Priority {
+		return a.request.Priority > b.request.Priority
+	}
+	onTime := l.meetsSoftDeadline(now, a.request)
+	if onTime != l.meetsSoftDeadline(now, b.request) {
+		return onTime
+	}
+	switch {
+	case onTime && lifo:
+		return a.ticket > b.ticket
+	case onTime:
+		return l.latestStart(a.request).Before(l.latestStart(b.request))
+	}
+	return precedes(a, b)
+}
+
+// nextPosition returns the queue position of the call that gets the tenant's next slot.
+func (l *Limiter) nextPosition(now time.Time, t *tenant) int {
+	best := 0
+	if !l.options.SoftDeadlineFirst {
+		return best
+	}
+	lifo := l.isLIFO(now)
+	for i := 1; i < len(t.waiting); i++ {
+		if l.servedBefore(now, lifo, t.waiting[i], t.waiting[best]) {
+			best = i
+		}
+	}
+	return best
+}
+
+// isLIFO reports whether more on-time calls wait than can be served on time.
+func (l *Limiter) isLIFO(now time.Time) bool {
+	return float64(l.countWaitingOnTime(now)) > lifoQueueRatio*float64(l.Limit())
+}
+
+func (l *Limiter) countWaitingOnTime(now time.Time) int {
+	onTime := 0
+	for _, t := range l.tenants {
+		for _, waiting := range t.waiting {
+			if l.meetsSoftDeadline(now, waiting.request) {
+				onTime++
+			}
+		}
+	}
+	return onTime
+}
+
+// mustShedOnArrival reports whether an arriving call would miss its deadline behind the calls that are served before it.
+func (l *Limiter) mustShedOnArrival(now time.Time, added entry) bool {
+	if l.isSaturated(now) && !l.meetsSoftDeadline(now, added.request) {
+		return true
+	}
+	ahead, lifo := 0, l.isLIFO(now)
+	for _, t := range l.tenants {
+		for _, waiting := range t.waiting {
+			if l.servedBefore(now, lifo, waiting, added) {
+				ahead++
+			}
+		}
+	}
+	return l.startsTooLate(now, added.request, ahead)
+}
+
+// isSaturated reports whether the waiting on-time calls suffice to fill all slots.
+func (l *Limiter) isSaturated(now time.Time) bool {
+	return float64(l.countWaitingOnTime(now)) > saturatedQueueRatio*float64(l.Limit())
+}
+
+// startsTooLate reports whether a call with the given number of calls ahead would get its slot too late for its deadline.
+func (l *Limiter) startsTooLate(now time.Time, r Request, ahead int) bool {
+	if len(l.running) < l.Limit() {
+		return false
+	}
+	wait := float64(ahead+1) / float64(l.Limit()) * l.averageLatencySeconds
+	return l.missesDeadline(now.Add(time.Duration(wait*float64(time.Second))), r)
+}
+
+// collectUnservable returns the waiting calls that would miss their deadlines behind calls that arrived after them.
+func (l *Limiter) collectUnservable(now time.Time) map[Ticket]bool {
+	if !l.options.SoftDeadlineFirst || now.Before(l.queueCheckedAt.Add(queueCheckInterval)) {
+		return nil
+	}
+	l.queueCheckedAt = now
+	waiting := make([]entry, 0, l.waiting)
+	for _, t := range l.tenants {
+		waiting = append(waiting, t.waiting...)
+	}
+	lifo := l.isLIFO(now)
+	slices.SortFunc(waiting, func(a, b entry) int {
+		if l.servedBefore(now, lifo, a, b) {
+			return -1
+		}
+		return 1
+	})
+	unservable, saturated := make(map[Ticket]bool), l.isSaturated(now)
+	ahead := 0
+	for _, e := range waiting {
+		if saturated && !l.meetsSoftDeadline(now, e.request) || l.startsTooLate(now, e.request, ahead) {
+			unservable[e.ticket] = true
+		} else {
+			ahead++
+		}
+	}
+	return unservable
+}
--- a/core/packed/packed_test.go
+++ b/core/packed/packed_test.go
@@ -13,8 +13,8 @@
 	"parsleyport/core/packed"
 )
 
-// Guards against a short message that ends the process: by a length that exceeds it, or by deep nesting that overflows the
-// stack. Also guards against a valid message that is refused.
+// Guards against a short message that ends the process, by a length that exceeds the message or by deep nesting that overflows the
+// stack. Also guards against refusing a valid message.
 func TestOnlyCompleteValuesAreDecoded(t *testing.T) {
 	c := qt.New(t)
 	type item struct{ A, B uint64 }
@@ -35,7 +35,7 @@
 	c.Assert(msgpack.Unmarshal(encoded, &want), qt.IsNil)
 	c.Assert(packed.Decode(encoded, &got), qt.IsNil)
 	c.Assert(got, qt.DeepEquals, want)
-	for _, cut := range []int{0, 1, len(encoded) / 2, len(encoded) - 1} {
-		c.Assert(packed.Decode(encoded[:cut], &got), qt.Equals, io.ErrUnexpectedEOF)
+	for _, length := range []int{0, 1, len(encoded) / 2, len(encoded) - 1} {
+		c.Assert(packed.Decode(encoded[:length], &got), qt.Equals, io.ErrUnexpectedEOF)
 	}
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a second run of a call that is not idempotent.
-func TestOnlyNotRunIsRepeatedUnlessRepeatable(t *testing.T) {
+func TestOnlyNotRunIsRetriedUnlessRepeatable(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		outcome    core.Outcome
@@ -22,10 +22,10 @@
 	}{
 		{outcome: core.OutcomeAnswered, repeatable: true, want: retry.Final},
 		{outcome: core.OutcomeUnknown, want: retry.Final},
-		{outcome: core.OutcomeUnknown, repeatable: true, want: retry.Repeat},
-		{outcome: core.OutcomeNotRun, cause: core.CauseQueueFull, want: retry.Repeat},
-		{outcome: core.OutcomeNotRun, cause: core.CauseConnectFailed, want: retry.RepeatFree},
-		{outcome: core.OutcomeNotRun, cause: core.CauseLeaving, want: retry.RepeatFree},
+		{outcome: core.OutcomeUnknown, repeatable: true, want: retry.RetryBudgeted},
+		{outcome: core.OutcomeNotRun, cause: core.CauseQueueFull, want: retry.RetryBudgeted},
+		{outcome: core.OutcomeNotRun, cause: core.CauseConnectFailed, want: retry.RetryFree},
+		{outcome: core.OutcomeNotRun, cause: core.CauseLeaving, want: retry.RetryFree},
 		{outcome: core.OutcomeNotRun, cause: core.CauseCrashSuspect, repeatable: true, want: retry.Final},
 		{outcome: core.Outcome("odd"), want: retry.Final},
 	} {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against a retry storm: repetitions stay under a tenth of the calls, or 3 a second, whatever fails.
-func TestBudgetBoundsRepetitions(t *testing.T) {
+// Guards against a retry storm: retries stay below a tenth of the calls, or 3 a second, whatever fails.
+func TestBudgetLimitsRetries(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ callsPerSecond, most int }{
 		{callsPerSecond: 5, most: 3},
@@ -42,23 +42,23 @@
 	} {
 		budget := retry.NewBudget(retry.BudgetOptions{})
 		now := time.Unix(1_000_000, 0)
-		repeats := 0
+		retries := 0
 		const seconds = 20
 		for range seconds * test.callsPerSecond {
 			now = now.Add(time.Second / time.Duration(test.callsPerSecond))
-			budget.Call(now)
+			budget.RecordCall(now)
 			for range 2 { // each attempt fails
 				if budget.Take(now) {
-					repeats++
+					retries++
 				}
 			}
 		}
-		c.Assert(repeats <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d repetitions", repeats))
-		c.Assert(repeats >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d repetitions", repeats))
+		c.Assert(retries <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d retries", retries))
+		c.Assert(retries >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d retries", retries))
 	}
 }
 
-// Guards against attempts that multiply from level to level of nested calls.
+// Guards against attempts that multiply with each level of nested calls.
 func TestAttemptsDoNotMultiplyWithDepth(t *testing.T) {
 	c := qt.New(t)
 	always := func() bool { return true }
@@ -70,7 +70,7 @@
 		total := 0
 		for attempts := retry.NewAttempts(policy, inherited); ; {
 			total += runs(policy, attempts.Start(), depth+1)
-			if !attempts.Another(retry.Repeat, always) {
+			if !attempts.AllowRetry(retry.RetryBudgeted, always) {
 				return total
 			}
 		}
@@ -80,22 +80,22 @@
 	c.Assert(runs(5, 0, 0) <= 16, qt.IsTrue, qt.Commentf("%d runs", runs(5, 0, 0)))
 }
 
-// Guards against a call that goes round for ever while every node is leaving, and against a leaving node using up
-// attempts or budget.
-func TestLeavingNodesCostNothing(t *testing.T) {
+// Guards against a call that is retried without end while every node is leaving, and against leaving nodes that use up attempts
+// or budget.
+func TestRetriesAtLeavingNodesAreFree(t *testing.T) {
 	c := qt.New(t)
 	attempts := retry.NewAttempts(1, 0)
 	never := func() bool { t.Error("the budget was asked"); return false }
 	tries := 1
-	for attempts.Start(); attempts.Another(retry.RepeatFree, never); attempts.Start() {
+	for attempts.Start(); attempts.AllowRetry(retry.RetryFree, never); attempts.Start() {
 		tries++
 	}
-	c.Assert(tries, qt.Equals, 1+retry.MaxFreeTries)
+	c.Assert(tries, qt.Equals, 1+retry.MaxFreeRetries)
 }
 
 // Guards against hedges before the latency is known, against a delay that is not the 95th percentile, against old latencies,
 // and against hedges right after the service has shed calls.
-func TestHedgesFollowTheLatency(t *testing.T) {
+func TestHedgeDelayFollowsTheLatency(t *testing.T) {
 	c := qt.New(t)
 	var h retry.Hedging
 	now := time.Unix(1_000_000, 0)
@@ -106,12 +106,12 @@
 		if n%25 == 0 { // 4%
 			took = time.Second
 		}
-		h.Answered(now, took)
+		h.RecordLatency(now, took)
 	}
 	delay, _ := h.Delay(now)
 	c.Assert(delay >= 10*time.Millisecond && delay <= 12500*time.Microsecond, qt.IsTrue, qt.Commentf("%v", delay))
 	for range 20 { // together 6%
-		h.Answered(now, time.Second)
+		h.RecordLatency(now, time.Second)
 	}
 	delay, _ = h.Delay(now)
 	c.Assert(delay >= time.Second && delay <= 1250*time.Millisecond, qt.IsTrue, qt.Commentf("%v", delay))
@@ -119,18 +119,18 @@
 	c.Assert(known, qt.IsFalse)
 
 	c.Assert(h.Allowed(now), qt.IsTrue)
-	h.Shed(now)
+	h.RecordOverload(now)
 	c.Assert(h.Allowed(now.Add(999*time.Millisecond)), qt.IsFalse)
 	c.Assert(h.Allowed(now.Add(time.Second)), qt.IsTrue)
 }
 
-// Guards against hedges that leave no budget to attempts that follow a failure.
+// Guards against hedges that leave no budget for retries after a failure.
 func TestHedgesLeaveHalfOfTheBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.BudgetOptions{})
 	now := time.Unix(1_000_000, 0)
 	for range 1000 {
-		budget.Call(now)
+		budget.RecordCall(now)
 	}
 	count := func(take func(time.Time) bool) (n int) {
 		for take(now) {
@@ -142,8 +142,8 @@
 	c.Assert(count(budget.Take), qt.Equals, 50)
 }
 
-// Guards against repeated server errors: a backend server answers 500 when a call of its own has failed, so that each level of
-// nested calls would multiply the repetitions of those below it.
+// Guards against retries of server errors: a backend server answers 500 when one of its own calls has failed, so that each level of
+// nested calls would multiply the retries of the levels below it.
 func TestServerErrorsAreFinal(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -155,7 +155,7 @@
 		{status: http.StatusInternalServerError, want: retry.Final},
 		{status: http.StatusInternalServerError, relayed: true, repeatable: true, want: retry.Final},
 		{status: http.StatusGatewayTimeout, repeatable: true, want: retry.Final},
-		{status: http.StatusServiceUnavailable, repeatable: true, want: retry.Repeat},
+		{status: http.StatusServiceUnavailable, repeatable: true, want: retry.RetryBudgeted},
 		{status: http.StatusServiceUnavailable, relayed: true, repeatable: true, want: retry.Final},
 		{status: http.StatusServiceUnavailable, want: retry.Final},
 	} {
--- a/io/raftpeer/membership_test.go
+++ b/io/raftpeer/membership_test.go
@@ -55,7 +55,7 @@
 	if w.now.Sub(k.leaderSince) < leaderSettleTime || k.changing && w.now.Before(k.changeDeadline) {
 		return
 	}
-	change, due := membership.Next(w.now, wantedVoters, k.views(leader), k.nonMembers(leader))
+	change, due := membership.NextChange(w.now, wantedVoters, k.views(leader), k.nonMembers(leader))
 	if !due {
 		return
 	}
@@ -68,9 +68,9 @@
 	}, func(string) { k.changing = false })
 }
 
-func (k *membershipController) views(leader *instance) []membership.View {
-	return lo.Map(leader.engine.node.Members(), func(m raft.Member, _ int) membership.View {
-		view := membership.View{
+func (k *membershipController) views(leader *instance) []membership.MemberStatus {
+	return lo.Map(leader.engine.node.Members(), func(m raft.Member, _ int) membership.MemberStatus {
+		view := membership.MemberStatus{
 			Member:    m,
 			LastHeard: k.heardAt[[2]core.ControlID{m.Peer.ID, leader.options.Self}],
 		}
