--- a/core/catalog/audit.go
+++ b/core/catalog/audit.go
@@ -17,7 +17,7 @@
 	Operator   core.Operator     `json:"operator,omitempty" msgpack:"operator"`     // empty for the steps of a move
 	Token      string            `json:"token,omitempty" msgpack:"token,omitempty"` // name of the operators' token
 	Action     Action            `json:"action" msgpack:"action"`
-	What       []string          `json:"what" msgpack:"what"`
+	Changes    []string          `json:"what" msgpack:"what"`
 	Owners     []core.TenantID   `json:"tenants,omitempty" msgpack:"owners,omitempty"` // tenant of each of What
 	Submission core.SubmissionID `json:"submission-id,omitempty" msgpack:"submission-id"`
 	Move       core.MoveID       `json:"move-id,omitempty" msgpack:"move-id"`
@@ -34,25 +34,25 @@
 	Move       core.MoveID
 	Since      time.Time
 	Limit      int // the latest entries up to this number
-	By         Principal
+	Viewer     Principal
 	Before     uint64 // only entries with a lower number, zero for all
 }
 
 // view returns the entry as the principal may see it: without the lines of other tenants.
-func (f AuditFilter) view(e AuditEntry) (AuditEntry, bool) {
-	if !f.By.IsLimited() || len(e.Owners) != len(e.What) {
-		return e, !f.By.IsLimited() // an entry from before there were owners is the platform's
+func (f AuditFilter) visiblePart(e AuditEntry) (AuditEntry, bool) {
+	if !f.Viewer.IsLimited() || len(e.Owners) != len(e.Changes) {
+		return e, !f.Viewer.IsLimited() // an entry from before there were owners is the platform's
 	}
-	what, owners := make([]string, 0, len(e.What)), make([]core.TenantID, 0, len(e.What))
+	what, owners := make([]string, 0, len(e.Changes)), make([]core.TenantID, 0, len(e.Changes))
 	for i, owner := range e.Owners {
-		if f.By.Sees(owner) {
-			what, owners = append(what, e.What[i]), append(owners, owner)
+		if f.Viewer.CanAccess(owner) {
+			what, owners = append(what, e.Changes[i]), append(owners, owner)
 		}
 	}
-	if len(what) < len(e.What) {
+	if len(what) < len(e.Changes) {
 		e.Detail, e.Submission = "", "" // they may tell of the rest
 	}
-	e.What, e.Owners = what, owners
+	e.Changes, e.Owners = what, owners
 	return e, len(what) > 0
 }
 
@@ -80,10 +80,10 @@
 }
 
 const (
-	// maxAudit bounds the entries in the replicated state and in snapshots; older ones are in the archives only.
-	maxAudit          = 10_000
-	maxArchiveEntries = 1_000
-	maxArchiveBytes   = 1 << 20 // of one batch, apart from its last entry
+	// maxAuditEntries bounds the entries in the replicated state and in snapshots; older ones are in the archives only.
+	maxAuditEntries = 10_000
+	maxBatchEntries = 1_000
+	maxBatchBytes   = 1 << 20 // of one batch, apart from its last entry
 	// maxBatchesPerPage bounds what one query reads of the archive: at most 10,000 entries, of 10 MB or so.
 	maxBatchesPerPage = 10
 )
@@ -192,7 +192,7 @@
 		if f.isFull(found) {
 			return found, first + uint64(i) + 1
 		}
-		if entry, visible := f.view(trail[i]); visible && f.matches(entry) {
+		if entry, visible := f.visiblePart(trail[i]); visible && f.matches(entry) {
 			found = append(found, entry)
 		}
 	}
@@ -234,7 +234,7 @@
 	var batch [][]byte
 	size := 0
 	for _, entry := range entries {
-		if len(batch) == maxArchiveEntries || size > maxArchiveBytes {
+		if len(batch) == maxBatchEntries || size > maxBatchBytes {
 			break
 		}
 		encoded, err := msgpack.Marshal(entry)
@@ -250,7 +250,7 @@
 func (c *Catalog) trimAudit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if excess := len(c.audit) - maxAudit; excess > 0 {
+	if excess := len(c.audit) - maxAuditEntries; excess > 0 {
 		c.audit = slices.Clone(c.audit[excess:]) // lets go of the older ones
 	}
 }
--- a/core/catalog/audit_test.go
+++ b/core/catalog/audit_test.go
@@ -27,11 +27,11 @@
 
 func (a *countingArchive) Batch(number uint64) (first uint64, entries [][]byte, err error) {
 	a.reads++
-	at := len(a.firsts) - 1
-	for a.firsts[at] > number {
-		at--
+	index := len(a.firsts) - 1
+	for a.firsts[index] > number {
+		index--
 	}
-	return a.firsts[at], a.batches[at], nil
+	return a.firsts[index], a.batches[index], nil
 }
 
 // Guards against a query with few matches that reads the whole archive at once, and against a cursor that skips or repeats
@@ -39,7 +39,7 @@
 func TestAuditPagesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	archive := &countingArchive{}
-	r := &replica{Catalog: catalog.NewArchived(archive)}
+	r := &replica{Catalog: catalog.NewWithArchive(archive)}
 	const total = 23_500 // of which the latest 10,000 are in the replicated state
 	for i := range total {
 		operator := core.Operator("lars")
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -21,29 +21,29 @@
 
 // Catalog is the replicated state; Apply and Restore run on one goroutine, the other methods on any.
 type Catalog struct {
-	mu            sync.RWMutex // guards all fields
-	configuration *record.Configuration
-	changed       chan struct{}
-	stamps        map[core.RecordKey]stamp
-	verdicts      memory
-	moves         map[core.MoveID]move
-	moveOrder     []core.MoveID // oldest first
-	openMoves     map[core.ServiceName]core.MoveID
-	moveCount     uint64
-	audit         []AuditEntry // the latest entries
-	auditCount    uint64       // all entries ever
-	archive       Archive      // nil: older entries are dropped
-	rules         core.RulesVersion
-	usage         map[string]usage
-	deletedNames  map[core.TenantID]int
-	ownerships    map[core.RecordKey]ownership // of the records in force; derived, since decoding them all takes milliseconds
-	forgetEvery   uint64                       // a constant but in tests
-	known         core.RulesVersion            // a constant but in tests
+	mu                   sync.RWMutex // guards all fields
+	configuration        *record.Configuration
+	changed              chan struct{}
+	lastChanges          map[core.RecordKey]lastChange
+	verdicts             verdictHistory
+	moves                map[core.MoveID]move
+	moveOrder            []core.MoveID // oldest first
+	openMoves            map[core.ServiceName]core.MoveID
+	moveCount            uint64
+	audit                []AuditEntry // the latest entries
+	auditCount           uint64       // all entries ever
+	archive              Archive      // nil: older entries are dropped
+	rules                core.RulesVersion
+	usage                map[string]usage
+	deletedNames         map[core.TenantID]int
+	ownerships           map[core.RecordKey]ownership // of the records in force; derived, since decoding them all takes milliseconds
+	purgeIntervalEntries uint64                       // a constant but in tests
+	knownRules           core.RulesVersion            // a constant but in tests
 }
 
-// stamp says who set the newest version of a record. The stamp of a deleted record stays for a while (see forgetStamps), so
+// stamp says who set the newest version of a record. The stamp of a deleted record stays for a while (see purgeTombstones), so
 // that a late submission with an old version cannot bring the record back.
-type stamp struct {
+type lastChange struct {
 	Version    core.RecordVersion `msgpack:"version"`
 	Submission core.SubmissionID  `msgpack:"submission-id"`
 	Operator   core.Operator      `msgpack:"operator"`
@@ -56,23 +56,23 @@
 // New returns a catalog with revision 0 and no records.
 func New() *Catalog {
 	return &Catalog{
-		configuration: record.Empty(),
-		changed:       make(chan struct{}),
-		stamps:        make(map[core.RecordKey]stamp),
-		verdicts:      newMemory(),
-		moves:         make(map[core.MoveID]move),
-		openMoves:     make(map[core.ServiceName]core.MoveID),
-		rules:         firstRules,
-		forgetEvery:   forgetEvery,
-		known:         KnownRules,
-		usage:         make(map[string]usage),
-		deletedNames:  make(map[core.TenantID]int),
-		ownerships:    make(map[core.RecordKey]ownership),
+		configuration:        record.Empty(),
+		changed:              make(chan struct{}),
+		lastChanges:          make(map[core.RecordKey]lastChange),
+		verdicts:             newVerdictHistory(),
+		moves:                make(map[core.MoveID]move),
+		openMoves:            make(map[core.ServiceName]core.MoveID),
+		rules:                firstRules,
+		purgeIntervalEntries: defaultPurgeIntervalEntries,
+		knownRules:           KnownRules,
+		usage:                make(map[string]usage),
+		deletedNames:         make(map[core.TenantID]int),
+		ownerships:           make(map[core.RecordKey]ownership),
 	}
 }
 
-// NewArchived returns a catalog that moves old entries of the audit trail to an archive.
-func NewArchived(archive Archive) *Catalog {
+// NewWithArchive returns a catalog that moves old entries of the audit trail to an archive.
+func NewWithArchive(archive Archive) *Catalog {
 	c := New()
 	c.archive = archive
 	return c
@@ -99,11 +99,11 @@
 	defer c.mu.Unlock()
 	var e envelope
 	if err := decode(command, &e); err != nil {
-		return encodeVerdict(c.complete(refused(CauseMalformed, "command: %v", err)))
+		return encodeVerdict(c.withRevision(refused(CauseMalformed, "command: %v", err)))
 	}
 	e.At = e.At.UTC()
 	if e.Action != ActionRules {
-		return encodeVerdict(c.decide(index, e))
+		return encodeVerdict(c.dispatch(index, e))
 	}
 	verdict, err := c.raiseRules(index, e)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return encoded, errors.Trace(err)
 }
 
-func (c *Catalog) decide(index core.LogIndex, e envelope) Verdict {
+func (c *Catalog) dispatch(index core.LogIndex, e envelope) Verdict {
 	switch e.Action {
 	case ActionSubmit:
 		return decodeAndRun(c, index, e, c.submit)
@@ -130,14 +130,14 @@
 	case ActionStep:
 		return c.step(index, e)
 	}
-	return c.complete(refused(CauseMalformed, "unknown action %q", e.Action))
+	return c.withRevision(refused(CauseMalformed, "unknown action %q", e.Action))
 }
 
 // sender is what an operator's command says about itself in the audit trail.
-type sender struct {
+type commandSummary struct {
 	id       core.SubmissionID
 	operator core.Operator
-	what     []string
+	changes  []string
 	owners   []core.TenantID // of each of what; empty for what concerns the whole deployment
 }
 
@@ -149,75 +149,75 @@
 func decodeAndRun[T operatorCommand](c *Catalog, index core.LogIndex, e envelope, run func(envelope, T) Verdict) Verdict {
 	var body T
 	if err := decode(e.Body, &body); err != nil {
-		return c.complete(refused(CauseMalformed, "%s: %v", e.Action, err))
+		return c.withRevision(refused(CauseMalformed, "%s: %v", e.Action, err))
 	}
-	by := e.principal()
-	from := c.senderOf(by, body)
-	if from.id == "" || from.operator == "" {
-		return c.complete(refused(CauseMalformed, "%s: submission-id and operator are needed", e.Action))
+	principal := e.principal()
+	summary := c.summarize(principal, body)
+	if summary.id == "" || summary.operator == "" {
+		return c.withRevision(refused(CauseMalformed, "%s: submission-id and operator are needed", e.Action))
 	}
 	hash := core.Hash(xxhash.Sum64(append([]byte(e.Action), e.Body...)))
-	scope := scopeOf(by, body)
-	if earlier, exists := c.verdicts.byID[memoryKey{scope: scope, id: from.id}]; exists {
-		return c.resent(e, earlier, from, hash)
+	scope := scopeOf(principal, body)
+	if earlier, exists := c.verdicts.byID[submissionKey{scope: scope, id: summary.id}]; exists {
+		return c.resolveResend(e, earlier, summary, hash)
 	}
-	if refusal := c.premature(e, from.id, body); refusal != nil {
-		return c.complete(*refusal)
+	if refusal := c.checkPreconditions(e, summary.id, body); refusal != nil {
+		return c.withRevision(*refusal)
 	}
-	if refusal := c.charge(e, scope, from.id); refusal != nil {
-		return c.complete(*refusal)
+	if refusal := c.chargeUsage(e, scope, summary.id); refusal != nil {
+		return c.withRevision(*refusal)
 	}
 	verdict := run(e, body)
 	if e.Limits != nil { // both memories keep it
-		verdict.Detail = shortened(verdict.Detail)
+		verdict.Detail = truncate(verdict.Detail)
 	}
-	verdict.Submission = from.id
+	verdict.Submission = summary.id
 	verdict.At = e.At
-	verdict = c.complete(verdict)
-	c.verdicts.add(remembered{
+	verdict = c.withRevision(verdict)
+	c.verdicts.add(pastVerdict{
 		Verdict:  verdict,
-		Operator: from.operator,
+		Operator: summary.operator,
 		Hash:     hash,
 		Scope:    scope,
 	}, e.Limits != nil)
 	if verdict.Cause == CauseNotPermitted { // what it names may be another tenant's, who must not read of the attempt
-		from.owners = slices.Repeat(by.Tenants[:1], len(from.what))
+		summary.owners = slices.Repeat(principal.Tenants[:1], len(summary.changes))
 	}
-	c.record(index, e, from, verdict)
-	c.forgetStamps(e.At)
+	c.appendAudit(index, e, summary, verdict)
+	c.purgeTombstones(e.At)
 	return verdict
 }
 
 // resent refuses another content under a known id, because the first verdict would be untrue for it.
-func (c *Catalog) resent(e envelope, earlier remembered, from sender, hash core.Hash) Verdict {
+func (c *Catalog) resolveResend(e envelope, earlier pastVerdict, summary commandSummary, hash core.Hash) Verdict {
 	if earlier.Hash == hash {
 		return earlier.Verdict
 	}
-	verdict := refused(CauseIDUsed, "submission-id %q was used for another content at %s", from.id, earlier.Verdict.At.Format(time.RFC3339))
-	verdict.Submission, verdict.At = from.id, e.At
-	return c.complete(verdict.against(stamp{
-		Submission: from.id,
+	verdict := refused(CauseIDUsed, "submission-id %q was used for another content at %s", summary.id, earlier.Verdict.At.Format(time.RFC3339))
+	verdict.Submission, verdict.At = summary.id, e.At
+	return c.withRevision(verdict.withWinner(lastChange{
+		Submission: summary.id,
 		Operator:   earlier.Operator,
 		Hash:       earlier.Hash,
 	}))
 }
 
-func (c *Catalog) complete(verdict Verdict) Verdict {
+func (c *Catalog) withRevision(verdict Verdict) Verdict {
 	verdict.Revision = c.configuration.Revision()
 	return verdict
 }
 
-func (c *Catalog) record(index core.LogIndex, e envelope, from sender, verdict Verdict) {
+func (c *Catalog) appendAudit(index core.LogIndex, e envelope, summary commandSummary, verdict Verdict) {
 	c.auditCount++
 	c.audit = append(c.audit, AuditEntry{
 		Index:      index,
 		At:         e.At,
-		Operator:   from.operator,
+		Operator:   summary.operator,
 		Token:      e.Token,
 		Action:     e.Action,
-		What:       from.what,
-		Owners:     from.owners,
-		Submission: from.id,
+		Changes:    summary.changes,
+		Owners:     summary.owners,
+		Submission: summary.id,
 		Move:       verdict.Move,
 		Result:     verdict.Result,
 		Cause:      verdict.Cause,
@@ -233,7 +233,7 @@
 }
 
 // build returns the configuration of the next revision, or a refusal.
-func (c *Catalog) build(records []core.Record, overrides []core.Override) (*record.Configuration, *Verdict) {
+func (c *Catalog) buildNext(records []core.Record, overrides []core.Override) (*record.Configuration, *Verdict) {
 	next, err := c.configuration.Next(records, overrides)
 	if err == nil {
 		return next, nil
@@ -245,65 +245,65 @@
 	return nil, &refusal
 }
 
-func (c *Catalog) senderOf(by Principal, body any) sender {
+func (c *Catalog) summarize(principal Principal, body any) commandSummary {
 	switch b := body.(type) {
 	case core.Submission:
-		return sender{
+		return commandSummary{
 			id:       b.ID,
 			operator: b.Operator,
-			what:     describeSubmission(b),
+			changes:  describeSubmission(b),
 			owners:   c.ownersOf(b),
 		}
 	case core.MoveRequest:
-		return sender{
+		return commandSummary{
 			id:       b.ID,
 			operator: b.Operator,
-			what:     []string{fmt.Sprintf("move service %s from %s to %s by %s", b.Service, b.From, b.To, b.Deadline.UTC().Format(time.RFC3339))},
+			changes:  []string{fmt.Sprintf("move service %s from %s to %s by %s", b.Service, b.From, b.To, b.Deadline.UTC().Format(time.RFC3339))},
 			owners:   []core.TenantID{ServiceTenant(c.configuration, b.Service)},
 		}
 	case Abort:
-		return sender{
+		return commandSummary{
 			id:       b.ID,
 			operator: b.Operator,
-			what:     []string{fmt.Sprintf("abort %s", b.MoveID)},
-			owners:   []core.TenantID{c.abortOwner(by, b)},
+			changes:  []string{fmt.Sprintf("abort %s", b.MoveID)},
+			owners:   []core.TenantID{c.abortOwner(principal, b)},
 		}
 	case MembershipChange:
-		return b.sender()
+		return b.summary()
 	}
-	return sender{}
+	return commandSummary{}
 }
 
 // abortOwner leaves the entry to a limited token that names a move which it does not see.
-func (c *Catalog) abortOwner(by Principal, abort Abort) core.TenantID {
-	if owner := ServiceTenant(c.configuration, c.moves[abort.MoveID].Move.Request.Service); by.Sees(owner) {
+func (c *Catalog) abortOwner(principal Principal, abort Abort) core.TenantID {
+	if owner := ServiceTenant(c.configuration, c.moves[abort.MoveID].Move.Request.Service); principal.CanAccess(owner) {
 		return owner
 	}
-	return by.Tenants[0]
+	return principal.Tenants[0]
 }
 
 // ownersOf returns the tenant of each line of describeSubmission, as it is before the submission.
 func (c *Catalog) ownersOf(s core.Submission) []core.TenantID {
-	o := newOwners(c.configuration, s.Records)
+	o := newOwnerLookup(c.configuration, s.Records)
 	tenants := make([]core.TenantID, 0, len(s.Records)+len(s.Deletes))
 	for _, r := range s.Records {
-		tenants = append(tenants, o.current(r.Kind, r.Name, &r))
+		tenants = append(tenants, o.tenantBefore(r.Kind, r.Name, &r))
 	}
 	for _, d := range s.Deletes {
-		tenants = append(tenants, o.current(d.Kind, d.Name, nil))
+		tenants = append(tenants, o.tenantBefore(d.Kind, d.Name, nil))
 	}
 	return tenants
 }
 
 func describeSubmission(s core.Submission) []string {
-	what := make([]string, 0, len(s.Records)+len(s.Deletes))
+	changes := make([]string, 0, len(s.Records)+len(s.Deletes))
 	for _, r := range s.Records {
-		what = append(what, "set "+describe(r.Key(), r.Version))
+		changes = append(changes, "set "+describe(r.Key(), r.Version))
 	}
 	for _, d := range s.Deletes {
-		what = append(what, "delete "+describe(deletionKey(d), d.Version))
+		changes = append(changes, "delete "+describe(deletionKey(d), d.Version))
 	}
-	return what
+	return changes
 }
 
 func describe(key core.RecordKey, version core.RecordVersion) string {
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -19,9 +19,9 @@
 // replica applies commands and checks that refused ones leave the configuration as it is.
 type replica struct {
 	*catalog.Catalog
-	index  core.LogIndex
-	limits *catalog.Limits // of submitBy and move
-	at     time.Duration   // of submitBy, since start
+	index   core.LogIndex
+	limits  *catalog.Limits // of submitBy and move
+	elapsed time.Duration   // of submitBy, since start
 }
 
 func (r *replica) apply(c *qt.C, command []byte, err error) catalog.Verdict {
@@ -92,7 +92,7 @@
 		Catalog: catalog.New(),
 		index:   r.index,
 		limits:  r.limits,
-		at:      r.at,
+		elapsed: r.elapsed,
 	}
 	c.Assert(other.Restore(snapshot), qt.IsNil)
 	return other
@@ -158,13 +158,13 @@
 	c.Assert(r.submit(c, submission("third", policy(3, "v1"))).Revision, qt.Equals, core.Revision(3))
 
 	for _, each := range []*replica{r, r.restored(c)} {
-		trail := len(each.Audit(catalog.AuditFilter{}))
+		auditCount := len(each.Audit(catalog.AuditFilter{}))
 		c.Assert(each.submit(c, second), qt.DeepEquals, accepted)
 		second.Deletes = []core.Deletion{}
 		c.Assert(each.submit(c, second), qt.DeepEquals, accepted)
 		c.Assert(each.submit(c, stale), qt.DeepEquals, refused)
 		c.Assert(each.weights(), qt.Equals, "v1=1000")
-		c.Assert(each.Audit(catalog.AuditFilter{}), qt.HasLen, trail)
+		c.Assert(each.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount)
 
 		verdict := each.submit(c, submission("second", policy(4, "v3")))
 		c.Assert(verdict.Cause, qt.Equals, catalog.CauseIDUsed)
@@ -188,13 +188,13 @@
 		_, _ = r.Apply(1, command)
 	}
 	r = r.restored(c)
-	trail := len(r.Audit(catalog.AuditFilter{}))
+	auditCount := len(r.Audit(catalog.AuditFilter{}))
 	c.Assert(r.abort(c, "0", "m9"), qt.DeepEquals, oldest)
-	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, trail, qt.Commentf("the 100,000th latest verdict is forgotten"))
+	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount, qt.Commentf("the 100,000th latest verdict is forgotten"))
 
 	r.abort(c, "100000", "m9")
 	r.abort(c, "0", "m9")
-	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, trail+2, qt.Commentf("an expired verdict is remembered"))
+	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount+2, qt.Commentf("an expired verdict is remembered"))
 }
 
 // Guards against two operators who both believe that their content has won a version number (design 4.2).
@@ -342,7 +342,7 @@
 		c.Assert(all, qt.HasLen, 4)
 		c.Assert(all[:3], qt.DeepEquals, trail)
 		c.Assert(all[1].Cause, qt.Equals, catalog.CauseEqualVersion)
-		c.Assert(all[1].What, qt.DeepEquals, []string{"set policy orders schema 1 version 1"})
+		c.Assert(all[1].Changes, qt.DeepEquals, []string{"set policy orders schema 1 version 1"})
 		c.Assert(each.Audit(catalog.AuditFilter{Move: id}), qt.DeepEquals, all[2:])
 		c.Assert(each.Audit(catalog.AuditFilter{Limit: 1}), qt.DeepEquals, all[3:])
 		c.Assert(each.Audit(catalog.AuditFilter{Submission: "second", Operator: "amina", Since: start}), qt.DeepEquals, all[1:2])
--- a/core/catalog/command.go
+++ b/core/catalog/command.go
@@ -46,10 +46,10 @@
 
 // envelope is a command; the hash of Body identifies the content of a submission, so Body has nothing that a resend changes.
 type envelope struct {
-	Action Action             `msgpack:"action"`
-	At     time.Time          `msgpack:"at"`
-	Floor  core.SchemaVersion `msgpack:"floor"`
-	Body   []byte             `msgpack:"body"`
+	Action      Action             `msgpack:"action"`
+	At          time.Time          `msgpack:"at"`
+	SchemaFloor core.SchemaVersion `msgpack:"floor"`
+	Body        []byte             `msgpack:"body"`
 
 	Token   string          `msgpack:"token,omitempty"`
 	Tenants []core.TenantID `msgpack:"tenants,omitempty"` // to which the token is limited
@@ -59,7 +59,7 @@
 // EncodeSubmit checks each record by itself and encodes the submission; floor is the highest schema version that every
 // attached node supports (zero if no node is attached). It returns ErrMalformed.
 func EncodeSubmit(at time.Time, floor core.SchemaVersion, s core.Submission) ([]byte, error) {
-	if err := checkSender(s.ID, s.Operator); err != nil {
+	if err := checkSubmitter(s.ID, s.Operator); err != nil {
 		return nil, err
 	}
 	records := make([]core.Record, 0, len(s.Records))
@@ -67,7 +67,7 @@
 		if err := record.CheckRecord(r); err != nil {
 			return nil, errors.WithType(err, ErrMalformed)
 		}
-		body, err := canonical(r.Body)
+		body, err := canonicalJSON(r.Body)
 		if err != nil {
 			return nil, errors.WithType(errors.Annotatef(err, "%s record %q", r.Kind, r.Name), ErrMalformed)
 		}
@@ -91,7 +91,7 @@
 
 // EncodeMove encodes a request for a move; it returns ErrMalformed.
 func EncodeMove(at time.Time, request core.MoveRequest) ([]byte, error) {
-	if err := checkSender(request.ID, request.Operator); err != nil {
+	if err := checkSubmitter(request.ID, request.Operator); err != nil {
 		return nil, err
 	}
 	if err := checkNames(string(request.Service), string(request.From), string(request.To)); err != nil {
@@ -103,7 +103,7 @@
 
 // EncodeAbort encodes a request to take a move back; it returns ErrMalformed.
 func EncodeAbort(at time.Time, abort Abort) ([]byte, error) {
-	if err := checkSender(abort.ID, abort.Operator); err != nil {
+	if err := checkSubmitter(abort.ID, abort.Operator); err != nil {
 		return nil, err
 	}
 	if err := checkNames(string(abort.MoveID)); err != nil {
@@ -126,10 +126,10 @@
 		return nil, errors.Trace(err)
 	}
 	command, err := msgpack.Marshal(envelope{
-		Action: action,
-		At:     at.UTC(),
-		Floor:  floor,
-		Body:   encoded,
+		Action:      action,
+		At:          at.UTC(),
+		SchemaFloor: floor,
+		Body:        encoded,
 	})
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -140,7 +140,7 @@
 	return command, nil
 }
 
-func checkSender(id core.SubmissionID, operator core.Operator) error {
+func checkSubmitter(id core.SubmissionID, operator core.Operator) error {
 	if id == "" || len(id) > maxIDBytes {
 		return errors.Annotatef(ErrMalformed, "submission-id has %d bytes, expected 1 to %d", len(id), maxIDBytes)
 	}
@@ -190,7 +190,7 @@
 
 // canonical sorts keys and drops white space, so that equal content has equal bytes. Only the proposer calls it: the
 // state machine must not depend on the JSON encoder of the program version.
-func canonical(body []byte) ([]byte, error) {
+func canonicalJSON(body []byte) ([]byte, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
 	var value any
--- a/core/catalog/expect.go
+++ b/core/catalog/expectations.go
@@ -8,14 +8,14 @@
 
 // premature refuses a submission that builds on other versions than those in force, or that the rules in force do not cover.
 // Such a refusal is not remembered: the same submission may be accepted later.
-func (c *Catalog) premature(e envelope, id core.SubmissionID, body any) *Verdict {
+func (c *Catalog) checkPreconditions(e envelope, id core.SubmissionID, body any) *Verdict {
 	s, isSubmission := body.(core.Submission)
 	if !isSubmission {
 		return nil
 	}
-	refusal := c.beyondRules(s)
+	refusal := c.checkRequiredRules(s)
 	if refusal == nil {
-		refusal = c.unexpected(e.principal(), s)
+		refusal = c.checkExpectations(e.principal(), s)
 	}
 	if refusal != nil {
 		refusal.Submission, refusal.At = id, e.At
@@ -23,7 +23,7 @@
 	return refusal
 }
 
-func (c *Catalog) beyondRules(s core.Submission) *Verdict {
+func (c *Catalog) checkRequiredRules(s core.Submission) *Verdict {
 	if c.rules >= DeclarationRules || !needsDeclarationRules(s) {
 		return nil
 	}
@@ -50,11 +50,11 @@
 	return false
 }
 
-func (c *Catalog) unexpected(by Principal, s core.Submission) *Verdict {
-	o := newOwners(c.configuration, s.Records)
+func (c *Catalog) checkExpectations(principal Principal, s core.Submission) *Verdict {
+	o := newOwnerLookup(c.configuration, s.Records)
 	for _, expected := range s.Expect {
 		held, exists := c.configuration.Record(expected.Key())
-		if by.IsLimited() && !by.Sees(o.current(expected.Kind, expected.Name, nil)) {
+		if principal.IsLimited() && !principal.CanAccess(o.tenantBefore(expected.Kind, expected.Name, nil)) {
 			return notPermitted("%s: there is no such record of a tenant of this token", describe(expected.Key(), expected.Version))
 		}
 		if held.Version == expected.Version {
@@ -63,7 +63,7 @@
 		refusal := refused(CauseExpectation, "%s is expected, there is no such record", describe(expected.Key(), expected.Version))
 		if exists {
 			refusal = refused(CauseExpectation, "%s is expected, version %d is in force", describe(expected.Key(), expected.Version), held.Version)
-			refusal = refusal.against(c.stamps[expected.Key()])
+			refusal = refusal.withWinner(c.lastChanges[expected.Key()])
 		}
 		return &refusal
 	}
@@ -74,6 +74,6 @@
 func (c *Catalog) Verdict(id core.SubmissionID) (Verdict, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	known, exists := c.verdicts.byID[memoryKey{id: id}]
+	known, exists := c.verdicts.byID[submissionKey{id: id}]
 	return known.Verdict, exists
 }
--- a/core/catalog/expect_test.go
+++ b/core/catalog/expectations_test.go
@@ -10,7 +10,7 @@
 	"parsleyport/core/catalog"
 )
 
-func (r *replica) raise(c *qt.C) {
+func (r *replica) enableDeclarations(c *qt.C) {
 	command, err := catalog.EncodeRules(time.Now(), catalog.DeclarationRules)
 	r.apply(c, command, err)
 }
@@ -28,7 +28,7 @@
 	one := newRecord(core.KindService, "looms", 1, `{"tenant":"t"}`)
 	two := newRecord(core.KindService, "looms", 2, `{"tenant":"t","priority":2}`)
 	c.Assert(r.submit(c, expecting(submission("a", one), 0)).Cause, qt.Equals, catalog.CauseRules)
-	r.raise(c)
+	r.enableDeclarations(c)
 	early := expecting(submission("b", two), 1)
 	c.Assert(r.submit(c, early).Cause, qt.Equals, catalog.CauseExpectation)
 	c.Assert(r.submit(c, expecting(submission("a", one), 0)).Result, qt.Equals, catalog.Accepted)
@@ -50,7 +50,7 @@
 func TestMovesOfServicesWithAnyRelease(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
-	r.raise(c)
+	r.enableDeclarations(c)
 	c.Assert(r.submit(c, submission("a",
 		newRecord(core.KindService, "looms", 1, `{"tenant":"t","any-release":true}`),
 		newRecord(core.KindRoute, "read", 1, `{"path-prefix":"/looms/","service":"looms","timeout-ms":100}`),
--- a/core/catalog/export_test.go
+++ b/core/catalog/export_test.go
@@ -3,17 +3,17 @@
 import "parsleyport/core"
 
 // SetKnownRules replaces the version of the rules that the program knows.
-func (c *Catalog) SetKnownRules(known core.RulesVersion) { c.known = known }
+func (c *Catalog) SetKnownRules(known core.RulesVersion) { c.knownRules = known }
 
 // SetLimits replaces the number of remembered verdicts and of audit entries between two searches for stamps to forget.
 func (c *Catalog) SetLimits(verdicts int, forgetEvery uint64) {
-	c.verdicts.limit, c.forgetEvery = verdicts, forgetEvery
+	c.verdicts.limit, c.purgeIntervalEntries = verdicts, forgetEvery
 }
 
-// DeletedStamps returns the number of stamps of deleted records.
-func (c *Catalog) DeletedStamps() int {
+// TombstoneCount returns the number of stamps of deleted records.
+func (c *Catalog) TombstoneCount() int {
 	count := 0
-	for _, s := range c.stamps {
+	for _, s := range c.lastChanges {
 		if s.Deleted {
 			count++
 		}
--- a/core/catalog/limits.go
+++ b/core/catalog/limits.go
@@ -36,7 +36,7 @@
 }
 
 // bounded returns the limits that apply to the principal, or nil.
-func (p Principal) bounded() *Limits {
+func (p Principal) effectiveLimits() *Limits {
 	if !p.IsLimited() {
 		return nil
 	}
@@ -45,12 +45,12 @@
 
 // charge counts a new submission, or refuses it. The refusal is neither remembered nor in the audit trail, both of which it
 // protects; the same id can be sent again later.
-func (c *Catalog) charge(e envelope, scope string, id core.SubmissionID) *Verdict {
-	limits := e.principal().bounded()
+func (c *Catalog) chargeUsage(e envelope, scope string, id core.SubmissionID) *Verdict {
+	limits := e.principal().effectiveLimits()
 	if limits == nil {
 		return nil
 	}
-	after, refusal := c.usageWith(e, scope, *limits)
+	after, refusal := c.usageAfter(e, scope, *limits)
 	if refusal != nil {
 		refusal.Submission, refusal.At = id, e.At
 		return refusal
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func (c *Catalog) usageWith(e envelope, scope string, limits Limits) (usage, *Verdict) {
+func (c *Catalog) usageAfter(e envelope, scope string, limits Limits) (usage, *Verdict) {
 	u := c.usage[scope]
 	if u.hasEnded(e.At) {
 		u = usage{
@@ -85,7 +85,7 @@
 // the refusal.
 func (c *Catalog) OverLimit(command []byte) (Verdict, bool) {
 	var e envelope
-	if err := decode(command, &e); err != nil || e.principal().bounded() == nil {
+	if err := decode(command, &e); err != nil || e.principal().effectiveLimits() == nil {
 		return Verdict{}, false
 	}
 	var body struct {
@@ -97,18 +97,18 @@
 	scope := e.principal().Scope()
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if _, exists := c.verdicts.byID[memoryKey{scope: scope, id: body.ID}]; exists {
+	if _, exists := c.verdicts.byID[submissionKey{scope: scope, id: body.ID}]; exists {
 		return Verdict{}, false
 	}
-	_, refusal := c.usageWith(e, scope, *e.Limits)
+	_, refusal := c.usageAfter(e, scope, *e.Limits)
 	if refusal == nil {
 		return Verdict{}, false
 	}
 	refusal.Submission, refusal.At = body.ID, e.At
-	return c.complete(*refusal), true
+	return c.withRevision(*refusal), true
 }
 
-func shortened(text string) string {
+func truncate(text string) string {
 	if len(text) <= maxTextBytes {
 		return text
 	}
@@ -120,7 +120,7 @@
 	return now.Sub(time.UnixMilli(u.SinceMS)).Abs() >= limitWindow
 }
 
-func (c *Catalog) forgetUsage(now time.Time) {
+func (c *Catalog) purgeUsage(now time.Time) {
 	for scope, u := range c.usage {
 		if u.hasEnded(now) {
 			delete(c.usage, scope)
@@ -141,27 +141,27 @@
 }
 
 // holding is what a tenant has in the replicated state.
-type holding struct {
+type tenantTotals struct {
 	records      int
 	bytes        int64
 	deletedNames int
 }
 
-// checkLimits refuses a submission that would leave a tenant above a limit with more than it has now.
-func (p *plan) checkLimits(next *record.Configuration) *Verdict {
-	limits := p.by.bounded()
+// checkRecordLimits refuses a submission that would leave a tenant above a limit with more than it has now.
+func (cs *changeSet) checkRecordLimits(next *record.Configuration) *Verdict {
+	limits := cs.principal.effectiveLimits()
 	if limits == nil {
 		return nil
 	}
-	after := p.holdings(next, p.stamps)
-	var before map[core.TenantID]*holding // is needed only above a limit
-	for _, tenant := range p.by.Tenants {
+	after := cs.totalsByTenant(next, cs.lastChanges)
+	var before map[core.TenantID]*tenantTotals // is needed only above a limit
+	for _, tenant := range cs.principal.Tenants {
 		a := after[tenant]
 		if a.records <= limits.Records && a.bytes <= limits.RecordBytes && a.deletedNames <= limits.DeletedNames {
 			continue
 		}
 		if before == nil {
-			before = p.holdings(p.catalog.configuration, nil)
+			before = cs.totalsByTenant(cs.catalog.configuration, nil)
 		}
 		b := before[tenant]
 		var refusal Verdict
@@ -171,7 +171,7 @@
 		case a.bytes > max(limits.RecordBytes, b.bytes):
 			refusal = refused(CauseRecordLimit, "tenant %q would have record bodies of %d bytes, at most %d are allowed", tenant, a.bytes, limits.RecordBytes)
 		case a.deletedNames > max(limits.DeletedNames, b.deletedNames):
-			refusal = refused(CauseRecordLimit, "tenant %q would have %d remembered names of deleted records, at most %d are allowed; they are forgotten after %d days", tenant, a.deletedNames, limits.DeletedNames, StampAge/(24*time.Hour))
+			refusal = refused(CauseRecordLimit, "tenant %q would have %d remembered names of deleted records, at most %d are allowed; they are forgotten after %d days", tenant, a.deletedNames, limits.DeletedNames, TombstoneRetention/(24*time.Hour))
 		default:
 			continue
 		}
@@ -181,31 +181,31 @@
 }
 
 // holdings counts what the principal's tenants have in a configuration, with the stamps that the submission changes.
-func (p *plan) holdings(configuration *record.Configuration, changed map[core.RecordKey]stamp) map[core.TenantID]*holding {
-	c := p.catalog
-	held := make(map[core.TenantID]*holding, len(p.by.Tenants))
-	for _, tenant := range p.by.Tenants {
-		held[tenant] = &holding{
+func (cs *changeSet) totalsByTenant(configuration *record.Configuration, changed map[core.RecordKey]lastChange) map[core.TenantID]*tenantTotals {
+	c := cs.catalog
+	held := make(map[core.TenantID]*tenantTotals, len(cs.principal.Tenants))
+	for _, tenant := range cs.principal.Tenants {
+		held[tenant] = &tenantTotals{
 			deletedNames: c.deletedNames[tenant],
 		}
 	}
-	add := func(s stamp, count int) {
+	add := func(s lastChange, count int) {
 		if h, exists := held[s.Owner]; exists && s.Deleted {
 			h.deletedNames += count
 		}
 	}
 	for key, s := range changed {
-		add(c.stamps[key], -1)
+		add(c.lastChanges[key], -1)
 		add(s, 1)
 	}
-	o := newOwners(configuration, nil)
+	o := newOwnerLookup(configuration, nil)
 	for _, r := range configuration.Records() {
 		key := r.Key()
-		belongs := c.ownerships[key]
+		owner := c.ownerships[key]
 		if _, is := changed[key]; is {
-			belongs = decodeOwner(r)
+			owner = decodeOwnership(r)
 		}
-		if h, exists := held[o.tenantOf(r, belongs)]; exists {
+		if h, exists := held[o.tenantOfBody(r, owner)]; exists {
 			h.records++
 			h.bytes += int64(len(r.Body))
 		}
@@ -213,18 +213,18 @@
 	return held
 }
 
-// setStamp replaces a stamp and counts the names of deleted records.
-func (c *Catalog) setStamp(key core.RecordKey, s stamp) {
-	c.dropStamp(key)
-	c.stamps[key] = s
+// setLastChange replaces a stamp and counts the names of deleted records.
+func (c *Catalog) setLastChange(key core.RecordKey, s lastChange) {
+	c.dropLastChange(key)
+	c.lastChanges[key] = s
 	if s.Deleted && s.Owner != "" {
 		c.deletedNames[s.Owner]++
 	}
 }
 
-func (c *Catalog) dropStamp(key core.RecordKey) {
-	s := c.stamps[key]
-	delete(c.stamps, key)
+func (c *Catalog) dropLastChange(key core.RecordKey) {
+	s := c.lastChanges[key]
+	delete(c.lastChanges, key)
 	if !s.Deleted || s.Owner == "" {
 		return
 	}
--- a/core/catalog/limits_test.go
+++ b/core/catalog/limits_test.go
@@ -16,14 +16,14 @@
 
 // Guards against a tenant that fills the memory of submission ids or the audit trail, against a resend that is refused or
 // loses its verdict because of a limit, and against replicas that decide differently after a snapshot.
-func TestTenantFillsOnlyItsShareOfSubmissions(t *testing.T) {
+func TestSubmissionLimitIsPerTenant(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New(), limits: &catalog.Limits{Submissions: 5, Bytes: 1 << 20, Records: 9, RecordBytes: 1 << 20}}
 	r.SetLimits(6, 1000)
-	quiet := r.submitBy(c, "same id", tenantB, tenantRecords("b"))
-	first := r.submitBy(c, "same id", tenantA, tenantRecords("a"))
+	verdictB := r.submitBy(c, "same id", tenantB, tenantRecords("b"))
+	verdictA := r.submitBy(c, "same id", tenantA, tenantRecords("a"))
 	for i := range 12 {
-		r.at += time.Hour
+		r.elapsed += time.Hour
 		if i == 3 {
 			restored := r.restored(c)
 			restored.SetLimits(6, 1000)
@@ -33,19 +33,19 @@
 		c.Assert(verdict.Cause == catalog.CauseSubmissionLimit, qt.Equals, i >= 4, qt.Commentf("%d: %+v", i, verdict))
 	}
 	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, 6) // the refusals above the limit are not in it
-	c.Assert(r.submitBy(c, "same id", tenantA, tenantRecords("a")), qt.DeepEquals, first)
-	r.at += 24 * time.Hour
+	c.Assert(r.submitBy(c, "same id", tenantA, tenantRecords("a")), qt.DeepEquals, verdictA)
+	r.elapsed += 24 * time.Hour
 	for i := range 5 { // more than the memory has room for
 		c.Assert(r.submitBy(c, core.SubmissionID(fmt.Sprint("next", i)), tenantA, tenantRecords("a")).Result, qt.Equals, catalog.Accepted)
 	}
-	c.Assert(r.submitBy(c, "same id", tenantB, tenantRecords("b")), qt.DeepEquals, quiet)
-	r.at, r.limits.Bytes = r.at+24*time.Hour, 1
+	c.Assert(r.submitBy(c, "same id", tenantB, tenantRecords("b")), qt.DeepEquals, verdictB)
+	r.elapsed, r.limits.Bytes = r.elapsed+24*time.Hour, 1
 	c.Assert(r.submitBy(c, "long", tenantA, tenantRecords("a")).Detail, qt.Matches, "the tenants of this token would have sent .* bytes of submissions in 24 h, at most 1 .*")
 	c.Assert(r.submitBy(c, "platform", nil, tenantRecords("a")).Result, qt.Equals, catalog.Accepted)
 }
 
 // Guards against a tenant that fills the configuration, which every node holds, with records or the names of deleted ones.
-func TestTenantHoldsOnlyItsShareOfRecords(t *testing.T) {
+func TestRecordLimitIsPerTenant(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New(), limits: &catalog.Limits{Submissions: 99, Bytes: 1 << 20, Records: 6, RecordBytes: 1000, DeletedNames: 1}}
 	r.submitBy(c, "a", tenantA, tenantRecords("a"))
@@ -61,21 +61,21 @@
 	route := func(version core.RecordVersion, name, rest string) core.Record {
 		return newRecord(core.KindRoute, name, version, `{"path-prefix": "/a/%s", "service": "a", "timeout-ms": 1%s}`, name, rest)
 	}
-	gone := func(name string) core.Deletion {
+	deletion := func(name string) core.Deletion {
 		return core.Deletion{Kind: core.KindRoute, Name: name, SchemaVersion: 1, Version: 9}
 	}
 	check("", route(1, "x", ""))
 	check(`tenant "a" would have 7 records, at most 6 are allowed`, route(1, "y", ""))
-	check("", route(1, "y", ""), gone("x"))
+	check("", route(1, "y", ""), deletion("x"))
 	r = r.restored(c)
-	check(`tenant "a" would have 2 remembered names .*, at most 1 are allowed; .* 30 days`, route(1, "z", ""), gone("y"))
+	check(`tenant "a" would have 2 remembered names .*, at most 1 are allowed; .* 30 days`, route(1, "z", ""), deletion("y"))
 	check(`tenant "a" would have record bodies of .* bytes, at most 1000 are allowed`, route(2, "y", fmt.Sprintf(`, "host": "%01000d"`, 0)))
 	r.limits.Records = 2
 	check("", route(3, "y", "")) // no more than before
 }
 
 // Guards against a tenant whose moves push the ended ones of another out of the list.
-func TestEndedMovesOfOthersStay(t *testing.T) {
+func TestEndedMovesAreEvictedFairly(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
 	r.limits = &catalog.Limits{Submissions: 9, Bytes: 1 << 20, Records: 9, RecordBytes: 1 << 20}
@@ -83,18 +83,18 @@
 	command, err := catalog.EncodeMove(start, core.MoveRequest{ID: "b", Operator: "lars", Service: "b", From: "b-v1", To: "b-v2", Deadline: start.Add(time.Hour)})
 	c.Assert(err, qt.IsNil)
 	command, err = catalog.WithPrincipal(command, catalog.Principal{Limits: r.limits})
-	quiet := r.apply(c, command, err).Move
-	r.abort(c, "abort", quiet)
+	moveB := r.apply(c, command, err).Move
+	r.abort(c, "abort", moveB)
 	for i := range 1001 {
 		r.abort(c, core.SubmissionID(fmt.Sprint("abort", i)), r.move(c, core.SubmissionID(fmt.Sprint("move", i)), "v1", "v2").Move)
 	}
 	c.Assert(r.Moves(), qt.HasLen, 1000)
-	c.Assert(r.Moves()[0].MoveID, qt.Equals, quiet)
+	c.Assert(r.Moves()[0].MoveID, qt.Equals, moveB)
 }
 
 // Guards against a change of how commands from before there were limits are decided: an old log or snapshot would give
 // another state on a new program. The hash is that of the program before.
-func TestOldLogGivesTheOldState(t *testing.T) {
+func TestLogWithoutLimitsReplaysUnchanged(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New()}
 	r.SetLimits(5, 4)
--- a/core/catalog/members.go
+++ b/core/catalog/members.go
@@ -22,12 +22,12 @@
 	Detail   string            `msgpack:"detail,omitempty"`
 }
 
-// resultScope keeps the result of a membership change apart from its request, which has the same submission id.
-const resultScope = "members-result\x00"
+// membershipResultScope keeps the result of a membership change apart from its request, which has the same submission id.
+const membershipResultScope = "members-result\x00"
 
 // EncodeMembershipChange encodes an entry about a membership change; it returns ErrMalformed.
 func EncodeMembershipChange(at time.Time, change MembershipChange) ([]byte, error) {
-	if err := checkSender(change.ID, change.Operator); err != nil {
+	if err := checkSubmitter(change.ID, change.Operator); err != nil {
 		return nil, err
 	}
 	if err := checkNames(change.Change, string(change.Instance), change.Identity); err != nil {
@@ -40,10 +40,10 @@
 }
 
 // MembershipResult returns the recorded result of a membership change.
-func (c *Catalog) MembershipResult(by Principal, id core.SubmissionID) (Verdict, bool) {
+func (c *Catalog) MembershipResult(principal Principal, id core.SubmissionID) (Verdict, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	earlier, exists := c.verdicts.byID[memoryKey{scope: resultScope + by.Scope(), id: id}]
+	earlier, exists := c.verdicts.byID[submissionKey{scope: membershipResultScope + principal.Scope(), id: id}]
 	return earlier.Verdict, exists
 }
 
@@ -57,18 +57,18 @@
 	}
 }
 
-func (m MembershipChange) sender() sender {
-	return sender{
-		id:       m.ID,
-		operator: m.Operator,
-		what:     []string{fmt.Sprintf("%s member %s identity %s", m.Change, m.Instance, m.Identity)},
+func (change MembershipChange) summary() commandSummary {
+	return commandSummary{
+		id:       change.ID,
+		operator: change.Operator,
+		changes:  []string{fmt.Sprintf("%s member %s identity %s", change.Change, change.Instance, change.Identity)},
 		owners:   []core.TenantID{""},
 	}
 }
 
-func scopeOf(by Principal, body any) string {
+func scopeOf(principal Principal, body any) string {
 	if change, is := body.(MembershipChange); is && change.Result != Requested {
-		return resultScope + by.Scope()
+		return membershipResultScope + principal.Scope()
 	}
-	return by.Scope()
+	return principal.Scope()
 }
--- a/core/catalog/moves.go
+++ b/core/catalog/moves.go
@@ -47,10 +47,10 @@
 }
 
 func (c *Catalog) startMove(e envelope, request core.MoveRequest) Verdict {
-	if !e.principal().Sees(ServiceTenant(c.configuration, request.Service)) {
+	if !e.principal().CanAccess(ServiceTenant(c.configuration, request.Service)) {
 		return *notPermitted("service %q does not belong to a tenant of this token", request.Service)
 	}
-	if refusal := c.checkRequest(e.At, request); refusal != nil {
+	if refusal := c.checkMoveRequest(e.At, request); refusal != nil {
 		return *refusal
 	}
 	c.moveCount++
@@ -63,15 +63,15 @@
 			State:     core.MoveProposed,
 			StartedAt: e.At,
 			SteppedAt: e.At,
-			Original:  c.weightsBefore(request.Service),
+			Original:  c.originalWeights(request.Service),
 		},
 		Fair: e.Limits != nil,
 	}
 	if held, exists := lo.Find(c.configuration.Overrides(), func(o core.Override) bool { return o.Service == request.Service }); exists {
 		started.Previous = &held
 	}
-	if c.holdsBack(request.Service) {
-		next, refusal := c.build(c.configuration.Records(), c.overridesWith(started))
+	if c.takesAnyRelease(request.Service) {
+		next, refusal := c.buildNext(c.configuration.Records(), c.overridesAfter(started))
 		if refusal != nil {
 			return *refusal
 		}
@@ -86,16 +86,16 @@
 	}
 }
 
-// holdsBack reports whether a release of the service gets calls unless its weights exclude it, so that a move has to name the
+// takesAnyRelease reports whether a release of the service gets calls unless its weights exclude it, so that a move has to name the
 // new release from its start and after it was taken back.
-func (c *Catalog) holdsBack(service core.ServiceName) bool {
+func (c *Catalog) takesAnyRelease(service core.ServiceName) bool {
 	body, _ := c.configuration.Service(service)
 	return body.AnyRelease
 }
 
-// weightsBefore returns the weights that a move starts from. With any release, the old releases are all but the new one.
-func (c *Catalog) weightsBefore(service core.ServiceName) []core.Weight {
-	if !c.holdsBack(service) {
+// originalWeights returns the weights that a move starts from. With any release, the old releases are all but the new one.
+func (c *Catalog) originalWeights(service core.ServiceName) []core.Weight {
+	if !c.takesAnyRelease(service) {
 		return c.configuration.Weights(service)
 	}
 	return []core.Weight{{
@@ -104,9 +104,9 @@
 	}}
 }
 
-func (c *Catalog) checkRequest(at time.Time, request core.MoveRequest) *Verdict {
+func (c *Catalog) checkMoveRequest(at time.Time, request core.MoveRequest) *Verdict {
 	if id, open := c.openMoves[request.Service]; open {
-		refusal := moveOpen(id, "move %s of service %q is open", id, request.Service)
+		refusal := moveOpenRefusal(id, "move %s of service %q is open", id, request.Service)
 		return &refusal
 	}
 	from, fromExists := c.configuration.UpstreamOf(request.Service, request.From)
@@ -121,7 +121,7 @@
 		refusal = refused(CauseMalformed, "upstreams %q and %q have the same release %q", request.From, request.To, from.Release)
 	case to.Release == core.OtherReleases:
 		refusal = refused(CauseMalformed, "service %q cannot be moved to all its other releases", request.Service)
-	case weightOf(c.weightsBefore(request.Service), request.From) == 0:
+	case weightOf(c.originalWeights(request.Service), request.From) == 0:
 		refusal = refused(CauseMalformed, "upstream %q has no share of service %q that could be moved", request.From, request.Service)
 	case !request.Deadline.After(at):
 		refusal = refused(CauseMalformed, "deadline %s is not after the submission at %s", request.Deadline.UTC().Format(time.RFC3339), at.Format(time.RFC3339))
@@ -135,10 +135,10 @@
 
 func (c *Catalog) abortMove(e envelope, abort Abort) Verdict {
 	m, exists := c.moves[abort.MoveID]
-	if !exists || !e.principal().Sees(ServiceTenant(c.configuration, m.Move.Request.Service)) {
+	if !exists || !e.principal().CanAccess(ServiceTenant(c.configuration, m.Move.Request.Service)) {
 		return refused(CauseNotFound, "there is no move %q", abort.MoveID)
 	}
-	verdict := c.advance(m, core.MoveStep{
+	verdict := c.applyStep(m, core.MoveStep{
 		MoveID: abort.MoveID,
 		Step:   m.Move.Step + 1,
 		State:  core.MoveTakenBack,
@@ -154,26 +154,26 @@
 func (c *Catalog) step(index core.LogIndex, e envelope) Verdict {
 	var s core.MoveStep
 	if err := decode(e.Body, &s); err != nil {
-		return c.complete(refused(CauseMalformed, "%s: %v", e.Action, err))
+		return c.withRevision(refused(CauseMalformed, "%s: %v", e.Action, err))
 	}
 	s.At = e.At
 	verdict := refused(CauseNotFound, "there is no move %q", s.MoveID)
 	if m, exists := c.moves[s.MoveID]; exists {
-		verdict = c.advance(m, s)
+		verdict = c.applyStep(m, s)
 	}
 	verdict.Move = s.MoveID
 	verdict.At = e.At
-	verdict = c.complete(verdict)
+	verdict = c.withRevision(verdict)
 	if verdict.Result == Accepted {
-		c.record(index, e, sender{
-			what:   []string{describeStep(s)},
-			owners: []core.TenantID{ServiceTenant(c.configuration, c.moves[s.MoveID].Move.Request.Service)},
+		c.appendAudit(index, e, commandSummary{
+			changes: []string{describeStep(s)},
+			owners:  []core.TenantID{ServiceTenant(c.configuration, c.moves[s.MoveID].Move.Request.Service)},
 		}, verdict)
 	}
 	return verdict
 }
 
-func (c *Catalog) advance(m move, s core.MoveStep) Verdict {
+func (c *Catalog) applyStep(m move, s core.MoveStep) Verdict {
 	switch {
 	case Ended(m.Move.State):
 		return refused(CauseMoveEnded, "move %s has ended: %s", s.MoveID, m.Move.State)
@@ -194,7 +194,7 @@
 		m.Move.Share = 0
 	}
 	if m.Move.Share != before || Ended(s.State) {
-		next, refusal := c.build(c.configuration.Records(), c.overridesWith(m))
+		next, refusal := c.buildNext(c.configuration.Records(), c.overridesAfter(m))
 		if refusal != nil {
 			return *refusal
 		}
@@ -203,18 +203,18 @@
 	c.moves[s.MoveID] = m
 	if Ended(s.State) {
 		delete(c.openMoves, m.Move.Request.Service)
-		c.forgetEndedMove(m.Fair)
+		c.evictEndedMove(m.Fair)
 	}
 	return Verdict{
 		Result: Accepted,
 	}
 }
 
-// overridesWith returns all overrides as they are after a move's step.
-func (c *Catalog) overridesWith(m move) []core.Override {
+// overridesAfter returns all overrides as they are after a move's step.
+func (c *Catalog) overridesAfter(m move) []core.Override {
 	request := m.Move.Request
 	overrides := lo.Reject(c.configuration.Overrides(), func(o core.Override, _ int) bool { return o.Service == request.Service })
-	if m.Move.Share > 0 || c.holdsBack(request.Service) {
+	if m.Move.Share > 0 || c.takesAnyRelease(request.Service) {
 		return append(overrides, core.Override{
 			Service: request.Service,
 			Move:    m.Move.MoveID,
@@ -256,9 +256,9 @@
 	return 0
 }
 
-// forgetEndedMove forgets the oldest ended move if there are too many: that of the tenant with the most if they are shared
+// evictEndedMove forgets the oldest ended move if there are too many: that of the tenant with the most if they are shared
 // fairly, so that no tenant's moves leave the list because of another one.
-func (c *Catalog) forgetEndedMove(fair bool) {
+func (c *Catalog) evictEndedMove(fair bool) {
 	if len(c.moveOrder) <= maxEndedMoves+len(c.openMoves) {
 		return
 	}
--- a/core/catalog/moves_test.go
+++ b/core/catalog/moves_test.go
@@ -60,7 +60,7 @@
 }
 
 // Guards against traffic that stays on a release after its move was taken back or has expired (design 7.4 and 7.6).
-func TestTakenBackRestoresTheOldWeights(t *testing.T) {
+func TestTakenBackMoveRestoresWeights(t *testing.T) {
 	for _, state := range []core.MoveState{core.MoveTakenBack, core.MoveExpired} {
 		c := qt.New(t)
 		r := newReplica(c)
@@ -79,7 +79,7 @@
 }
 
 // Guards against new weights that vanish when a move is done, or that outlive the operator's next policy.
-func TestDoneKeepsItsWeightsUntilANewerPolicy(t *testing.T) {
+func TestDoneMoveKeepsWeightsUntilNewerPolicy(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
 	id := r.move(c, "move", "v1", "v2").Move
--- a/core/catalog/principal.go
+++ b/core/catalog/principal.go
@@ -26,7 +26,7 @@
 
 // Sees reports whether the principal may read and change what belongs to a tenant; an empty tenant stands for the whole
 // deployment.
-func (p Principal) Sees(tenant core.TenantID) bool {
+func (p Principal) CanAccess(tenant core.TenantID) bool {
 	return !p.IsLimited() || (tenant != "" && slices.Contains(p.Tenants, tenant))
 }
 
@@ -42,12 +42,12 @@
 
 // WithPrincipal adds the principal to an encoded command; the state machine checks its rights when it applies the
 // command, since the owner of a record may change until then. It returns ErrMalformed for a command that becomes too long.
-func WithPrincipal(command []byte, by Principal) ([]byte, error) {
+func WithPrincipal(command []byte, principal Principal) ([]byte, error) {
 	var e envelope
 	if err := decode(command, &e); err != nil {
 		return nil, errors.WithType(err, ErrMalformed)
 	}
-	e.Token, e.Tenants, e.Limits = by.Token, by.Tenants, by.Limits
+	e.Token, e.Tenants, e.Limits = principal.Token, principal.Tenants, principal.Limits
 	encoded, err := msgpack.Marshal(e)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -67,19 +67,19 @@
 }
 
 // owners looks up the tenants of records in a configuration, and in a submission for what the configuration does not have.
-type owners struct {
+type ownerLookup struct {
 	configuration *record.Configuration
 	submitted     map[core.ServiceName]core.TenantID
 }
 
-func newOwners(configuration *record.Configuration, records []core.Record) owners {
-	o := owners{
+func newOwnerLookup(configuration *record.Configuration, records []core.Record) ownerLookup {
+	o := ownerLookup{
 		configuration: configuration,
 		submitted:     make(map[core.ServiceName]core.TenantID),
 	}
 	for _, r := range records {
 		if r.Kind == core.KindService {
-			o.submitted[core.ServiceName(r.Name)] = decodeOwner(r).Tenant
+			o.submitted[core.ServiceName(r.Name)] = decodeOwnership(r).Tenant
 		}
 	}
 	return o
@@ -91,8 +91,8 @@
 	Service core.ServiceName `json:"service"`
 }
 
-// decodeOwner takes the first service of a route to several: a limited token may only use services of its tenants.
-func decodeOwner(r core.Record) ownership {
+// decodeOwnership takes the first service of a route to several: a limited token may only use services of its tenants.
+func decodeOwnership(r core.Record) ownership {
 	var body struct {
 		ownership
 		Split []core.ServiceShare `json:"split"`
@@ -107,7 +107,7 @@
 }
 
 // service returns the tenant that a service record names, or none if there is no such service.
-func (o owners) service(name core.ServiceName) core.TenantID {
+func (o ownerLookup) tenantOfService(name core.ServiceName) core.TenantID {
 	if body, exists := o.configuration.Service(name); exists {
 		return body.Tenant
 	}
@@ -115,19 +115,19 @@
 }
 
 // record returns the tenant of a record: that of the service to which it refers.
-func (o owners) record(r core.Record) core.TenantID {
-	return o.tenantOf(r, decodeOwner(r))
+func (o ownerLookup) tenantOfRecord(r core.Record) core.TenantID {
+	return o.tenantOfBody(r, decodeOwnership(r))
 }
 
-func (o owners) tenantOf(r core.Record, body ownership) core.TenantID {
+func (o ownerLookup) tenantOfBody(r core.Record, body ownership) core.TenantID {
 	if r.Kind == core.KindService {
 		return body.Tenant
 	}
-	return o.service(body.Service)
+	return o.tenantOfService(body.Service)
 }
 
 // held returns the record of a kind and name in the highest schema version that is in force.
-func (o owners) held(kind core.Kind, name string) (core.Record, bool) {
+func (o ownerLookup) recordInForce(kind core.Kind, name string) (core.Record, bool) {
 	for version := record.NewestSchema; version > 0; version-- {
 		if r, exists := o.configuration.Record(core.RecordKey{Kind: kind, Name: name, SchemaVersion: version}); exists {
 			return r, true
@@ -137,20 +137,20 @@
 }
 
 // current returns the tenant of what a submitted record or deletion changes.
-func (o owners) current(kind core.Kind, name string, submitted *core.Record) core.TenantID {
-	if held, exists := o.held(kind, name); exists {
-		return o.record(held)
+func (o ownerLookup) tenantBefore(kind core.Kind, name string, submitted *core.Record) core.TenantID {
+	if held, exists := o.recordInForce(kind, name); exists {
+		return o.tenantOfRecord(held)
 	}
 	if submitted != nil {
-		return o.record(*submitted)
+		return o.tenantOfRecord(*submitted)
 	}
 	return ""
 }
 
 // Records returns the records of a configuration that a principal may read.
-func Records(configuration *record.Configuration, by Principal) []core.Record {
-	o := newOwners(configuration, nil)
-	return slices.DeleteFunc(configuration.Records(), func(r core.Record) bool { return !by.Sees(o.record(r)) })
+func Records(configuration *record.Configuration, principal Principal) []core.Record {
+	o := newOwnerLookup(configuration, nil)
+	return slices.DeleteFunc(configuration.Records(), func(r core.Record) bool { return !principal.CanAccess(o.tenantOfRecord(r)) })
 }
 
 // ServiceOf returns the service to which a record belongs: for a service record, itself.
@@ -158,100 +158,100 @@
 	if r.Kind == core.KindService {
 		return core.ServiceName(r.Name)
 	}
-	return decodeOwner(r).Service
+	return decodeOwnership(r).Service
 }
 
 // ServiceTenant returns the tenant to which a service belongs, or none if there is no such service.
 func ServiceTenant(configuration *record.Configuration, service core.ServiceName) core.TenantID {
-	return newOwners(configuration, nil).service(service)
+	return newOwnerLookup(configuration, nil).tenantOfService(service)
 }
 
 // permit refuses a submission of a limited principal that changes or refers to what belongs to another tenant. The
 // refusals name nothing that the submission does not name.
-func (c *Catalog) permit(by Principal, s core.Submission) *Verdict {
-	if !by.IsLimited() {
+func (c *Catalog) checkPermissions(principal Principal, s core.Submission) *Verdict {
+	if !principal.IsLimited() {
 		return nil
 	}
-	o := newOwners(c.configuration, s.Records)
+	o := newOwnerLookup(c.configuration, s.Records)
 	for _, r := range s.Records {
-		if !c.permitsRecord(by, o, r) {
+		if !c.mayChange(principal, o, r) {
 			return notPermitted("%s: the name, or the service that the record names, does not belong to a tenant of this token", describe(r.Key(), r.Version))
 		}
-		if r.Kind == core.KindRoute && o.splitsOthers(by, r) {
+		if r.Kind == core.KindRoute && o.routesToOtherTenants(principal, r) {
 			return notPermitted("%s: it leads to a service that does not belong to a tenant of this token", describe(r.Key(), r.Version))
 		}
-		if r.Kind == core.KindRoute && c.overlapsOthers(by, o, r) {
+		if r.Kind == core.KindRoute && c.overlapsOtherTenants(principal, o, r) {
 			return notPermitted("%s: it matches calls that a route of another tenant matches too", describe(r.Key(), r.Version))
 		}
-		if r.Kind == core.KindPolicy && !o.weighsOwn(s.Records, r) {
+		if r.Kind == core.KindPolicy && !o.weightsOwnUpstreams(s.Records, r) {
 			return notPermitted("%s: its weights name an upstream that its service does not have", describe(r.Key(), r.Version))
 		}
 	}
 	for _, d := range s.Deletes {
-		held, exists := o.held(d.Kind, d.Name)
-		if (exists && !by.Sees(o.record(held))) || (!exists && !by.Sees(c.stamps[deletionKey(d)].Owner)) {
+		held, exists := o.recordInForce(d.Kind, d.Name)
+		if (exists && !principal.CanAccess(o.tenantOfRecord(held))) || (!exists && !principal.CanAccess(c.lastChanges[deletionKey(d)].Owner)) {
 			return notPermitted("%s: there is no such record of a tenant of this token", describe(deletionKey(d), d.Version))
 		}
 	}
 	return nil
 }
 
-// permitsRecord checks the owner before and after the change. The name of a deleted record stays with its last owner, so
+// mayChange checks the owner before and after the change. The name of a deleted record stays with its last owner, so
 // that no other tenant gets the calls that still refer to it.
-func (c *Catalog) permitsRecord(by Principal, o owners, r core.Record) bool {
-	if held, exists := o.held(r.Kind, r.Name); exists {
-		return by.Sees(o.record(held)) && by.Sees(o.record(r))
+func (c *Catalog) mayChange(principal Principal, o ownerLookup, r core.Record) bool {
+	if held, exists := o.recordInForce(r.Kind, r.Name); exists {
+		return principal.CanAccess(o.tenantOfRecord(held)) && principal.CanAccess(o.tenantOfRecord(r))
 	}
 	for version := core.SchemaVersion(1); version <= record.NewestSchema; version++ {
-		if s, deleted := c.stamps[core.RecordKey{Kind: r.Kind, Name: r.Name, SchemaVersion: version}]; deleted && !by.Sees(s.Owner) {
+		if s, deleted := c.lastChanges[core.RecordKey{Kind: r.Kind, Name: r.Name, SchemaVersion: version}]; deleted && !principal.CanAccess(s.Owner) {
 			return false
 		}
 	}
-	return by.Sees(o.record(r))
+	return principal.CanAccess(o.tenantOfRecord(r))
 }
 
-// overlapsOthers reports whether a route has calls in common with a route of another tenant. A route that does not get them
+// overlapsOtherTenants reports whether a route has calls in common with a route of another tenant. A route that does not get them
 // now counts too: it would get them as soon as the other one is changed. A route that keeps the calls it matches may change
 // otherwise: a principal with all rights has divided them.
-func (c *Catalog) overlapsOthers(by Principal, o owners, r core.Record) bool {
+func (c *Catalog) overlapsOtherTenants(principal Principal, o ownerLookup, r core.Record) bool {
 	var body core.RouteBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
 		return true
 	}
-	if held, exists := o.held(core.KindRoute, r.Name); exists {
+	if held, exists := o.recordInForce(core.KindRoute, r.Name); exists {
 		var before core.RouteBody
-		if err := json.Unmarshal(held.Body, &before); err == nil && matchesAlike(before, body) {
+		if err := json.Unmarshal(held.Body, &before); err == nil && sameMatch(before, body) {
 			return false
 		}
 	}
 	return slices.ContainsFunc(c.configuration.Overlapping(core.RouteName(r.Name), body), func(other record.Route) bool {
-		return slices.ContainsFunc(other.Services(), func(service core.ServiceName) bool { return !by.Sees(o.service(service)) })
+		return slices.ContainsFunc(other.Services(), func(service core.ServiceName) bool { return !principal.CanAccess(o.tenantOfService(service)) })
 	})
 }
 
-// splitsOthers reports whether a route leads to several services, one of which belongs to another tenant.
-func (o owners) splitsOthers(by Principal, r core.Record) bool {
+// routesToOtherTenants reports whether a route leads to several services, one of which belongs to another tenant.
+func (o ownerLookup) routesToOtherTenants(principal Principal, r core.Record) bool {
 	var body core.RouteBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
 		return true
 	}
-	return slices.ContainsFunc(body.Services(), func(service core.ServiceName) bool { return !by.Sees(o.service(service)) })
+	return slices.ContainsFunc(body.Services(), func(service core.ServiceName) bool { return !principal.CanAccess(o.tenantOfService(service)) })
 }
 
-func matchesAlike(a, b core.RouteBody) bool {
+func sameMatch(a, b core.RouteBody) bool {
 	return a.PathPrefix == b.PathPrefix && a.Host == b.Host && slices.Equal(a.Methods, b.Methods)
 }
 
-// weighsOwn reports whether each upstream in the weights of a policy belongs to the policy's service.
-func (o owners) weighsOwn(records []core.Record, policy core.Record) bool {
+// weightsOwnUpstreams reports whether each upstream in the weights of a policy belongs to the policy's service.
+func (o ownerLookup) weightsOwnUpstreams(records []core.Record, policy core.Record) bool {
 	var body core.PolicyBody
 	if err := json.Unmarshal(policy.Body, &body); err != nil {
 		return false
 	}
 	return !slices.ContainsFunc(body.Weights, func(w core.Weight) bool {
-		at := slices.IndexFunc(records, func(r core.Record) bool { return r.Kind == core.KindUpstream && r.Name == string(w.Upstream) })
-		if at >= 0 {
-			return decodeOwner(records[at]).Service != body.Service
+		index := slices.IndexFunc(records, func(r core.Record) bool { return r.Kind == core.KindUpstream && r.Name == string(w.Upstream) })
+		if index >= 0 {
+			return decodeOwnership(records[index]).Service != body.Service
 		}
 		upstream, exists := o.configuration.Upstream(w.Upstream)
 		return !exists || upstream.Service != body.Service
--- a/core/catalog/principal_test.go
+++ b/core/catalog/principal_test.go
@@ -12,7 +12,7 @@
 
 func (r *replica) submitBy(c *qt.C, id core.SubmissionID, tenants []core.TenantID, records []core.Record, deletes ...core.Deletion) catalog.Verdict {
 	c.Helper()
-	command, err := catalog.EncodeSubmit(start.Add(r.at), 1, core.Submission{ID: id, Operator: "amina", Records: records, Deletes: deletes})
+	command, err := catalog.EncodeSubmit(start.Add(r.elapsed), 1, core.Submission{ID: id, Operator: "amina", Records: records, Deletes: deletes})
 	c.Assert(err, qt.IsNil)
 	command, err = catalog.WithPrincipal(command, catalog.Principal{Token: "t", Tenants: tenants, Limits: r.limits})
 	return r.apply(c, command, err)
@@ -30,7 +30,7 @@
 }
 
 // Guards against a tenant that changes, takes over or takes the calls of another tenant's records.
-func TestLimitedPrincipalChangesOnlyItsTenant(t *testing.T) {
+func TestLimitedPrincipalChangesOnlyOwnRecords(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New()}
 	a, b := []core.TenantID{"a"}, []core.TenantID{"b"}
@@ -53,47 +53,47 @@
 		verdict := r.submitBy(c, core.SubmissionID(fmt.Sprint(i)), a, []core.Record{record})
 		c.Assert(verdict.Cause, qt.Equals, catalog.CauseNotPermitted, qt.Commentf("%d: %+v", i, verdict))
 	}
-	divided := newRecord(core.KindRoute, "divided", 1, `{"path-prefix": "/b/x", "service": "a", "timeout-ms": 1}`)
-	c.Assert(r.submitBy(c, "divide", nil, []core.Record{divided}).Result, qt.Equals, catalog.Accepted)
-	divided.Version, divided.Body = 2, []byte(`{"path-prefix": "/b/x", "service": "a", "timeout-ms": 2}`)
-	c.Assert(r.submitBy(c, "keep", a, []core.Record{divided}).Result, qt.Equals, catalog.Accepted)
-	divided.Version, divided.Body = 3, []byte(`{"path-prefix": "/b/xy", "service": "a", "timeout-ms": 2}`)
-	c.Assert(r.submitBy(c, "widen", a, []core.Record{divided}).Cause, qt.Equals, catalog.CauseNotPermitted)
-	gone := core.Deletion{Kind: core.KindRoute, Name: "b", SchemaVersion: 1, Version: 2}
-	c.Assert(r.submitBy(c, "delete", a, nil, gone).Cause, qt.Equals, catalog.CauseNotPermitted)
-	c.Assert(r.submitBy(c, "delete", b, nil, gone).Result, qt.Equals, catalog.Accepted)
-	again := []core.Record{newRecord(core.KindRoute, "b", 3, `{"path-prefix": "/c", "service": "a", "timeout-ms": 1}`)}
-	c.Assert(r.submitBy(c, "take over", a, again).Cause, qt.Equals, catalog.CauseNotPermitted)
-	again[0].Body = []byte(`{"path-prefix": "/c", "service": "b", "timeout-ms": 1}`)
-	c.Assert(r.submitBy(c, "take over", b, again).Result, qt.Equals, catalog.Accepted)
+	shared := newRecord(core.KindRoute, "divided", 1, `{"path-prefix": "/b/x", "service": "a", "timeout-ms": 1}`)
+	c.Assert(r.submitBy(c, "divide", nil, []core.Record{shared}).Result, qt.Equals, catalog.Accepted)
+	shared.Version, shared.Body = 2, []byte(`{"path-prefix": "/b/x", "service": "a", "timeout-ms": 2}`)
+	c.Assert(r.submitBy(c, "keep", a, []core.Record{shared}).Result, qt.Equals, catalog.Accepted)
+	shared.Version, shared.Body = 3, []byte(`{"path-prefix": "/b/xy", "service": "a", "timeout-ms": 2}`)
+	c.Assert(r.submitBy(c, "widen", a, []core.Record{shared}).Cause, qt.Equals, catalog.CauseNotPermitted)
+	deletion := core.Deletion{Kind: core.KindRoute, Name: "b", SchemaVersion: 1, Version: 2}
+	c.Assert(r.submitBy(c, "delete", a, nil, deletion).Cause, qt.Equals, catalog.CauseNotPermitted)
+	c.Assert(r.submitBy(c, "delete", b, nil, deletion).Result, qt.Equals, catalog.Accepted)
+	recreated := []core.Record{newRecord(core.KindRoute, "b", 3, `{"path-prefix": "/c", "service": "a", "timeout-ms": 1}`)}
+	c.Assert(r.submitBy(c, "take over", a, recreated).Cause, qt.Equals, catalog.CauseNotPermitted)
+	recreated[0].Body = []byte(`{"path-prefix": "/c", "service": "b", "timeout-ms": 1}`)
+	c.Assert(r.submitBy(c, "take over", b, recreated).Result, qt.Equals, catalog.Accepted)
 }
 
 // Guards against a tenant that moves another tenant's traffic, or learns of its moves, records or audit trail.
-func TestLimitedPrincipalSeesOnlyItsTenant(t *testing.T) {
+func TestLimitedPrincipalReadsOnlyOwnRecords(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New()}
 	r.submitBy(c, "first", nil, append(tenantRecords("a"), tenantRecords("b")...))
 	command, err := catalog.EncodeMove(start, core.MoveRequest{ID: "move", Operator: "lars", Service: "b", From: "b-v1", To: "b-v2", Deadline: start.AddDate(1, 0, 0)})
 	c.Assert(err, qt.IsNil)
-	by := func(command []byte, tenant core.TenantID) catalog.Verdict {
+	applyAs := func(command []byte, tenant core.TenantID) catalog.Verdict {
 		command, err := catalog.WithPrincipal(command, catalog.Principal{Token: "t", Tenants: []core.TenantID{tenant}})
 		return r.apply(c, command, err)
 	}
-	c.Assert(by(command, "a").Cause, qt.Equals, catalog.CauseNotPermitted)
-	c.Assert(by(command, "b").Move, qt.Equals, core.MoveID("m1"))
+	c.Assert(applyAs(command, "a").Cause, qt.Equals, catalog.CauseNotPermitted)
+	c.Assert(applyAs(command, "b").Move, qt.Equals, core.MoveID("m1"))
 	r.step(c, "m1", 1, core.MoveProbing, 5)
 	command, err = catalog.EncodeAbort(start, catalog.Abort{ID: "abort", Operator: "lars", MoveID: "m1"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(by(command, "a").Cause, qt.Equals, catalog.CauseNotFound)
-	c.Assert(by(command, "b").Result, qt.Equals, catalog.Accepted)
+	c.Assert(applyAs(command, "a").Cause, qt.Equals, catalog.CauseNotFound)
+	c.Assert(applyAs(command, "b").Result, qt.Equals, catalog.Accepted)
 
 	limited := catalog.Principal{Tenants: []core.TenantID{"a"}}
-	trail := r.Audit(catalog.AuditFilter{By: limited})
+	trail := r.Audit(catalog.AuditFilter{Viewer: limited})
 	c.Assert(trail, qt.HasLen, 3, qt.Commentf("%+v", trail)) // its part of the first submission and its two attempts
-	c.Assert(trail[0].What, qt.HasLen, 5)
+	c.Assert(trail[0].Changes, qt.HasLen, 5)
 	c.Assert(trail[0].Submission, qt.Equals, core.SubmissionID(""))
 	c.Assert(trail[1].Token, qt.Equals, "t")
-	c.Assert(r.Audit(catalog.AuditFilter{By: limited, Submission: "first"}), qt.HasLen, 0)
+	c.Assert(r.Audit(catalog.AuditFilter{Viewer: limited, Submission: "first"}), qt.HasLen, 0)
 	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, 6)
 	c.Assert(catalog.Records(r.Current(), limited), qt.HasLen, 5)
 }
--- a/core/catalog/property_test.go
+++ b/core/catalog/property_test.go
@@ -18,9 +18,9 @@
 // of an ended move, a changed audit trail.
 func TestReplicasAgreeAndKeepInvariants(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		c := qt.New(drawnTest{
-			TB:    outer,
-			drawn: t,
+		c := qt.New(rapidTB{
+			TB:     outer,
+			rapidT: t,
 		})
 		one := newReplica(c)
 		other := one.restored(c)
@@ -48,14 +48,14 @@
 }
 
 // drawnTest reports failures to rapid, which then shrinks the case; rapid.T lacks a method of testing.TB in Go 1.26.
-type drawnTest struct {
+type rapidTB struct {
 	testing.TB
-	drawn *rapid.T
+	rapidT *rapid.T
 }
 
-func (d drawnTest) Fatal(args ...any) {
-	d.drawn.Helper()
-	d.drawn.Fatal(args...)
+func (d rapidTB) Fatal(args ...any) {
+	d.rapidT.Helper()
+	d.rapidT.Fatal(args...)
 }
 
 type observation struct {
--- a/core/catalog/rules.go
+++ b/core/catalog/rules.go
@@ -48,28 +48,28 @@
 func (c *Catalog) raiseRules(index core.LogIndex, e envelope) (Verdict, error) {
 	var change rulesChange
 	if err := decode(e.Body, &change); err != nil {
-		return c.complete(refused(CauseMalformed, "%s: %v", e.Action, err)), nil
+		return c.withRevision(refused(CauseMalformed, "%s: %v", e.Action, err)), nil
 	}
 	if err := c.checkRules(change.Rules); err != nil {
 		return Verdict{}, err
 	}
-	verdict := c.complete(Verdict{
+	verdict := c.withRevision(Verdict{
 		Result: Accepted,
 		At:     e.At,
 	})
 	if change.Rules > c.rules {
 		c.rules = change.Rules
-		c.record(index, e, sender{
-			what:   []string{fmt.Sprintf("rules version %d", change.Rules)},
-			owners: []core.TenantID{""},
+		c.appendAudit(index, e, commandSummary{
+			changes: []string{fmt.Sprintf("rules version %d", change.Rules)},
+			owners:  []core.TenantID{""},
 		}, verdict)
 	}
 	return verdict, nil
 }
 
 func (c *Catalog) checkRules(rules core.RulesVersion) error {
-	if rules > c.known {
-		return errors.Annotatef(ErrRulesUnknown, "rules version %d, this program knows %d", rules, c.known)
+	if rules > c.knownRules {
+		return errors.Annotatef(ErrRulesUnknown, "rules version %d, this program knows %d", rules, c.knownRules)
 	}
 	return nil
 }
--- a/core/catalog/snapshot.go
+++ b/core/catalog/snapshot.go
@@ -15,24 +15,24 @@
 const snapshotFormat = 1
 
 type snapshot struct {
-	Format    int          `msgpack:"format"`
-	Full      record.Full  `msgpack:"configuration"`
-	Stamps    []keyedStamp `msgpack:"stamps"`
-	Verdicts  []remembered `msgpack:"verdicts"`
-	Moves     []move       `msgpack:"moves"`
-	MoveCount uint64       `msgpack:"move-count"`
-	Audit     []AuditEntry `msgpack:"audit"` // the latest maxAudit entries
+	Format      int           `msgpack:"format"`
+	Full        record.Full   `msgpack:"configuration"`
+	LastChanges []keyedChange `msgpack:"stamps"`
+	Verdicts    []pastVerdict `msgpack:"verdicts"`
+	Moves       []move        `msgpack:"moves"`
+	MoveCount   uint64        `msgpack:"move-count"`
+	Audit       []AuditEntry  `msgpack:"audit"` // the latest maxAuditEntries entries
 
 	AuditCount uint64            `msgpack:"audit-count"`     // zero in older snapshots, which hold all entries
 	Rules      core.RulesVersion `msgpack:"rules,omitempty"` // zero for the first ones, as in older snapshots
 	Usage      []scopedUsage     `msgpack:"usage,omitempty"`
 }
 
-type keyedStamp struct {
+type keyedChange struct {
 	Kind          core.Kind          `msgpack:"kind"`
 	Name          string             `msgpack:"name"`
 	SchemaVersion core.SchemaVersion `msgpack:"schema-version"`
-	Stamp         stamp              `msgpack:"stamp"`
+	Change        lastChange         `msgpack:"stamp"`
 }
 
 // Snapshot encodes the whole state; equal states have equal bytes. Entries of the audit trail that it leaves out are in
@@ -45,13 +45,13 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	encoded, err := msgpack.Marshal(snapshot{
-		Format:    snapshotFormat,
-		Full:      c.configuration.Full(),
-		Stamps:    sortedStamps(c.stamps),
-		Verdicts:  c.verdicts.all(),
-		Moves:     lo.Map(c.moveOrder, func(id core.MoveID, _ int) move { return c.moves[id] }),
-		MoveCount: c.moveCount,
-		Audit:     c.audit,
+		Format:      snapshotFormat,
+		Full:        c.configuration.Full(),
+		LastChanges: sortedLastChanges(c.lastChanges),
+		Verdicts:    c.verdicts.all(),
+		Moves:       lo.Map(c.moveOrder, func(id core.MoveID, _ int) move { return c.moves[id] }),
+		MoveCount:   c.moveCount,
+		Audit:       c.audit,
 
 		AuditCount: c.auditCount,
 		Rules:      lo.Ternary(c.rules > firstRules, c.rules, 0),
@@ -79,15 +79,15 @@
 	restored := New()
 	restored.moveCount = s.MoveCount
 	restored.rules = max(s.Rules, firstRules)
-	for _, k := range s.Stamps {
-		restored.setStamp(core.RecordKey{
+	for _, k := range s.LastChanges {
+		restored.setLastChange(core.RecordKey{
 			Kind:          k.Kind,
 			Name:          k.Name,
 			SchemaVersion: k.SchemaVersion,
-		}, k.Stamp)
+		}, k.Change)
 	}
 	for _, r := range configuration.Records() {
-		restored.ownerships[r.Key()] = decodeOwner(r)
+		restored.ownerships[r.Key()] = decodeOwnership(r)
 	}
 	for _, u := range s.Usage {
 		restored.usage[u.Scope] = u.Usage
@@ -97,7 +97,7 @@
 		restored.verdicts.add(r, false)
 	}
 	for _, m := range s.Moves {
-		restored.addMove(m)
+		restored.restoreMove(m)
 	}
 	for _, entry := range s.Audit {
 		entry.At = entry.At.UTC()
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (c *Catalog) addMove(m move) {
+func (c *Catalog) restoreMove(m move) {
 	m.Move.StartedAt, m.Move.SteppedAt = m.Move.StartedAt.UTC(), m.Move.SteppedAt.UTC()
 	m.Move.Request.Deadline = m.Move.Request.Deadline.UTC()
 	c.moves[m.Move.MoveID] = m
@@ -124,21 +124,21 @@
 func (c *Catalog) replace(restored *Catalog, configuration *record.Configuration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stamps, c.verdicts, c.rules = restored.stamps, restored.verdicts, restored.rules
+	c.lastChanges, c.verdicts, c.rules = restored.lastChanges, restored.verdicts, restored.rules
 	c.deletedNames, c.ownerships, c.usage = restored.deletedNames, restored.ownerships, restored.usage
 	c.audit, c.auditCount = restored.audit, restored.auditCount
 	c.moves, c.moveOrder, c.openMoves, c.moveCount = restored.moves, restored.moveOrder, restored.openMoves, restored.moveCount
 	c.publish(configuration)
 }
 
-func sortedStamps(stamps map[core.RecordKey]stamp) []keyedStamp {
-	sorted := make([]keyedStamp, 0, len(stamps))
+func sortedLastChanges(stamps map[core.RecordKey]lastChange) []keyedChange {
+	sorted := make([]keyedChange, 0, len(stamps))
 	for key, s := range stamps {
-		sorted = append(sorted, keyedStamp{
+		sorted = append(sorted, keyedChange{
 			Kind:          key.Kind,
 			Name:          key.Name,
 			SchemaVersion: key.SchemaVersion,
-			Stamp:         s,
+			Change:        s,
 		})
 	}
 	sort.Slice(sorted, func(i, j int) bool {
--- a/core/catalog/submit.go
+++ b/core/catalog/submit.go
@@ -14,96 +14,96 @@
 )
 
 // plan collects what a submission changes before anything is changed.
-type plan struct {
-	catalog  *Catalog
-	author   core.Submission
-	by       Principal
-	at       time.Time
-	upserts  map[core.RecordKey]core.Record
-	deletes  map[core.RecordKey]bool
-	stamps   map[core.RecordKey]stamp
-	policies map[core.ServiceName]bool // services whose policy changes
+type changeSet struct {
+	catalog        *Catalog
+	submission     core.Submission
+	principal      Principal
+	at             time.Time
+	upserts        map[core.RecordKey]core.Record
+	deletes        map[core.RecordKey]bool
+	lastChanges    map[core.RecordKey]lastChange
+	policyServices map[core.ServiceName]bool // services whose policy changes
 }
 
 func (c *Catalog) submit(e envelope, s core.Submission) Verdict {
 	if err := checkKeys(s); err != nil {
 		return refused(CauseMalformed, "%v", err)
 	}
-	if refusal := c.permit(e.principal(), s); refusal != nil {
+	if refusal := c.checkPermissions(e.principal(), s); refusal != nil {
 		return *refusal
 	}
-	p := &plan{
-		catalog:  c,
-		author:   s,
-		by:       e.principal(),
-		at:       e.At,
-		upserts:  make(map[core.RecordKey]core.Record),
-		deletes:  make(map[core.RecordKey]bool),
-		stamps:   make(map[core.RecordKey]stamp),
-		policies: make(map[core.ServiceName]bool),
-	}
-	if refusal := p.collect(); refusal != nil {
+	cs := &changeSet{
+		catalog:        c,
+		submission:     s,
+		principal:      e.principal(),
+		at:             e.At,
+		upserts:        make(map[core.RecordKey]core.Record),
+		deletes:        make(map[core.RecordKey]bool),
+		lastChanges:    make(map[core.RecordKey]lastChange),
+		policyServices: make(map[core.ServiceName]bool),
+	}
+	if refusal := cs.collect(); refusal != nil {
 		return *refusal
 	}
-	if len(p.stamps) == 0 {
+	if len(cs.lastChanges) == 0 {
 		return Verdict{
 			Result:    Accepted,
 			Unchanged: true,
 		}
 	}
-	return p.commit(e.Floor)
+	return cs.commit(e.SchemaFloor)
 }
 
-func (p *plan) collect() *Verdict {
-	for _, r := range p.author.Records {
-		if refusal := p.upsert(r); refusal != nil {
+func (cs *changeSet) collect() *Verdict {
+	for _, r := range cs.submission.Records {
+		if refusal := cs.upsert(r); refusal != nil {
 			return refusal
 		}
 	}
-	for _, d := range p.author.Deletes {
-		if refusal := p.delete(d); refusal != nil {
+	for _, d := range cs.submission.Deletes {
+		if refusal := cs.delete(d); refusal != nil {
 			return refusal
 		}
 	}
 	return nil
 }
 
-func (p *plan) upsert(r core.Record) *Verdict {
+func (cs *changeSet) upsert(r core.Record) *Verdict {
 	key := r.Key()
-	held, exists := p.catalog.configuration.Record(key)
+	held, exists := cs.catalog.configuration.Record(key)
 	if exists && held.Version == r.Version && bytes.Equal(held.Body, r.Body) {
 		return nil
 	}
-	if refusal := p.checkVersion(key, r.Version); refusal != nil {
+	if refusal := cs.checkVersion(key, r.Version); refusal != nil {
 		return refusal
 	}
-	r.SinceMS = p.since(key)
-	p.upserts[key] = r
-	p.stamp(key, r.Version, core.Hash(xxhash.Sum64(r.Body)), false)
-	p.notePolicy(r)
-	p.notePolicy(held)
+	r.SinceMS = cs.firstAcceptedMS(key)
+	cs.upserts[key] = r
+	cs.setLastChange(key, r.Version, core.Hash(xxhash.Sum64(r.Body)), false)
+	cs.addPolicyService(r)
+	cs.addPolicyService(held)
 	return nil
 }
 
 // since returns the time of the first acceptance for the record's SinceMS.
-func (p *plan) since(key core.RecordKey) int64 {
-	seen := false
+func (cs *changeSet) firstAcceptedMS(key core.RecordKey) int64 {
+	deletedBefore := false
 	for key.SchemaVersion = 1; key.SchemaVersion <= record.NewestSchema; key.SchemaVersion++ {
-		if held, exists := p.catalog.configuration.Record(key); exists {
+		if held, exists := cs.catalog.configuration.Record(key); exists {
 			return held.SinceMS
 		}
-		_, deleted := p.catalog.stamps[key]
-		seen = seen || deleted
+		_, deleted := cs.catalog.lastChanges[key]
+		deletedBefore = deletedBefore || deleted
 	}
-	if seen {
+	if deletedBefore {
 		return 0
 	}
-	return p.at.UnixMilli()
+	return cs.at.UnixMilli()
 }
 
-func (p *plan) delete(d core.Deletion) *Verdict {
+func (cs *changeSet) delete(d core.Deletion) *Verdict {
 	key := deletionKey(d)
-	s, exists := p.catalog.stamps[key]
+	s, exists := cs.catalog.lastChanges[key]
 	if !exists {
 		refusal := refused(CauseNotFound, "%s: there is no such record", describe(key, d.Version))
 		return &refusal
@@ -111,19 +111,19 @@
 	if s.Deleted && s.Version == d.Version {
 		return nil
 	}
-	if refusal := p.checkVersion(key, d.Version); refusal != nil {
+	if refusal := cs.checkVersion(key, d.Version); refusal != nil {
 		return refusal
 	}
-	p.deletes[key] = true
-	p.stamp(key, d.Version, 0, true)
-	held, _ := p.catalog.configuration.Record(key)
-	p.keepName(key, held)
-	p.notePolicy(held)
+	cs.deletes[key] = true
+	cs.setLastChange(key, d.Version, 0, true)
+	held, _ := cs.catalog.configuration.Record(key)
+	cs.reserveName(key, held)
+	cs.addPolicyService(held)
 	return nil
 }
 
-func (p *plan) checkVersion(key core.RecordKey, version core.RecordVersion) *Verdict {
-	s, exists := p.catalog.stamps[key]
+func (cs *changeSet) checkVersion(key core.RecordKey, version core.RecordVersion) *Verdict {
+	s, exists := cs.catalog.lastChanges[key]
 	if !exists || version > s.Version {
 		return nil
 	}
@@ -134,39 +134,39 @@
 			refusal = refused(CauseEqualVersion, "%s: submission %q by %q deleted the record with this version", describe(key, version), s.Submission, s.Operator)
 		}
 	}
-	refusal = refusal.against(s)
+	refusal = refusal.withWinner(s)
 	return &refusal
 }
 
-func (p *plan) stamp(key core.RecordKey, version core.RecordVersion, hash core.Hash, deleted bool) {
-	s := stamp{
+func (cs *changeSet) setLastChange(key core.RecordKey, version core.RecordVersion, hash core.Hash, deleted bool) {
+	s := lastChange{
 		Version:    version,
-		Submission: p.author.ID,
-		Operator:   p.author.Operator,
+		Submission: cs.submission.ID,
+		Operator:   cs.submission.Operator,
 		Hash:       hash,
 		Deleted:    deleted,
 	}
 	if deleted {
-		s.DeletedMS = p.at.UnixMilli()
+		s.DeletedMS = cs.at.UnixMilli()
 	}
-	p.stamps[key] = s
+	cs.lastChanges[key] = s
 }
 
-// keepName leaves the name of a deleted record to its tenant. It does so only for limited tokens, which are in use once all
+// reserveName leaves the name of a deleted record to its tenant. It does so only for limited tokens, which are in use once all
 // control instances know owners, so that their states stay equal while the program is being upgraded.
-func (p *plan) keepName(key core.RecordKey, held core.Record) {
-	if !p.by.IsLimited() {
+func (cs *changeSet) reserveName(key core.RecordKey, held core.Record) {
+	if !cs.principal.IsLimited() {
 		return
 	}
-	s := p.stamps[key]
-	s.Owner = newOwners(p.catalog.configuration, nil).record(held)
+	s := cs.lastChanges[key]
+	s.Owner = newOwnerLookup(cs.catalog.configuration, nil).tenantOfRecord(held)
 	if held.Body == nil {
-		s.Owner = p.catalog.stamps[key].Owner
+		s.Owner = cs.catalog.lastChanges[key].Owner
 	}
-	p.stamps[key] = s
+	cs.lastChanges[key] = s
 }
 
-func (p *plan) notePolicy(r core.Record) {
+func (cs *changeSet) addPolicyService(r core.Record) {
 	if r.Kind != core.KindPolicy {
 		return
 	}
@@ -174,46 +174,46 @@
 		Service core.ServiceName `json:"service"`
 	}
 	if err := json.Unmarshal(r.Body, &body); err == nil { // record.New reports a broken body
-		p.policies[body.Service] = true
+		cs.policyServices[body.Service] = true
 	}
 }
 
-func (p *plan) commit(floor core.SchemaVersion) Verdict {
-	c := p.catalog
-	services := lo.Keys(p.policies)
+func (cs *changeSet) commit(floor core.SchemaVersion) Verdict {
+	c := cs.catalog
+	services := lo.Keys(cs.policyServices)
 	slices.Sort(services) // so that all replicas name the same move
 	for _, service := range services {
 		if id, open := c.openMoves[service]; open {
-			return moveOpen(id, "move %s of service %q is open; its policy cannot change before the move ends", id, service)
+			return moveOpenRefusal(id, "move %s of service %q is open; its policy cannot change before the move ends", id, service)
 		}
 	}
 	records := lo.Reject(c.configuration.Records(), func(r core.Record, _ int) bool {
-		_, replaced := p.upserts[r.Key()]
-		return replaced || p.deletes[r.Key()]
+		_, replaced := cs.upserts[r.Key()]
+		return replaced || cs.deletes[r.Key()]
 	})
-	records = append(records, lo.Values(p.upserts)...)
+	records = append(records, lo.Values(cs.upserts)...)
 	overrides := lo.Reject(c.configuration.Overrides(), func(o core.Override, _ int) bool {
-		return p.policies[o.Service] || p.endsService(o.Service)
+		return cs.policyServices[o.Service] || cs.deletesIdleService(o.Service)
 	})
-	if err := record.CheckSchemaFloor(records, p.touched, floor); err != nil {
+	if err := record.CheckSchemaFloor(records, cs.changes, floor); err != nil {
 		return refused(CauseSchemaFloor, "%v", err)
 	}
-	next, refusal := c.build(records, overrides)
+	next, refusal := c.buildNext(records, overrides)
 	if refusal != nil {
 		return *refusal
 	}
-	if refusal := p.checkMoveTargets(next); refusal != nil {
+	if refusal := cs.checkOpenMoves(next); refusal != nil {
 		return *refusal
 	}
-	if refusal := p.checkLimits(next); refusal != nil {
+	if refusal := cs.checkRecordLimits(next); refusal != nil {
 		return *refusal
 	}
-	for key, s := range p.stamps {
-		c.setStamp(key, s)
+	for key, s := range cs.lastChanges {
+		c.setLastChange(key, s)
 		delete(c.ownerships, key)
 	}
-	for key, r := range p.upserts {
-		c.ownerships[key] = decodeOwner(r)
+	for key, r := range cs.upserts {
+		c.ownerships[key] = decodeOwnership(r)
 	}
 	c.publish(next)
 	return Verdict{
@@ -221,10 +221,10 @@
 	}
 }
 
-// endsService reports whether the submission deletes a service that has no open move.
-func (p *plan) endsService(service core.ServiceName) bool {
-	_, open := p.catalog.openMoves[service]
-	return !open && p.deletes[core.RecordKey{
+// deletesIdleService reports whether the submission deletes a service that has no open move.
+func (cs *changeSet) deletesIdleService(service core.ServiceName) bool {
+	_, open := cs.catalog.openMoves[service]
+	return !open && cs.deletes[core.RecordKey{
 		Kind:          core.KindService,
 		Name:          string(service),
 		SchemaVersion: record.NewestSchema,
@@ -232,8 +232,8 @@
 }
 
 // touched reports whether the submission changes any schema version of a kind and name.
-func (p *plan) touched(kind core.Kind, name string) bool {
-	for key := range p.stamps {
+func (cs *changeSet) changes(kind core.Kind, name string) bool {
+	for key := range cs.lastChanges {
 		if key.Kind == kind && key.Name == name {
 			return true
 		}
@@ -241,9 +241,9 @@
 	return false
 }
 
-// checkMoveTargets keeps both upstreams of an open move, since each of its steps refers to them.
-func (p *plan) checkMoveTargets(next *record.Configuration) *Verdict {
-	c := p.catalog
+// checkOpenMoves keeps both upstreams of an open move, since each of its steps refers to them.
+func (cs *changeSet) checkOpenMoves(next *record.Configuration) *Verdict {
+	c := cs.catalog
 	services := lo.Keys(c.openMoves)
 	slices.Sort(services) // so that all replicas name the same move
 	for _, service := range services {
@@ -253,7 +253,7 @@
 			before, _ := c.configuration.UpstreamOf(service, name)
 			after, exists := next.UpstreamOf(service, name)
 			if !exists || before.Service != after.Service || before.Release != after.Release {
-				refusal := moveOpen(id, "move %s needs upstream %q as it is until the move ends", id, name)
+				refusal := moveOpenRefusal(id, "move %s needs upstream %q as it is until the move ends", id, name)
 				return &refusal
 			}
 		}
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func moveOpen(id core.MoveID, format string, args ...any) Verdict {
+func moveOpenRefusal(id core.MoveID, format string, args ...any) Verdict {
 	refusal := refused(CauseMoveOpen, format, args...)
 	refusal.Move = id
 	return refusal
--- a/core/catalog/forget_test.go
+++ b/core/catalog/tombstones_test.go
@@ -14,9 +14,9 @@
 
 // Guards against stamps of deleted records that are kept for ever, against an older version that comes back because its
 // stamp was forgotten while it could still be sent again, and against replicas that forget at different entries.
-func TestForgottenStampsBringNothingBack(outer *testing.T) {
+func TestPurgedTombstonesDoNotResurrectRecords(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		c := qt.New(drawnTest{TB: outer, drawn: t})
+		c := qt.New(rapidTB{TB: outer, rapidT: t})
 		one, other := newReplica(c), newReplica(c)
 		verdicts := rapid.IntRange(1, 8).Draw(t, "verdicts")
 		one.SetLimits(verdicts, 2)
@@ -55,7 +55,7 @@
 				deletions[name] = now
 			case 2: // a resend, in one of the two ways in which it may be one
 				recent := history
-				for len(recent) > 0 && now.Sub(recent[0].at) > catalog.StampAge {
+				for len(recent) > 0 && now.Sub(recent[0].at) > catalog.TombstoneRetention {
 					recent = recent[1:]
 				}
 				if len(recent) == 0 {
@@ -75,11 +75,11 @@
 				other.SetLimits(verdicts, 2)
 			}
 		}
-		c.Assert(other.DeletedStamps(), qt.Equals, one.DeletedStamps())
-		now = now.Add(catalog.StampAge + time.Hour)
+		c.Assert(other.TombstoneCount(), qt.Equals, one.TombstoneCount())
+		now = now.Add(catalog.TombstoneRetention + time.Hour)
 		for i := range verdicts + 2 {
 			apply(core.Submission{ID: core.SubmissionID(fmt.Sprint("last-", i)), Operator: "amina", Deletes: []core.Deletion{{Kind: core.KindRoute, Name: "none", SchemaVersion: 1, Version: 1}}})
 		}
-		c.Assert(one.DeletedStamps(), qt.Equals, 0)
+		c.Assert(one.TombstoneCount(), qt.Equals, 0)
 	})
 }
--- a/core/catalog/verdict.go
+++ b/core/catalog/verdict.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func (v Verdict) against(s stamp) Verdict {
+func (v Verdict) withWinner(s lastChange) Verdict {
 	v.Winner = &Winner{
 		Submission: s.Submission,
 		Operator:   s.Operator,
@@ -108,78 +108,78 @@
 const maxVerdicts = 100_000
 
 // remembered is a verdict with what identifies the content of its submission.
-type remembered struct {
+type pastVerdict struct {
 	Verdict  Verdict       `msgpack:"verdict"`
 	Operator core.Operator `msgpack:"operator"`
 	Hash     core.Hash     `msgpack:"hash"`
 	Scope    string        `msgpack:"scope,omitempty"`
 
-	number uint64 // counts on in the order in which verdicts were given
+	sequence uint64 // counts on in the order in which verdicts were given
 }
 
-func (r remembered) key() memoryKey {
-	return memoryKey{
+func (r pastVerdict) key() submissionKey {
+	return submissionKey{
 		scope: r.Scope,
 		id:    r.Verdict.Submission,
 	}
 }
 
-// memoryKey identifies a submission; each set of tenants to which a token is limited has its own ids.
-type memoryKey struct {
+// submissionKey identifies a submission; each set of tenants to which a token is limited has its own ids.
+type submissionKey struct {
 	scope string
 	id    core.SubmissionID
 }
 
 // memory holds the latest verdicts.
-type memory struct {
-	byID   map[memoryKey]remembered
-	scopes map[string][]memoryKey // oldest first
-	count  uint64                 // of all verdicts ever
-	limit  int
+type verdictHistory struct {
+	byID    map[submissionKey]pastVerdict
+	byScope map[string][]submissionKey // oldest first
+	count   uint64                     // of all verdicts ever
+	limit   int
 }
 
-func newMemory() memory {
-	return memory{
-		byID:   make(map[memoryKey]remembered),
-		scopes: make(map[string][]memoryKey),
-		limit:  maxVerdicts,
+func newVerdictHistory() verdictHistory {
+	return verdictHistory{
+		byID:    make(map[submissionKey]pastVerdict),
+		byScope: make(map[string][]submissionKey),
+		limit:   maxVerdicts,
 	}
 }
 
 // add remembers a verdict. A full memory forgets the oldest one of the scope with the most if it is shared fairly, so that no
 // scope loses one while it has less than its share; commands from before there were limits forget the oldest one of all.
-func (m *memory) add(r remembered, fair bool) {
-	m.count++
-	r.number = m.count
-	m.byID[r.key()] = r
-	m.scopes[r.Scope] = append(m.scopes[r.Scope], r.key())
-	if len(m.byID) > m.limit {
-		m.forgetOldest(m.fullest(fair))
+func (h *verdictHistory) add(r pastVerdict, fair bool) {
+	h.count++
+	r.sequence = h.count
+	h.byID[r.key()] = r
+	h.byScope[r.Scope] = append(h.byScope[r.Scope], r.key())
+	if len(h.byID) > h.limit {
+		h.evictOldest(h.scopeToEvict(fair))
 	}
 }
 
-func (m *memory) fullest(fair bool) string {
-	var found string
-	for scope, keys := range m.scopes {
-		most := m.scopes[found]
-		older := len(most) == 0 || m.byID[keys[0]].number < m.byID[most[0]].number
-		if (!fair || len(keys) == len(most)) && older || fair && len(keys) > len(most) {
-			found = scope
+func (h *verdictHistory) scopeToEvict(fair bool) string {
+	var foundScope string
+	for scope, keys := range h.byScope {
+		foundKeys := h.byScope[foundScope]
+		older := len(foundKeys) == 0 || h.byID[keys[0]].sequence < h.byID[foundKeys[0]].sequence
+		if (!fair || len(keys) == len(foundKeys)) && older || fair && len(keys) > len(foundKeys) {
+			foundScope = scope
 		}
 	}
-	return found
+	return foundScope
 }
 
-func (m *memory) forgetOldest(scope string) {
-	keys := m.scopes[scope]
-	delete(m.byID, keys[0])
-	m.scopes[scope] = keys[1:]
+func (h *verdictHistory) evictOldest(scope string) {
+	keys := h.byScope[scope]
+	delete(h.byID, keys[0])
+	h.byScope[scope] = keys[1:]
 	if len(keys) == 1 {
-		delete(m.scopes, scope)
+		delete(h.byScope, scope)
 	}
 }
 
 // all returns the verdicts, oldest first.
-func (m *memory) all() []remembered {
-	return slices.SortedFunc(maps.Values(m.byID), func(a, b remembered) int { return cmp.Compare(a.number, b.number) })
+func (h *verdictHistory) all() []pastVerdict {
+	return slices.SortedFunc(maps.Values(h.byID), func(a, b pastVerdict) int { return cmp.Compare(a.sequence, b.sequence) })
 }
--- a/core/record/configuration.go
+++ b/core/record/configuration.go
@@ -26,17 +26,17 @@
 
 // Configuration is an immutable set of records and overrides whose references have been checked.
 type Configuration struct {
-	revision  core.Revision
-	hash      core.Hash
-	records   map[core.RecordKey]core.Record
-	sorted    []core.Record
-	decoded   map[core.RecordKey]any // bodies of the records in use
-	overrides map[core.ServiceName]core.Override
-	services  map[core.ServiceName]core.ServiceBody
-	upstreams map[core.UpstreamName]core.UpstreamBody
-	policies  map[core.ServiceName]core.PolicyBody
-	routes    []Route // longest path prefix first
-	byPrefix  routeIndex
+	revision      core.Revision
+	hash          core.Hash
+	records       map[core.RecordKey]core.Record
+	sorted        []core.Record
+	decodedBodies map[core.RecordKey]any // bodies of the records in use
+	overrides     map[core.ServiceName]core.Override
+	services      map[core.ServiceName]core.ServiceBody
+	upstreams     map[core.UpstreamName]core.UpstreamBody
+	policies      map[core.ServiceName]core.PolicyBody
+	routes        []Route // longest path prefix first
+	routeIndex    routeIndex
 
 	declaration core.DeclarationBody
 }
@@ -73,15 +73,15 @@
 // New builds a configuration; it returns ErrDangling or a decoding error and never a part of the configuration.
 // Schema versions that are unknown here are kept but not used.
 func New(revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
-	return newAfter(nil, revision, records, overrides)
+	return newFromPrevious(nil, revision, records, overrides)
 }
 
 // Next is New for a configuration whose records mostly are those of this one; their bodies are not decoded again.
 func (c *Configuration) Next(records []core.Record, overrides []core.Override) (*Configuration, error) {
-	return newAfter(c, c.revision+1, records, overrides)
+	return newFromPrevious(c, c.revision+1, records, overrides)
 }
 
-func newAfter(previous *Configuration, revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
+func newFromPrevious(previous *Configuration, revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
 	byKey := make(map[core.RecordKey]core.Record, len(records))
 	for _, r := range records {
 		byKey[r.Key()] = r
@@ -107,25 +107,25 @@
 
 func build(previous *Configuration, revision core.Revision, records map[core.RecordKey]core.Record, overrides map[core.ServiceName]core.Override) (*Configuration, error) {
 	c := &Configuration{
-		revision:  revision,
-		records:   records,
-		overrides: overrides,
-		services:  make(map[core.ServiceName]core.ServiceBody),
-		upstreams: make(map[core.UpstreamName]core.UpstreamBody),
-		policies:  make(map[core.ServiceName]core.PolicyBody),
-		decoded:   make(map[core.RecordKey]any, len(records)),
+		revision:      revision,
+		records:       records,
+		overrides:     overrides,
+		services:      make(map[core.ServiceName]core.ServiceBody),
+		upstreams:     make(map[core.UpstreamName]core.UpstreamBody),
+		policies:      make(map[core.ServiceName]core.PolicyBody),
+		decodedBodies: make(map[core.RecordKey]any, len(records)),
 	}
 	c.sorted = sortedRecords(records, previous)
 	for _, r := range newestSupported(c.sorted) {
-		if err := c.index(r, previous); err != nil {
+		if err := c.indexRecord(r, previous); err != nil {
 			return nil, errors.Annotatef(err, "%s record %q", r.Kind, r.Name)
 		}
 	}
 	if err := c.checkReferences(); err != nil {
 		return nil, err
 	}
-	sort.Slice(c.routes, func(i, j int) bool { return routeBefore(c.routes[i], c.routes[j]) })
-	c.byPrefix = newRouteIndex(c.routes)
+	sort.Slice(c.routes, func(i, j int) bool { return routeLess(c.routes[i], c.routes[j]) })
+	c.routeIndex = newRouteIndex(c.routes)
 	c.hash = c.computeHash()
 	return c, nil
 }
@@ -230,7 +230,7 @@
 func (c *Configuration) Policy(service core.ServiceName) (core.PolicyBody, bool) {
 	body, exists := c.policies[service]
 	if body.MaxAttempts == 0 {
-		body.MaxAttempts = defaultAttempts
+		body.MaxAttempts = defaultMaxAttempts
 	}
 	return body, exists
 }
@@ -241,19 +241,19 @@
 		return override.Weights
 	}
 	if c.services[service].AnyRelease {
-		return openWeights
+		return anyReleaseWeights
 	}
 	return c.policies[service].Weights
 }
 
-// OnTrial returns the upstream to which a service's traffic is being moved; it is false if no move is open.
-func (c *Configuration) OnTrial(service core.ServiceName) (core.UpstreamName, bool) {
+// MoveTarget returns the upstream to which a service's traffic is being moved; it is false if no move is open.
+func (c *Configuration) MoveTarget(service core.ServiceName) (core.UpstreamName, bool) {
 	override, exists := c.overrides[service]
 	return override.To, exists && override.Open
 }
 
-// openWeights are those of a service with any release that no move has touched.
-var openWeights = []core.Weight{{
+// anyReleaseWeights are those of a service with any release that no move has touched.
+var anyReleaseWeights = []core.Weight{{
 	Upstream: core.UpstreamName(core.OtherReleases),
 	PerMille: core.FullShare,
 }}
@@ -293,7 +293,7 @@
 	}
 }
 
-func keyBefore(a, b core.RecordKey) bool {
+func keyLess(a, b core.RecordKey) bool {
 	if a.Kind != b.Kind {
 		return a.Kind < b.Kind
 	}
@@ -305,36 +305,36 @@
 
 func (c *Configuration) computeHash() core.Hash {
 	digest := xxhash.New()
-	writeNumber(digest, uint64(c.revision))
+	writeUint64(digest, uint64(c.revision))
 	for _, r := range c.sorted {
-		writeText(digest, string(r.Kind))
-		writeText(digest, r.Name)
-		writeNumber(digest, uint64(r.SchemaVersion))
-		writeNumber(digest, uint64(r.Version))
-		writeText(digest, string(r.Body))
-		writeNumber(digest, uint64(r.SinceMS))
+		writeString(digest, string(r.Kind))
+		writeString(digest, r.Name)
+		writeUint64(digest, uint64(r.SchemaVersion))
+		writeUint64(digest, uint64(r.Version))
+		writeString(digest, string(r.Body))
+		writeUint64(digest, uint64(r.SinceMS))
 	}
 	for _, o := range c.Overrides() {
-		writeText(digest, string(o.Service))
-		writeText(digest, string(o.Move))
-		writeText(digest, string(o.From))
-		writeText(digest, string(o.To))
-		writeText(digest, strconv.FormatBool(o.Open))
+		writeString(digest, string(o.Service))
+		writeString(digest, string(o.Move))
+		writeString(digest, string(o.From))
+		writeString(digest, string(o.To))
+		writeString(digest, strconv.FormatBool(o.Open))
 		for _, weight := range o.Weights {
-			writeText(digest, string(weight.Upstream))
-			writeNumber(digest, uint64(weight.PerMille))
+			writeString(digest, string(weight.Upstream))
+			writeUint64(digest, uint64(weight.PerMille))
 		}
 	}
 	return core.Hash(digest.Sum64())
 }
 
-func writeNumber(digest *xxhash.Digest, number uint64) {
+func writeUint64(digest *xxhash.Digest, number uint64) {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], number)
 	_, _ = digest.Write(encoded[:]) // a Digest never fails
 }
 
-func writeText(digest *xxhash.Digest, text string) {
-	writeNumber(digest, uint64(len(text)))
+func writeString(digest *xxhash.Digest, text string) {
+	writeUint64(digest, uint64(len(text)))
 	_, _ = digest.WriteString(text)
 }
--- a/core/record/next_test.go
+++ b/core/record/configuration_test.go
@@ -10,22 +10,22 @@
 )
 
 // Guards against a decoded body that is kept although its record has changed or another schema version is in use.
-func TestNextEqualsABuildFromNothing(t *testing.T) {
+func TestNextEqualsFullBuild(t *testing.T) {
 	c := qt.New(t)
-	one := func(version core.RecordVersion, schema core.SchemaVersion, priority string) core.Record {
+	newService := func(version core.RecordVersion, schema core.SchemaVersion, priority string) core.Record {
 		return core.Record{Kind: core.KindService, Name: "s", SchemaVersion: schema, Version: version, Body: []byte(`{"tenant":"platform","priority":` + priority + `}`)}
 	}
-	kept := one(1, 1, "5")
-	held := record.Empty()
+	kept := newService(1, 1, "5")
+	current := record.Empty()
 	for _, records := range [][]core.Record{
 		{kept},
-		{kept, one(1, record.NewestSchema+1, "6")},
-		{one(2, 1, "7")},
-		{one(2, 1, "7"), {Kind: "later", Name: "s", SchemaVersion: 1, Version: 1, Body: []byte(`[`)}},
+		{kept, newService(1, record.NewestSchema+1, "6")},
+		{newService(2, 1, "7")},
+		{newService(2, 1, "7"), {Kind: "later", Name: "s", SchemaVersion: 1, Version: 1, Body: []byte(`[`)}},
 		{},
 		{kept},
 	} {
-		next, err := held.Next(records, nil)
+		next, err := current.Next(records, nil)
 		c.Assert(err, qt.IsNil)
 		fresh, err := record.New(next.Revision(), records, nil)
 		c.Assert(err, qt.IsNil)
@@ -35,6 +35,6 @@
 		c.Assert(gotExists, qt.Equals, wantExists)
 		c.Assert(next.Hash(), qt.Equals, fresh.Hash())
 		c.Assert(next.Records(), qt.DeepEquals, fresh.Records())
-		held = next
+		current = next
 	}
 }
--- a/core/record/decode.go
+++ b/core/record/decode.go
@@ -12,9 +12,9 @@
 // sortedRecords begins with the order of the previous configuration, since sorting what is nearly sorted is cheap.
 func sortedRecords(records map[core.RecordKey]core.Record, previous *Configuration) []core.Record {
 	sorted := make([]core.Record, 0, len(records))
-	held := map[core.RecordKey]core.Record{}
+	previousRecords := map[core.RecordKey]core.Record{}
 	if previous != nil {
-		held = previous.records
+		previousRecords = previous.records
 		for _, r := range previous.sorted {
 			if next, exists := records[r.Key()]; exists {
 				sorted = append(sorted, next)
@@ -22,12 +22,12 @@
 		}
 	}
 	for key, r := range records {
-		if _, exists := held[key]; !exists {
+		if _, exists := previousRecords[key]; !exists {
 			sorted = append(sorted, r)
 		}
 	}
 	slices.SortFunc(sorted, func(a, b core.Record) int {
-		if keyBefore(a.Key(), b.Key()) {
+		if keyLess(a.Key(), b.Key()) {
 			return -1
 		}
 		return 1
@@ -53,12 +53,12 @@
 }
 
 // index puts a record in use. Kinds that a later program added are kept and forwarded only.
-func (c *Configuration) index(r core.Record, previous *Configuration) error {
+func (c *Configuration) indexRecord(r core.Record, previous *Configuration) error {
 	body, err := previous.bodyOf(r)
 	if err != nil || body == nil {
 		return err
 	}
-	c.decoded[r.Key()] = body
+	c.decodedBodies[r.Key()] = body
 	switch body := body.(type) {
 	case core.ServiceBody:
 		c.services[core.ServiceName(r.Name)] = body
@@ -84,8 +84,8 @@
 // decoding took half of the time of a change.
 func (c *Configuration) bodyOf(r core.Record) (any, error) {
 	if c != nil {
-		if held, exists := c.records[r.Key()]; exists && sameBytes(held.Body, r.Body) {
-			if body, known := c.decoded[r.Key()]; known {
+		if held, exists := c.records[r.Key()]; exists && sharesMemory(held.Body, r.Body) {
+			if body, known := c.decodedBodies[r.Key()]; known {
 				return body, nil
 			}
 		}
@@ -105,8 +105,8 @@
 	return nil, nil
 }
 
-// sameBytes reports whether two bodies share their memory; bodies are never changed in place.
-func sameBytes(a, b []byte) bool {
+// sharesMemory reports whether two bodies share their memory; bodies are never changed in place.
+func sharesMemory(a, b []byte) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
--- a/core/record/delta.go
+++ b/core/record/delta.go
@@ -18,7 +18,7 @@
 		ToHash:       c.hash,
 	}
 	for _, r := range c.Records() {
-		if held, exists := older.records[r.Key()]; !exists || !sameRecord(held, r) {
+		if held, exists := older.records[r.Key()]; !exists || !recordsEqual(held, r) {
 			delta.Upserts = append(delta.Upserts, r)
 		}
 	}
@@ -27,9 +27,9 @@
 			delta.Deletes = append(delta.Deletes, key)
 		}
 	}
-	sort.Slice(delta.Deletes, func(i, j int) bool { return keyBefore(delta.Deletes[i], delta.Deletes[j]) })
+	sort.Slice(delta.Deletes, func(i, j int) bool { return keyLess(delta.Deletes[i], delta.Deletes[j]) })
 	for _, o := range c.Overrides() {
-		if held, exists := older.overrides[o.Service]; !exists || !sameOverride(held, o) {
+		if held, exists := older.overrides[o.Service]; !exists || !overridesEqual(held, o) {
 			delta.Overrides = append(delta.Overrides, o)
 		}
 	}
@@ -88,11 +88,11 @@
 	return overrides
 }
 
-func sameRecord(a, b core.Record) bool {
+func recordsEqual(a, b core.Record) bool {
 	return a.Version == b.Version && bytes.Equal(a.Body, b.Body)
 }
 
-func sameOverride(a, b core.Override) bool {
+func overridesEqual(a, b core.Override) bool {
 	if a.Move != b.Move || a.From != b.From || a.To != b.To || a.Open != b.Open || len(a.Weights) != len(b.Weights) {
 		return false
 	}
--- a/core/record/route.go
+++ b/core/record/route.go
@@ -20,14 +20,14 @@
 	if bare, _, err := net.SplitHostPort(host); err == nil {
 		host = bare
 	}
-	return c.byPrefix.match(strings.ToLower(host), method, path)
+	return c.routeIndex.match(strings.ToLower(host), method, path)
 }
 
 // routeIndex finds the routes of a path by their prefixes, so that the time for a call does not grow with the number of
 // routes.
 type routeIndex struct {
-	byPrefix map[string][]Route // in the order of routeBefore
-	longest  int
+	byPrefix       map[string][]Route // in the order of routeLess
+	maxPrefixBytes int
 }
 
 func newRouteIndex(sorted []Route) routeIndex {
@@ -37,13 +37,13 @@
 	for _, route := range sorted {
 		route.Host = strings.ToLower(route.Host)
 		index.byPrefix[route.PathPrefix] = append(index.byPrefix[route.PathPrefix], route)
-		index.longest = max(index.longest, len(route.PathPrefix))
+		index.maxPrefixBytes = max(index.maxPrefixBytes, len(route.PathPrefix))
 	}
 	return index
 }
 
 func (i routeIndex) match(host, method, path string) (Route, bool) {
-	for end := min(len(path), i.longest); end > 0; end-- {
+	for end := min(len(path), i.maxPrefixBytes); end > 0; end-- {
 		if end < len(path) && path[end-1] != '/' && path[end] != '/' {
 			continue // not at the end of a path segment
 		}
@@ -60,14 +60,14 @@
 func (c *Configuration) Overlapping(name core.RouteName, body core.RouteBody) []Route {
 	var overlapping []Route
 	for _, route := range c.routes {
-		if route.Name != name && sharesCalls(route.RouteBody, body) {
+		if route.Name != name && routesOverlap(route.RouteBody, body) {
 			overlapping = append(overlapping, route)
 		}
 	}
 	return overlapping
 }
 
-func sharesCalls(a, b core.RouteBody) bool {
+func routesOverlap(a, b core.RouteBody) bool {
 	if !prefixMatches(a.PathPrefix, b.PathPrefix) && !prefixMatches(b.PathPrefix, a.PathPrefix) {
 		return false
 	}
@@ -93,7 +93,7 @@
 	return len(path) == len(prefix) || strings.HasSuffix(prefix, "/") || path[len(prefix)] == '/'
 }
 
-func routeBefore(a, b Route) bool {
+func routeLess(a, b Route) bool {
 	if len(a.PathPrefix) != len(b.PathPrefix) {
 		return len(a.PathPrefix) > len(b.PathPrefix)
 	}
--- a/core/record/schema.go
+++ b/core/record/schema.go
@@ -16,17 +16,17 @@
 
 // Limits of a record.
 const (
-	maxNameBytes     = 128
-	maxBodyBytes     = 64 << 10
-	maxRouteTimeout  = 10 * 60 * 1000 // milliseconds
-	maxAttempts      = 5
-	maxRouteAttempts = 100
-	maxPriority      = 9
-	maxSlots         = 10_000
-	maxWeights       = 32
-	maxShareWeight   = 1 << 32 // so that a sum of them fits 64 bits
-	defaultAttempts  = 3
-	knownMethodNames = "GET HEAD POST PUT PATCH DELETE OPTIONS"
+	maxNameBytes       = 128
+	maxBodyBytes       = 64 << 10
+	maxRouteTimeoutMS  = 10 * 60 * 1000 // milliseconds
+	maxAttempts        = 5
+	maxRouteAttempts   = 100
+	maxPriority        = 9
+	maxSlots           = 10_000
+	maxWeights         = 32
+	maxShareWeight     = 1 << 32 // so that a sum of them fits 64 bits
+	defaultMaxAttempts = 3
+	supportedMethods   = "GET HEAD POST PUT PATCH DELETE OPTIONS"
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
@@ -126,12 +126,12 @@
 	if route.TargetLatencyMS < 0 {
 		return errors.Errorf("target-latency-ms is %d, expected 0 or more", route.TargetLatencyMS)
 	}
-	if route.TimeoutMS < 1 || route.TimeoutMS > maxRouteTimeout {
-		return errors.Errorf("timeout-ms is %d, expected 1 to %d", route.TimeoutMS, maxRouteTimeout)
+	if route.TimeoutMS < 1 || route.TimeoutMS > maxRouteTimeoutMS {
+		return errors.Errorf("timeout-ms is %d, expected 1 to %d", route.TimeoutMS, maxRouteTimeoutMS)
 	}
 	for _, method := range route.Methods {
-		if !contains(strings.Fields(knownMethodNames), method) {
-			return errors.Errorf("methods has %q, expected some of %s", method, knownMethodNames)
+		if !contains(strings.Fields(supportedMethods), method) {
+			return errors.Errorf("methods has %q, expected some of %s", method, supportedMethods)
 		}
 	}
 	return checkPriority(route.Priority)
@@ -195,7 +195,7 @@
 		return errors.Errorf("service is missing")
 	}
 	if policy.MaxAttempts < 0 || policy.MaxAttempts > maxAttempts {
-		return errors.Errorf("max-attempts is %d, expected 0 (for %d) to %d", policy.MaxAttempts, defaultAttempts, maxAttempts)
+		return errors.Errorf("max-attempts is %d, expected 0 (for %d) to %d", policy.MaxAttempts, defaultMaxAttempts, maxAttempts)
 	}
 	return checkWeights(policy.Weights)
 }
--- a/core/record/floor.go
+++ b/core/record/schema_floor.go
@@ -31,11 +31,11 @@
 		}
 		supported[id] = supported[id] || r.SchemaVersion <= floor
 	}
-	left := lo.Keys(lo.PickBy(supported, func(id kindAndName, ok bool) bool { return !ok && selected(id.kind, id.name) }))
-	if len(left) == 0 {
+	unsupported := lo.Keys(lo.PickBy(supported, func(id kindAndName, ok bool) bool { return !ok && selected(id.kind, id.name) }))
+	if len(unsupported) == 0 {
 		return nil
 	}
-	names := lo.Map(left, func(id kindAndName, _ int) string { return fmt.Sprintf("%s %q", id.kind, id.name) })
+	names := lo.Map(unsupported, func(id kindAndName, _ int) string { return fmt.Sprintf("%s %q", id.kind, id.name) })
 	sort.Strings(names)
 	return errors.Annotatef(ErrSchemaFloor, "%s needs schema version %d or lower", names[0], floor)
 }
--- a/core/record/record_test.go
+++ b/core/record/schema_test.go
@@ -21,7 +21,7 @@
 }
 
 // Guards against replicas that store different verdicts because map order decides which of several faults is reported.
-func TestFirstFaultIsReportedInOrder(t *testing.T) {
+func TestReferenceErrorsAreDeterministic(t *testing.T) {
 	c := qt.New(t)
 	var records []core.Record
 	for _, name := range []string{"e", "d", "c", "b", "a"} {
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -76,7 +76,7 @@
 // shares returns the releases that may get this call.
 func (s *Server) shares(q *request) []share {
 	shares := make([]share, 0, len(q.weights))
-	onTrial, moving := q.configuration.OnTrial(q.route.Service)
+	onTrial, moving := q.configuration.MoveTarget(q.route.Service)
 	for _, weight := range q.weights {
 		upstream, _ := q.configuration.UpstreamOf(q.route.Service, weight.Upstream)
 		if weight.PerMille > 0 && s.options.ReleaseAllowed(q.route.Service, upstream.Release) {
--- a/io/cli/show.go
+++ b/io/cli/show.go
@@ -80,7 +80,7 @@
 			result += " (" + string(e.Cause) + ")"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", e.At.Format(time.RFC3339), e.Operator, e.Token, e.Action, result, e.Revision,
-			e.Move, e.Submission, strings.Join(e.What, "; "))
+			e.Move, e.Submission, strings.Join(e.Changes, "; "))
 	}
 	_ = table.Flush() // a broken standard output has no other place to be reported
 	return StatusOK
--- a/io/control/audit.go
+++ b/io/control/audit.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return catalog.NewArchived(archive), nil
+	return catalog.NewWithArchive(archive), nil
 }
 
 // startBackfill starts the duty that completes the archive of the audit trail.
--- a/io/control/audit_test.go
+++ b/io/control/audit_test.go
@@ -17,7 +17,7 @@
 	archive, err := disk.OpenArchive(disktest.NewMemory())
 	c.Assert(err, qt.IsNil)
 	b := newBackfill()
-	b.archive, b.catalog = archive, catalog.NewArchived(archive)
+	b.archive, b.catalog = archive, catalog.NewWithArchive(archive)
 	return b
 }
 
--- a/io/disk/archive_test.go
+++ b/io/disk/archive_test.go
@@ -35,7 +35,7 @@
 }
 
 func restored(c *qt.C, folder disk.Folder, snapshot []byte) *catalog.Catalog {
-	records := catalog.NewArchived(openArchive(c, folder))
+	records := catalog.NewWithArchive(openArchive(c, folder))
 	c.Assert(records.Restore(snapshot), qt.IsNil)
 	return records
 }
@@ -45,7 +45,7 @@
 func TestAuditTrailMovesToTheArchive(t *testing.T) {
 	c := qt.New(t)
 	folder := disktest.NewMemory()
-	records := catalog.NewArchived(openArchive(c, folder))
+	records := catalog.NewWithArchive(openArchive(c, folder))
 	const kept, total = 10_000, 12_345
 	var snapshot []byte
 	for first := 0; first < total; first += 2_500 {
@@ -83,7 +83,7 @@
 	fill(c, leader, 0, 11_000)
 	snapshot, err := leader.Snapshot()
 	c.Assert(err, qt.IsNil)
-	late := catalog.NewArchived(openArchive(c, disktest.NewMemory()))
+	late := catalog.NewWithArchive(openArchive(c, disktest.NewMemory()))
 	fill(c, late, 0, 400)
 	c.Assert(late.Restore(snapshot), qt.IsNil)
 	first, end := late.MissingAudit()
@@ -96,7 +96,7 @@
 	c := qt.New(t)
 	folder := disktest.NewMemory()
 	archive := openArchive(c, folder)
-	records := catalog.NewArchived(archive)
+	records := catalog.NewWithArchive(archive)
 	fill(c, records, 0, 10_500)
 	folder.FailSyncs(true)
 	_, err := records.Snapshot()
--- a/io/operatorhttp/members_test.go
+++ b/io/operatorhttp/members_test.go
@@ -144,7 +144,7 @@
 		results = append(results, entry.Result)
 	}
 	c.Assert(results, qt.DeepEquals, []catalog.Result{catalog.Requested, catalog.Accepted, catalog.Requested, catalog.Refused})
-	c.Assert(entries[1].What, qt.DeepEquals, []string{"promote member c2 identity c2"})
+	c.Assert(entries[1].Changes, qt.DeepEquals, []string{"promote member c2 identity c2"})
 	entries, err = f.client.Audit(ctx, catalog.AuditFilter{Submission: refused.ID})
 	c.Assert(err, qt.IsNil)
 	c.Assert(entries, qt.HasLen, 2)
--- a/io/operatorhttp/operations.go
+++ b/io/operatorhttp/operations.go
@@ -182,7 +182,7 @@
 		return nil, err
 	}
 	move, exists := s.options.Catalog.Move(core.MoveID(input.MoveID))
-	if !exists || !principalOf(ctx).Sees(s.tenant(move.Request.Service)) {
+	if !exists || !principalOf(ctx).CanAccess(s.tenant(move.Request.Service)) {
 		return nil, huma.Error404NotFound(fmt.Sprintf("there is no move %q", input.MoveID))
 	}
 	return &output[core.Move]{
@@ -228,7 +228,7 @@
 		Move:       core.MoveID(input.Move),
 		Since:      input.Since,
 		Limit:      input.Limit,
-		By:         principalOf(ctx),
+		Viewer:     principalOf(ctx),
 		Before:     input.Before,
 	})
 	if err != nil { // another instance may hold them
--- a/io/operatorhttp/server.go
+++ b/io/operatorhttp/server.go
@@ -150,7 +150,7 @@
 }
 
 func (s *Server) moves(by catalog.Principal) []core.Move {
-	return lo.Filter(s.options.Catalog.Moves(), func(m core.Move, _ int) bool { return by.Sees(s.tenant(m.Request.Service)) })
+	return lo.Filter(s.options.Catalog.Moves(), func(m core.Move, _ int) bool { return by.CanAccess(s.tenant(m.Request.Service)) })
 }
 
 func (s *Server) tenant(service core.ServiceName) core.TenantID {
--- a/io/operatorhttp/tokens.go
+++ b/io/operatorhttp/tokens.go
@@ -137,7 +137,7 @@
 	}
 	endpoints := make(map[core.ServiceName]int)
 	for service, count := range s.Fleet.Endpoints {
-		if by.Sees(tenant(service)) {
+		if by.CanAccess(tenant(service)) {
 			endpoints[service] = count
 		}
 	}
