--- a/core/catalog/audit.go
+++ b/core/catalog/audit.go
@@ -10,7 +10,7 @@
 	"parsleyport/core"
 )
 
-// AuditEntry is one line of the audit trail; entries are appended and never change.
+// AuditEntry is one entry of the audit trail. Entries are append-only and never change.
 type AuditEntry struct {
 	Index      core.LogIndex     `json:"index" msgpack:"index"`
 	At         time.Time         `json:"at" msgpack:"at"`
@@ -18,7 +18,7 @@
 	Token      string            `json:"token,omitempty" msgpack:"token,omitempty"` // name of the operators' token
 	Action     Action            `json:"action" msgpack:"action"`
 	Changes    []string          `json:"what" msgpack:"what"`
-	Owners     []core.TenantID   `json:"tenants,omitempty" msgpack:"owners,omitempty"` // tenant of each of What
+	Owners     []core.TenantID   `json:"tenants,omitempty" msgpack:"owners,omitempty"` // tenant of each of Changes
 	Submission core.SubmissionID `json:"submission-id,omitempty" msgpack:"submission-id"`
 	Move       core.MoveID       `json:"move-id,omitempty" msgpack:"move-id"`
 	Result     Result            `json:"result" msgpack:"result"`
@@ -27,21 +27,21 @@
 	Revision   core.Revision     `json:"revision" msgpack:"revision"`
 }
 
-// AuditFilter selects entries of the audit trail; zero fields select all.
+// AuditFilter selects entries of the audit trail; a zero field does not restrict the selection.
 type AuditFilter struct {
 	Operator   core.Operator
 	Submission core.SubmissionID
 	Move       core.MoveID
 	Since      time.Time
-	Limit      int // the latest entries up to this number
+	Limit      int // maximum number of entries, zero for all; the latest ones are returned
 	Viewer     Principal
 	Before     uint64 // only entries with a lower number, zero for all
 }
 
-// view returns the entry as the principal may see it: without the lines of other tenants.
+// visiblePart returns the entry without the lines that the viewer must not see; it is false if no line is left.
 func (f AuditFilter) visiblePart(e AuditEntry) (AuditEntry, bool) {
 	if !f.Viewer.IsLimited() || len(e.Owners) != len(e.Changes) {
-		return e, !f.Viewer.IsLimited() // an entry from before there were owners is the platform's
+		return e, !f.Viewer.IsLimited() // entries from before owners were recorded are visible to unlimited tokens only
 	}
 	what, owners := make([]string, 0, len(e.Changes)), make([]core.TenantID, 0, len(e.Changes))
 	for i, owner := range e.Owners {
@@ -50,7 +50,7 @@
 		}
 	}
 	if len(what) < len(e.Changes) {
-		e.Detail, e.Submission = "", "" // they may tell of the rest
+		e.Detail, e.Submission = "", "" // both may mention the removed lines
 	}
 	e.Changes, e.Owners = what, owners
 	return e, len(what) > 0
@@ -69,29 +69,30 @@
 	return !e.At.Before(f.Since)
 }
 
-// Archive keeps entries of the audit trail for good, encoded, by their number; the first entry ever has number 0.
+// Archive stores encoded entries of the audit trail permanently, by their number; the first entry ever has number 0.
 type Archive interface {
-	// Append stores entries, of which the first one has the given number, and returns once they are durable.
+	// Append stores entries, the first of which has the given number, and returns once they are durable.
 	Append(first uint64, entries [][]byte) error
-	// Missing returns the lowest numbers, from first to before end, that are not stored between from and to.
+	// Missing returns the lowest range of numbers between from and to that is not stored; end is exclusive.
 	Missing(from, to uint64) (first, end uint64)
-	// Batch returns stored entries around a number and the number of the first one, or a NotFound error.
+	// Batch returns the stored batch that contains the entry with a number, and the number of the batch's first entry. It
+	// returns a NotFound error if the entry is not stored.
 	Batch(number uint64) (first uint64, entries [][]byte, err error)
 }
 
 const (
-	// maxAuditEntries bounds the entries in the replicated state and in snapshots; older ones are in the archives only.
+	// maxAuditEntries limits the entries in the replicated state and in snapshots; older ones are in the archives only.
 	maxAuditEntries = 10_000
 	maxBatchEntries = 1_000
-	maxBatchBytes   = 1 << 20 // of one batch, apart from its last entry
-	// maxBatchesPerPage bounds what one query reads of the archive: at most 10,000 entries, of 10 MB or so.
+	maxBatchBytes   = 1 << 20 // size of a batch without its last entry
+	// maxBatchesPerPage limits what one query reads from the archive: at most 10,000 entries, about 10 MB.
 	maxBatchesPerPage = 10
 )
 
-// ErrAuditIncomplete means that this instance does not hold all older entries of the audit trail, or not yet.
+// ErrAuditIncomplete means that this instance does not hold all older entries of the audit trail, perhaps not yet.
 const ErrAuditIncomplete = errors.ConstError("older entries of the audit trail are not on this instance")
 
-// Audit returns the matching entries among the latest ones, oldest first.
+// Audit returns the matching entries among those in the replicated state, oldest first.
 func (c *Catalog) Audit(filter AuditFilter) []AuditEntry {
 	trail, number := c.latestAudit()
 	found, _ := filter.collect(make([]AuditEntry, 0), trail, number)
@@ -99,14 +100,14 @@
 	return found
 }
 
-// AuditPage is what one query found, oldest first. Next is the Before of the query that goes on with older entries, zero
-// if there are none; a page may be empty and have a next one.
+// AuditPage is the result of one query, oldest entry first. Next is the value of AuditFilter.Before for the next page of older
+// entries, or zero if there are none. A page may be empty although there is a next one.
 type AuditPage struct {
 	Entries []AuditEntry `json:"entries"`
 	Next    uint64       `json:"next,omitempty"`
 }
 
-// AuditAll returns the matching entries among all, oldest first, or ErrAuditIncomplete. Its work has no bound.
+// AuditAll returns the matching entries among all, oldest first, or ErrAuditIncomplete. It reads without a limit.
 func (c *Catalog) AuditAll(filter AuditFilter) ([]AuditEntry, error) {
 	limit := filter.Limit
 	var found []AuditEntry
@@ -120,12 +121,12 @@
 		if page.Next == 0 || (limit > 0 && filter.Limit == 0) {
 			return found, nil
 		}
-		filter.Limit = max(filter.Limit, 0) // no limit stays none
+		filter.Limit = max(filter.Limit, 0) // without a limit the difference is negative; zero means no limit
 	}
 }
 
-// AuditPage goes through the entries from the newest on, up to the filter's limit and a bounded number of archived ones;
-// it returns ErrAuditIncomplete.
+// AuditPage searches from the newest entry backwards, until it has found the filter's limit or has read maxBatchesPerPage
+// batches of the archive. It returns ErrAuditIncomplete.
 func (c *Catalog) AuditPage(filter AuditFilter) (AuditPage, error) {
 	entries, first := c.latestAudit()
 	last := first + uint64(len(entries))
@@ -153,11 +154,11 @@
 	}, nil
 }
 
-// latestAudit returns the entries that are held in memory and the number of the first one.
+// latestAudit returns the entries in memory and the number of the first one.
 func (c *Catalog) latestAudit() ([]AuditEntry, uint64) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.audit, c.auditCount - uint64(len(c.audit)) // entries below its length never change
+	return c.audit, c.auditCount - uint64(len(c.audit)) // entries below this length never change
 }
 
 func (c *Catalog) archivedAudit(number uint64) (uint64, []AuditEntry, error) {
@@ -185,8 +186,8 @@
 	return f.Limit > 0 && len(found) >= f.Limit
 }
 
-// collect adds matching entries, the newest first, and returns the number of the last entry that it looked at; first is
-// the number of the first one.
+// collect appends the matching entries of trail, newest first, and returns the number of the last entry that it examined. The
+// first entry of trail has the number first.
 func (f AuditFilter) collect(found, trail []AuditEntry, first uint64) ([]AuditEntry, uint64) {
 	for i := len(trail) - 1; i >= 0; i-- {
 		if f.isFull(found) {
@@ -199,7 +200,7 @@
 	return found, first
 }
 
-// MissingAudit returns the lowest numbers, from first to before end, of entries that only other instances hold.
+// MissingAudit returns the lowest range of entry numbers that this instance does not hold; end is exclusive.
 func (c *Catalog) MissingAudit() (first, end uint64) {
 	_, number := c.latestAudit()
 	if c.archive == nil {
@@ -208,7 +209,7 @@
 	return c.archive.Missing(0, number)
 }
 
-// archiveAudit stores what the archive does not hold of the latest entries. It runs on the goroutine of Apply.
+// archiveAudit stores those of the latest entries that the archive does not hold. It runs on the goroutine of Apply.
 func (c *Catalog) archiveAudit() error {
 	if c.archive == nil {
 		return nil
@@ -229,7 +230,7 @@
 	}
 }
 
-// encodeAudit encodes entries up to the size of a batch.
+// encodeAudit encodes entries until a batch is full.
 func encodeAudit(entries []AuditEntry) ([][]byte, error) {
 	var batch [][]byte
 	size := 0
@@ -251,6 +252,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if excess := len(c.audit) - maxAuditEntries; excess > 0 {
-		c.audit = slices.Clone(c.audit[excess:]) // lets go of the older ones
+		c.audit = slices.Clone(c.audit[excess:]) // releases the memory of the older entries
 	}
 }
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -19,7 +19,7 @@
 	_ record.Source     = (*Catalog)(nil)
 )
 
-// Catalog is the replicated state; Apply and Restore run on one goroutine, the other methods on any.
+// Catalog is the replicated state. Apply and Restore must run on one goroutine; the other methods are safe on any.
 type Catalog struct {
 	mu                   sync.RWMutex // guards all fields
 	configuration        *record.Configuration
@@ -31,26 +31,26 @@
 	openMoves            map[core.ServiceName]core.MoveID
 	moveCount            uint64
 	audit                []AuditEntry // the latest entries
-	auditCount           uint64       // all entries ever
-	archive              Archive      // nil: older entries are dropped
+	auditCount           uint64       // number of entries ever appended
+	archive              Archive      // if nil, older entries are dropped
 	rules                core.RulesVersion
 	usage                map[string]usage
 	deletedNames         map[core.TenantID]int
-	ownerships           map[core.RecordKey]ownership // of the records in force; derived, since decoding them all takes milliseconds
-	purgeIntervalEntries uint64                       // a constant but in tests
-	knownRules           core.RulesVersion            // a constant but in tests
+	ownerships           map[core.RecordKey]ownership // owner fields of the records in force; derived state, since decoding all bodies takes milliseconds
+	purgeIntervalEntries uint64                       // constant except in tests
+	knownRules           core.RulesVersion            // constant except in tests
 }
 
-// stamp says who set the newest version of a record. The stamp of a deleted record stays for a while (see purgeTombstones), so
-// that a late submission with an old version cannot bring the record back.
+// lastChange describes the newest version of a record. The lastChange of a deleted record is its tombstone: it is kept until
+// purgeTombstones drops it, so that a late submission with an old version cannot restore the record.
 type lastChange struct {
 	Version    core.RecordVersion `msgpack:"version"`
 	Submission core.SubmissionID  `msgpack:"submission-id"`
 	Operator   core.Operator      `msgpack:"operator"`
 	Hash       core.Hash          `msgpack:"hash"`
 	Deleted    bool               `msgpack:"deleted"`
-	Owner      core.TenantID      `msgpack:"owner,omitempty"`      // of a record that a token of its tenant deleted
-	DeletedMS  int64              `msgpack:"deleted-ms,omitempty"` // time of the deletion, Unix
+	Owner      core.TenantID      `msgpack:"owner,omitempty"`      // tenant that keeps the name; set only if a token limited to tenants deleted the record
+	DeletedMS  int64              `msgpack:"deleted-ms,omitempty"` // time of the deletion in Unix milliseconds
 }
 
 // New returns a catalog with revision 0 and no records.
@@ -71,7 +71,7 @@
 	}
 }
 
-// NewWithArchive returns a catalog that moves old entries of the audit trail to an archive.
+// NewWithArchive returns a catalog that writes old entries of the audit trail to an archive.
 func NewWithArchive(archive Archive) *Catalog {
 	c := New()
 	c.archive = archive
@@ -92,8 +92,8 @@
 	return c.changed
 }
 
-// Apply applies one command and returns an encoded Verdict; a command that cannot be decoded changes nothing. It returns
-// ErrRulesUnknown if the command brings rules into force that this program does not know.
+// Apply applies one command and returns an encoded Verdict. A command that cannot be decoded changes nothing. Apply returns
+// ErrRulesUnknown if the command puts a rules version into force that this program does not know.
 func (c *Catalog) Apply(index core.LogIndex, command []byte) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,19 +133,19 @@
 	return c.withRevision(refused(CauseMalformed, "unknown action %q", e.Action))
 }
 
-// sender is what an operator's command says about itself in the audit trail.
+// commandSummary identifies an operator's command and lists what it changes, for the audit trail.
 type commandSummary struct {
 	id       core.SubmissionID
 	operator core.Operator
 	changes  []string
-	owners   []core.TenantID // of each of what; empty for what concerns the whole deployment
+	owners   []core.TenantID // tenant of each change; empty for changes to the whole deployment
 }
 
 type operatorCommand interface {
 	core.Submission | core.MoveRequest | Abort | MembershipChange
 }
 
-// decodeAndRun answers a resend from memory, and otherwise runs the command and remembers its verdict.
+// decodeAndRun answers a resend from the verdict history. Otherwise it runs the command and stores its verdict.
 func decodeAndRun[T operatorCommand](c *Catalog, index core.LogIndex, e envelope, run func(envelope, T) Verdict) Verdict {
 	var body T
 	if err := decode(e.Body, &body); err != nil {
@@ -168,7 +168,7 @@
 		return c.withRevision(*refusal)
 	}
 	verdict := run(e, body)
-	if e.Limits != nil { // both memories keep it
+	if e.Limits != nil { // the verdict history and the audit trail both store the detail
 		verdict.Detail = truncate(verdict.Detail)
 	}
 	verdict.Submission = summary.id
@@ -180,7 +180,7 @@
 		Hash:     hash,
 		Scope:    scope,
 	}, e.Limits != nil)
-	if verdict.Cause == CauseNotPermitted { // what it names may be another tenant's, who must not read of the attempt
+	if verdict.Cause == CauseNotPermitted { // the changes may name another tenant's records, and that tenant must not learn of the attempt
 		summary.owners = slices.Repeat(principal.Tenants[:1], len(summary.changes))
 	}
 	c.appendAudit(index, e, summary, verdict)
@@ -188,7 +188,7 @@
 	return verdict
 }
 
-// resent refuses another content under a known id, because the first verdict would be untrue for it.
+// resolveResend returns the stored verdict, or refuses different content under a used id, for which that verdict would be wrong.
 func (c *Catalog) resolveResend(e envelope, earlier pastVerdict, summary commandSummary, hash core.Hash) Verdict {
 	if earlier.Hash == hash {
 		return earlier.Verdict
@@ -232,7 +232,7 @@
 	c.changed = make(chan struct{})
 }
 
-// build returns the configuration of the next revision, or a refusal.
+// buildNext returns the configuration of the next revision, or a refusal.
 func (c *Catalog) buildNext(records []core.Record, overrides []core.Override) (*record.Configuration, *Verdict) {
 	next, err := c.configuration.Next(records, overrides)
 	if err == nil {
@@ -274,7 +274,7 @@
 	return commandSummary{}
 }
 
-// abortOwner leaves the entry to a limited token that names a move which it does not see.
+// abortOwner assigns the audit entry to the limited token's own tenant if the token names a move that it must not see.
 func (c *Catalog) abortOwner(principal Principal, abort Abort) core.TenantID {
 	if owner := ServiceTenant(c.configuration, c.moves[abort.MoveID].Move.Request.Service); principal.CanAccess(owner) {
 		return owner
@@ -282,7 +282,7 @@
 	return principal.Tenants[0]
 }
 
-// ownersOf returns the tenant of each line of describeSubmission, as it is before the submission.
+// ownersOf returns the tenant of each line of describeSubmission, as of before the submission.
 func (c *Catalog) ownersOf(s core.Submission) []core.TenantID {
 	o := newOwnerLookup(c.configuration, s.Records)
 	tenants := make([]core.TenantID, 0, len(s.Records)+len(s.Deletes))
--- a/core/catalog/command.go
+++ b/core/catalog/command.go
@@ -13,18 +13,18 @@
 	"parsleyport/core/record"
 )
 
-// ErrMalformed means that a submission is wrong in itself; it must not be proposed.
+// ErrMalformed means that a submission is invalid in any state, so that it must not be proposed.
 const ErrMalformed = errors.ConstError("malformed submission")
 
 // Limits of a command.
 const (
-	// MaxCommandBytes bounds one command, so that a log entry with its frame stays well below core.MaxFrameBytes.
+	// MaxCommandBytes limits one command, so that a log entry with its frame stays well below core.MaxFrameBytes.
 	MaxCommandBytes = 4 << 20
 	maxIDBytes      = 128
 	maxTextBytes    = 4 << 10 // cause and evidence of a step, detail of a verdict
 )
 
-// Action is the kind of a command; the audit trail shows it.
+// Action is the kind of a command; it is part of audit entries.
 type Action string
 
 // The actions.
@@ -37,14 +37,15 @@
 	ActionRules   Action = "rules"
 )
 
-// Abort asks to take an open move back.
+// Abort requests that an open move be taken back.
 type Abort struct {
 	ID       core.SubmissionID `json:"submission-id,omitempty" msgpack:"submission-id"`
 	Operator core.Operator     `json:"operator,omitempty" msgpack:"operator"`
 	MoveID   core.MoveID       `json:"move-id" msgpack:"move-id"`
 }
 
-// envelope is a command; the hash of Body identifies the content of a submission, so Body has nothing that a resend changes.
+// envelope is an encoded command. The hash of Body identifies the content of a submission, so Body holds nothing that differs
+// in a resend.
 type envelope struct {
 	Action      Action             `msgpack:"action"`
 	At          time.Time          `msgpack:"at"`
@@ -52,12 +53,12 @@
 	Body        []byte             `msgpack:"body"`
 
 	Token   string          `msgpack:"token,omitempty"`
-	Tenants []core.TenantID `msgpack:"tenants,omitempty"` // to which the token is limited
-	Limits  *Limits         `msgpack:"limits,omitempty"`  // none in commands from before there were limits
+	Tenants []core.TenantID `msgpack:"tenants,omitempty"` // tenants to which the token is limited
+	Limits  *Limits         `msgpack:"limits,omitempty"`  // nil in commands from before limits existed
 }
 
-// EncodeSubmit checks each record by itself and encodes the submission; floor is the highest schema version that every
-// attached node supports (zero if no node is attached). It returns ErrMalformed.
+// EncodeSubmit checks each record by itself and encodes the submission. The floor is the highest schema version that every
+// attached node supports, zero if no node is attached. It returns ErrMalformed.
 func EncodeSubmit(at time.Time, floor core.SchemaVersion, s core.Submission) ([]byte, error) {
 	if err := checkSubmitter(s.ID, s.Operator); err != nil {
 		return nil, err
@@ -81,7 +82,7 @@
 	if err := checkKeys(s); err != nil {
 		return nil, errors.WithType(err, ErrMalformed)
 	}
-	for _, d := range s.Deletes { // CheckRecord has checked the names of the records
+	for _, d := range s.Deletes { // CheckRecord has already checked the names of the records
 		if err := checkNames(string(d.Kind), d.Name); err != nil {
 			return nil, err
 		}
@@ -89,7 +90,7 @@
 	return encode(ActionSubmit, at, floor, s)
 }
 
-// EncodeMove encodes a request for a move; it returns ErrMalformed.
+// EncodeMove encodes a request for a move. It returns ErrMalformed.
 func EncodeMove(at time.Time, request core.MoveRequest) ([]byte, error) {
 	if err := checkSubmitter(request.ID, request.Operator); err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	return encode(ActionMove, at, 0, request)
 }
 
-// EncodeAbort encodes a request to take a move back; it returns ErrMalformed.
+// EncodeAbort encodes a request to take a move back. It returns ErrMalformed.
 func EncodeAbort(at time.Time, abort Abort) ([]byte, error) {
 	if err := checkSubmitter(abort.ID, abort.Operator); err != nil {
 		return nil, err
@@ -112,7 +113,7 @@
 	return encode(ActionAbort, at, 0, abort)
 }
 
-// EncodeStep encodes the leader's proposal to bring a move one step further; it returns ErrMalformed.
+// EncodeStep encodes the leader's proposal of the next step of a move. It returns ErrMalformed.
 func EncodeStep(step core.MoveStep) ([]byte, error) {
 	if len(step.Cause) > maxTextBytes || len(step.Evidence) > maxTextBytes {
 		return nil, errors.Annotatef(ErrMalformed, "cause or evidence of a step has more than %d bytes", maxTextBytes)
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// checkNames bounds what the audit trail keeps for good.
+// checkNames limits the length of names, which the audit trail keeps permanently.
 func checkNames(names ...string) error {
 	for _, name := range names {
 		if len(name) > maxIDBytes {
@@ -188,8 +189,8 @@
 	return nil
 }
 
-// canonical sorts keys and drops white space, so that equal content has equal bytes. Only the proposer calls it: the
-// state machine must not depend on the JSON encoder of the program version.
+// canonicalJSON sorts keys and removes white space, so that equal content has equal bytes. Only the proposer calls it: the
+// state machine must not depend on the JSON encoder, which may differ between program versions.
 func canonicalJSON(body []byte) ([]byte, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
@@ -200,7 +201,7 @@
 	return json.Marshal(value)
 }
 
-// decode returns an error for any broken input: msgpack panics on a nil in the place of a time.
+// decode returns an error for any malformed input. It recovers because msgpack panics on a nil in place of a time.
 func decode(encoded []byte, target any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/core/catalog/doc.go
+++ b/core/catalog/doc.go
@@ -1,4 +1,4 @@
-// Package catalog is the replicated state machine of the control instances: records with their revision, the verdicts of
-// submissions, moves and the audit trail. It is deterministic: it reads no clock, and the proposer puts the time, the
-// checks of single records and the schema floor of the fleet into the command.
+// Package catalog is the replicated state machine of the control instances. It holds the configuration records with their
+// revision, the verdicts of submissions, the moves and the audit trail. It is deterministic and reads no clock: the proposer
+// puts the time, the result of checking each record by itself and the schema floor of all attached nodes into the command.
 package catalog
--- a/core/catalog/expectations.go
+++ b/core/catalog/expectations.go
@@ -6,8 +6,8 @@
 	"parsleyport/core"
 )
 
-// premature refuses a submission that builds on other versions than those in force, or that the rules in force do not cover.
-// Such a refusal is not remembered: the same submission may be accepted later.
+// checkPreconditions refuses a submission that expects other versions than those in force, or that needs newer rules than those
+// in force. The refusal is not stored, since the same submission may be accepted later.
 func (c *Catalog) checkPreconditions(e envelope, id core.SubmissionID, body any) *Verdict {
 	s, isSubmission := body.(core.Submission)
 	if !isSubmission {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Verdict returns the remembered verdict of a submission of a principal with all rights.
+// Verdict returns the stored verdict of a submission by an unlimited principal.
 func (c *Catalog) Verdict(id core.SubmissionID) (Verdict, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/core/catalog/limits.go
+++ b/core/catalog/limits.go
@@ -9,21 +9,21 @@
 	"parsleyport/core/record"
 )
 
-// limitWindow is the time over which submissions are counted; it starts with the first one.
+// limitWindow is the time over which submissions are counted; a window starts with its first submission.
 const limitWindow = 24 * time.Hour
 
-// Limits bound what limited tokens submit. They are part of a command, so that a replay decides each command as it was
-// decided first, whatever the settings are by then. The first two are for each set of tenants to which a token is limited, the
-// others for each tenant.
+// Limits restrict what limited tokens submit. They are part of a command, so that a replay decides each command as it was
+// decided at first, even if the settings have changed. Submissions and Bytes apply to each set of tenants to which a token is
+// limited, the other fields to each tenant.
 type Limits struct {
 	Submissions  int   `msgpack:"submissions"`   // new submission ids in 24 h
 	Bytes        int64 `msgpack:"bytes"`         // of their encoded content in 24 h
-	Records      int   `msgpack:"records"`       // in force
-	RecordBytes  int64 `msgpack:"record-bytes"`  // of their bodies
-	DeletedNames int   `msgpack:"deleted-names"` // of records whose deletion is still remembered
+	Records      int   `msgpack:"records"`       // records in force
+	RecordBytes  int64 `msgpack:"record-bytes"`  // total size of the bodies of the records in force
+	DeletedNames int   `msgpack:"deleted-names"` // names of deleted records whose tombstones are still kept
 }
 
-// usage counts the submissions since the start of a window.
+// usage counts the submissions since the start of a window; SinceMS is in Unix milliseconds.
 type usage struct {
 	SinceMS     int64 `msgpack:"since-ms"`
 	Submissions int   `msgpack:"submissions"`
@@ -35,7 +35,7 @@
 	Usage usage  `msgpack:"usage"`
 }
 
-// bounded returns the limits that apply to the principal, or nil.
+// effectiveLimits returns the limits that apply to the principal, or nil.
 func (p Principal) effectiveLimits() *Limits {
 	if !p.IsLimited() {
 		return nil
@@ -43,8 +43,8 @@
 	return p.Limits
 }
 
-// charge counts a new submission, or refuses it. The refusal is neither remembered nor in the audit trail, both of which it
-// protects; the same id can be sent again later.
+// chargeUsage counts a new submission, or refuses it. The refusal is stored neither in the verdict history nor in the audit
+// trail, because the limit protects both from growing; the same id can be sent again later.
 func (c *Catalog) chargeUsage(e envelope, scope string, id core.SubmissionID) *Verdict {
 	limits := e.principal().effectiveLimits()
 	if limits == nil {
@@ -80,9 +80,9 @@
 	return u, nil
 }
 
-// OverLimit returns the refusal that a command would get now because its tenants have submitted too much, unless its id is
-// remembered. It keeps such commands out of the log; the caller confirms that this state is current, or a resend might get
-// the refusal.
+// OverLimit returns the refusal that a command would get now because its tenants have submitted too much; it is false if the
+// command is within the limits or its id is in the verdict history. Callers use it to keep such commands out of the log. They
+// must confirm that this state is current, since otherwise a resend might get the refusal instead of its verdict.
 func (c *Catalog) OverLimit(command []byte) (Verdict, bool) {
 	var e envelope
 	if err := decode(command, &e); err != nil || e.principal().effectiveLimits() == nil {
@@ -115,7 +115,7 @@
 	return strings.ToValidUTF8(text[:maxTextBytes], "") + "..."
 }
 
-// hasEnded also ends a window that a proposer whose clock was far ahead has started.
+// hasEnded is also true for a window that starts far in the future, as a proposer whose clock is far ahead may start one.
 func (u usage) hasEnded(now time.Time) bool {
 	return now.Sub(time.UnixMilli(u.SinceMS)).Abs() >= limitWindow
 }
@@ -129,7 +129,7 @@
 }
 
 func sortedUsage(all map[string]usage) []scopedUsage {
-	var sorted []scopedUsage // nil is left out of a snapshot
+	var sorted []scopedUsage // stays nil if empty, so that snapshots omit it
 	for scope, u := range all {
 		sorted = append(sorted, scopedUsage{
 			Scope: scope,
@@ -140,21 +140,21 @@
 	return sorted
 }
 
-// holding is what a tenant has in the replicated state.
+// tenantTotals counts what a tenant has in the replicated state.
 type tenantTotals struct {
 	records      int
 	bytes        int64
 	deletedNames int
 }
 
-// checkRecordLimits refuses a submission that would leave a tenant above a limit with more than it has now.
+// checkRecordLimits refuses a submission that leaves a tenant above a limit and with more than it has now.
 func (cs *changeSet) checkRecordLimits(next *record.Configuration) *Verdict {
 	limits := cs.principal.effectiveLimits()
 	if limits == nil {
 		return nil
 	}
 	after := cs.totalsByTenant(next, cs.lastChanges)
-	var before map[core.TenantID]*tenantTotals // is needed only above a limit
+	var before map[core.TenantID]*tenantTotals // computed only if a limit is exceeded
 	for _, tenant := range cs.principal.Tenants {
 		a := after[tenant]
 		if a.records <= limits.Records && a.bytes <= limits.RecordBytes && a.deletedNames <= limits.DeletedNames {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// holdings counts what the principal's tenants have in a configuration, with the stamps that the submission changes.
+// totalsByTenant counts what the principal's tenants have in a configuration, including the submission's last changes.
 func (cs *changeSet) totalsByTenant(configuration *record.Configuration, changed map[core.RecordKey]lastChange) map[core.TenantID]*tenantTotals {
 	c := cs.catalog
 	held := make(map[core.TenantID]*tenantTotals, len(cs.principal.Tenants))
@@ -213,7 +213,7 @@
 	return held
 }
 
-// setLastChange replaces a stamp and counts the names of deleted records.
+// setLastChange replaces the last change of a record and updates the number of names of deleted records.
 func (c *Catalog) setLastChange(key core.RecordKey, s lastChange) {
 	c.dropLastChange(key)
 	c.lastChanges[key] = s
--- a/core/catalog/members.go
+++ b/core/catalog/members.go
@@ -9,9 +9,9 @@
 	"parsleyport/core"
 )
 
-// MembershipChange is an entry about a change of the control instances. The change itself is in the replicated log, not in
-// this state: the entry with the result Requested comes before it, and one with the result Accepted or Refused after it.
-// A request without a result is one whose outcome no instance could record.
+// MembershipChange is a command that records a change of the control instances in the audit trail. The change itself is made in
+// the replicated log, not in this state: an entry with the result Requested precedes it, and one with the result Accepted or
+// Refused follows it. A request without a result means that no instance could record the outcome.
 type MembershipChange struct {
 	ID       core.SubmissionID `msgpack:"submission-id"`
 	Operator core.Operator     `msgpack:"operator"`
@@ -22,10 +22,10 @@
 	Detail   string            `msgpack:"detail,omitempty"`
 }
 
-// membershipResultScope keeps the result of a membership change apart from its request, which has the same submission id.
+// membershipResultScope separates the result of a membership change from its request, which has the same submission id.
 const membershipResultScope = "members-result\x00"
 
-// EncodeMembershipChange encodes an entry about a membership change; it returns ErrMalformed.
+// EncodeMembershipChange encodes a command that records a membership change. It returns ErrMalformed.
 func EncodeMembershipChange(at time.Time, change MembershipChange) ([]byte, error) {
 	if err := checkSubmitter(change.ID, change.Operator); err != nil {
 		return nil, err
--- a/core/catalog/moves.go
+++ b/core/catalog/moves.go
@@ -11,7 +11,7 @@
 	"parsleyport/core"
 )
 
-// maxEndedMoves bounds the ended moves that are listed; older ones are in the audit trail only.
+// maxEndedMoves limits the ended moves that are listed; older ones are in the audit trail only.
 const maxEndedMoves = 1000
 
 // causeOperator is the cause of a move that an operator took back.
@@ -19,11 +19,11 @@
 
 var moveStates = []core.MoveState{core.MoveProposed, core.MoveProbing, core.MoveGrowing, core.MoveDone, core.MoveTakenBack, core.MoveExpired}
 
-// move is a move with the override that it replaces, if an earlier move left one.
+// move is a move together with the override that it replaces, if an earlier move left one.
 type move struct {
 	Move     core.Move      `msgpack:"move"`
 	Previous *core.Override `msgpack:"previous"`
-	Fair     bool           `msgpack:"fair,omitempty"` // started by a command with limits
+	Fair     bool           `msgpack:"fair,omitempty"` // started by a command with limits; ended moves are then evicted fairly
 }
 
 // Ended reports whether a state is final.
@@ -38,7 +38,7 @@
 	return lo.Map(c.moveOrder, func(id core.MoveID, _ int) core.Move { return c.moves[id].Move })
 }
 
-// Move returns one move.
+// Move returns the move with an id.
 func (c *Catalog) Move(id core.MoveID) (core.Move, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -86,14 +86,15 @@
 	}
 }
 
-// takesAnyRelease reports whether a release of the service gets calls unless its weights exclude it, so that a move has to name the
-// new release from its start and after it was taken back.
+// takesAnyRelease reports whether every release of the service gets calls unless the weights exclude it. A move then has to
+// name the new release in the weights from its start, and also after it was taken back.
 func (c *Catalog) takesAnyRelease(service core.ServiceName) bool {
 	body, _ := c.configuration.Service(service)
 	return body.AnyRelease
 }
 
-// originalWeights returns the weights that a move starts from. With any release, the old releases are all but the new one.
+// originalWeights returns the weights that a move starts from. If the service takes any release, the old releases are all but
+// the new one.
 func (c *Catalog) originalWeights(service core.ServiceName) []core.Weight {
 	if !c.takesAnyRelease(service) {
 		return c.configuration.Weights(service)
@@ -149,8 +150,8 @@
 	return verdict
 }
 
-// step applies a step of the leader. A step that changes nothing is not in the audit trail: after a change of leader,
-// two leaders may send the same one.
+// step applies a step that the leader proposed. A refused step is not in the audit trail: after a change of leader, two
+// leaders may propose the same one.
 func (c *Catalog) step(index core.LogIndex, e envelope) Verdict {
 	var s core.MoveStep
 	if err := decode(e.Body, &s); err != nil {
@@ -210,7 +211,7 @@
 	}
 }
 
-// overridesAfter returns all overrides as they are after a move's step.
+// overridesAfter returns all overrides as they are after a step of a move.
 func (c *Catalog) overridesAfter(m move) []core.Override {
 	request := m.Move.Request
 	overrides := lo.Reject(c.configuration.Overrides(), func(o core.Override, _ int) bool { return o.Service == request.Service })
@@ -230,8 +231,8 @@
 	return overrides
 }
 
-// movedWeights moves a share of From's weight to To, rounded up so that a small share of a small weight is not lost.
-// It keeps From without weight, so that its record cannot be deleted while the move may still be taken back.
+// movedWeights moves a share of From's weight to To. It rounds up, so that a small share of a small weight does not become
+// zero. It keeps an entry for From even at weight zero, so that its record cannot be deleted while the move may be taken back.
 func movedWeights(original []core.Weight, request core.MoveRequest, share core.PerMille) []core.Weight {
 	from := weightOf(original, request.From)
 	moved := (from*share + core.FullShare - 1) / core.FullShare
@@ -256,8 +257,8 @@
 	return 0
 }
 
-// evictEndedMove forgets the oldest ended move if there are too many: that of the tenant with the most if they are shared
-// fairly, so that no tenant's moves leave the list because of another one.
+// evictEndedMove removes the oldest ended move if there are too many. With fair eviction it removes the oldest one of the tenant
+// with the most ended moves, so that one tenant cannot push another one's moves out of the list.
 func (c *Catalog) evictEndedMove(fair bool) {
 	if len(c.moveOrder) <= maxEndedMoves+len(c.openMoves) {
 		return
--- a/core/catalog/principal.go
+++ b/core/catalog/principal.go
@@ -12,25 +12,26 @@
 	"parsleyport/core/record"
 )
 
-// Principal is the operators' token with which a command or a query came. Its secret is not part of it.
+// Principal is the operators' token that authenticated a command or a query, without its secret.
 type Principal struct {
 	Token   string          // name of the token, empty if operators need none
 	Tenants []core.TenantID // the tenants to which the token is limited; empty for all rights
-	Limits  *Limits         // with which its commands are decided, or nil
+	Limits  *Limits         // limits for its commands, or nil
 }
 
-// IsLimited reports whether the principal has the rights of some tenants only.
+// IsLimited reports whether the principal has rights for some tenants only.
 func (p Principal) IsLimited() bool {
 	return len(p.Tenants) > 0
 }
 
-// Sees reports whether the principal may read and change what belongs to a tenant; an empty tenant stands for the whole
+// CanAccess reports whether the principal may read and change what belongs to a tenant. An empty tenant stands for the whole
 // deployment.
 func (p Principal) CanAccess(tenant core.TenantID) bool {
 	return !p.IsLimited() || (tenant != "" && slices.Contains(p.Tenants, tenant))
 }
 
-// Scope names the set of tenants to which the principal is limited; it separates the submission ids of different tenants, so that none learns of or uses up the ids of another.
+// Scope returns a key for the set of tenants to which the principal is limited. Each scope has its own submission ids, so that
+// no tenant learns of the ids of another or uses them up.
 func (p Principal) Scope() string {
 	names := make([]string, 0, len(p.Tenants))
 	for _, tenant := range p.Tenants {
@@ -40,8 +41,8 @@
 	return strings.Join(names, "\x00")
 }
 
-// WithPrincipal adds the principal to an encoded command; the state machine checks its rights when it applies the
-// command, since the owner of a record may change until then. It returns ErrMalformed for a command that becomes too long.
+// WithPrincipal adds the principal to an encoded command. The state machine checks its rights when it applies the command, since
+// the owner of a record may change before. It returns ErrMalformed for a command that cannot be decoded or becomes too long.
 func WithPrincipal(command []byte, principal Principal) ([]byte, error) {
 	var e envelope
 	if err := decode(command, &e); err != nil {
@@ -66,7 +67,7 @@
 	}
 }
 
-// owners looks up the tenants of records in a configuration, and in a submission for what the configuration does not have.
+// ownerLookup finds the tenants of records in a configuration, and in a submission for services that the configuration lacks.
 type ownerLookup struct {
 	configuration *record.Configuration
 	submitted     map[core.ServiceName]core.TenantID
@@ -85,13 +86,14 @@
 	return o
 }
 
-// ownership has the fields of a body that say to whom a record belongs; all schema versions have them.
+// ownership holds the fields of a body that determine its owner; all schema versions have them.
 type ownership struct {
 	Tenant  core.TenantID    `json:"tenant"`
 	Service core.ServiceName `json:"service"`
 }
 
-// decodeOwnership takes the first service of a route to several: a limited token may only use services of its tenants.
+// decodeOwnership uses the first service of a route that splits calls among several: a limited token may only use services of
+// its tenants.
 func decodeOwnership(r core.Record) ownership {
 	var body struct {
 		ownership
@@ -106,7 +108,7 @@
 	return body.ownership
 }
 
-// service returns the tenant that a service record names, or none if there is no such service.
+// tenantOfService returns the tenant that a service record names, or none if there is no such service.
 func (o ownerLookup) tenantOfService(name core.ServiceName) core.TenantID {
 	if body, exists := o.configuration.Service(name); exists {
 		return body.Tenant
@@ -114,7 +116,7 @@
 	return o.submitted[name]
 }
 
-// record returns the tenant of a record: that of the service to which it refers.
+// tenantOfRecord returns the tenant of a record, which is that of the service to which the record refers.
 func (o ownerLookup) tenantOfRecord(r core.Record) core.TenantID {
 	return o.tenantOfBody(r, decodeOwnership(r))
 }
@@ -126,7 +128,7 @@
 	return o.tenantOfService(body.Service)
 }
 
-// held returns the record of a kind and name in the highest schema version that is in force.
+// recordInForce returns the record of a kind and name with the highest schema version in force.
 func (o ownerLookup) recordInForce(kind core.Kind, name string) (core.Record, bool) {
 	for version := record.NewestSchema; version > 0; version-- {
 		if r, exists := o.configuration.Record(core.RecordKey{Kind: kind, Name: name, SchemaVersion: version}); exists {
@@ -136,7 +138,7 @@
 	return core.Record{}, false
 }
 
-// current returns the tenant of what a submitted record or deletion changes.
+// tenantBefore returns the tenant of a record as of before the submission, or that of the submitted record if it is new.
 func (o ownerLookup) tenantBefore(kind core.Kind, name string, submitted *core.Record) core.TenantID {
 	if held, exists := o.recordInForce(kind, name); exists {
 		return o.tenantOfRecord(held)
@@ -153,7 +155,7 @@
 	return slices.DeleteFunc(configuration.Records(), func(r core.Record) bool { return !principal.CanAccess(o.tenantOfRecord(r)) })
 }
 
-// ServiceOf returns the service to which a record belongs: for a service record, itself.
+// ServiceOf returns the service to which a record belongs; a service record belongs to itself.
 func ServiceOf(r core.Record) core.ServiceName {
 	if r.Kind == core.KindService {
 		return core.ServiceName(r.Name)
@@ -166,8 +168,8 @@
 	return newOwnerLookup(configuration, nil).tenantOfService(service)
 }
 
-// permit refuses a submission of a limited principal that changes or refers to what belongs to another tenant. The
-// refusals name nothing that the submission does not name.
+// checkPermissions refuses a submission of a limited principal that changes or refers to what belongs to another tenant. The
+// refusal names nothing that the submission does not name.
 func (c *Catalog) checkPermissions(principal Principal, s core.Submission) *Verdict {
 	if !principal.IsLimited() {
 		return nil
@@ -196,8 +198,8 @@
 	return nil
 }
 
-// mayChange checks the owner before and after the change. The name of a deleted record stays with its last owner, so
-// that no other tenant gets the calls that still refer to it.
+// mayChange checks the owner before and after the change. The name of a deleted record stays with its last owner, so that no
+// other tenant gets the calls that still refer to it.
 func (c *Catalog) mayChange(principal Principal, o ownerLookup, r core.Record) bool {
 	if held, exists := o.recordInForce(r.Kind, r.Name); exists {
 		return principal.CanAccess(o.tenantOfRecord(held)) && principal.CanAccess(o.tenantOfRecord(r))
@@ -210,9 +212,9 @@
 	return principal.CanAccess(o.tenantOfRecord(r))
 }
 
-// overlapsOtherTenants reports whether a route has calls in common with a route of another tenant. A route that does not get them
-// now counts too: it would get them as soon as the other one is changed. A route that keeps the calls it matches may change
-// otherwise: a principal with all rights has divided them.
+// overlapsOtherTenants reports whether a route matches calls that a route of another tenant matches too. A route that does not
+// get these calls now counts as well, because it would get them as soon as the other route changes. A route that keeps what it
+// matches may change in other ways: an unlimited principal has allowed the overlap.
 func (c *Catalog) overlapsOtherTenants(principal Principal, o ownerLookup, r core.Record) bool {
 	var body core.RouteBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
@@ -229,7 +231,7 @@
 	})
 }
 
-// routesToOtherTenants reports whether a route leads to several services, one of which belongs to another tenant.
+// routesToOtherTenants reports whether one of the services that a route leads to belongs to another tenant.
 func (o ownerLookup) routesToOtherTenants(principal Principal, r core.Record) bool {
 	var body core.RouteBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
--- a/core/catalog/rules.go
+++ b/core/catalog/rules.go
@@ -11,40 +11,40 @@
 
 const (
 	firstRules core.RulesVersion = 1
-	// LimitRules are the rules from which on commands may carry Limits.
+	// LimitRules is the first rules version in which commands may carry Limits.
 	LimitRules core.RulesVersion = 2
-	// DeclarationRules are the rules from which on submissions may have expectations, declarations, services with any release
-	// and routes to several services.
+	// DeclarationRules is the first rules version in which submissions may have expectations, declarations, services with any
+	// release and routes to several services.
 	DeclarationRules core.RulesVersion = 3
-	// KnownRules is the newest version of the rules for deciding commands that this program knows. A change of how any
-	// command is decided needs a new version, and the old rules stay for older log entries: all control instances must
-	// decide each entry alike, also while an upgrade is under way.
+	// KnownRules is the newest version of the rules for deciding commands that this program knows. Any change of how a command is
+	// decided needs a new version, and the old rules stay for older log entries: all control instances must decide each entry in
+	// the same way, also during an upgrade.
 	KnownRules = DeclarationRules
 )
 
-// ErrRulesUnknown means that rules are in force which this program does not know.
+// ErrRulesUnknown means that the rules version in force is newer than this program knows.
 const ErrRulesUnknown = errors.ConstError("program too old for the rules in force")
 
-// rulesChange brings a version of the rules into force for all entries after it.
+// rulesChange puts a rules version into force for all later entries.
 type rulesChange struct {
 	Rules core.RulesVersion `msgpack:"rules"`
 }
 
-// EncodeRules encodes the leader's proposal to bring rules into force; each control instance must know them.
+// EncodeRules encodes the leader's proposal to put a rules version into force. Each control instance must know that version.
 func EncodeRules(at time.Time, rules core.RulesVersion) ([]byte, error) {
 	return encode(ActionRules, at, 0, rulesChange{
 		Rules: rules,
 	})
 }
 
-// Rules returns the version of the rules in force.
+// Rules returns the rules version in force.
 func (c *Catalog) Rules() core.RulesVersion {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.rules
 }
 
-// raiseRules never lowers the version, so that a proposal which arrives twice or late changes nothing.
+// raiseRules never lowers the version, so that a duplicate or late proposal changes nothing.
 func (c *Catalog) raiseRules(index core.LogIndex, e envelope) (Verdict, error) {
 	var change rulesChange
 	if err := decode(e.Body, &change); err != nil {
--- a/core/catalog/snapshot.go
+++ b/core/catalog/snapshot.go
@@ -11,7 +11,7 @@
 	"parsleyport/core/record"
 )
 
-// snapshotFormat numbers the format of snapshots; Restore refuses others.
+// snapshotFormat is the version of the snapshot format; Restore refuses others.
 const snapshotFormat = 1
 
 type snapshot struct {
@@ -24,7 +24,7 @@
 	Audit       []AuditEntry  `msgpack:"audit"` // the latest maxAuditEntries entries
 
 	AuditCount uint64            `msgpack:"audit-count"`     // zero in older snapshots, which hold all entries
-	Rules      core.RulesVersion `msgpack:"rules,omitempty"` // zero for the first ones, as in older snapshots
+	Rules      core.RulesVersion `msgpack:"rules,omitempty"` // zero for the first version and in older snapshots
 	Usage      []scopedUsage     `msgpack:"usage,omitempty"`
 }
 
@@ -35,8 +35,8 @@
 	Change        lastChange         `msgpack:"stamp"`
 }
 
-// Snapshot encodes the whole state; equal states have equal bytes. Entries of the audit trail that it leaves out are in
-// the archive before.
+// Snapshot encodes the whole state; equal states have equal bytes. It archives the audit entries that it leaves out first, and
+// returns an error if that fails.
 func (c *Catalog) Snapshot() ([]byte, error) {
 	if err := c.archiveAudit(); err != nil {
 		return nil, errors.Annotate(err, "archive audit trail")
@@ -60,7 +60,7 @@
 	return encoded, errors.Trace(err)
 }
 
-// Restore replaces the whole state, or returns an error and leaves the state as it is.
+// Restore replaces the whole state. If it returns an error, the state is unchanged.
 func (c *Catalog) Restore(encoded []byte) error {
 	var s snapshot
 	if err := decode(encoded, &s); err != nil {
@@ -104,7 +104,7 @@
 		restored.audit = append(restored.audit, entry)
 	}
 	restored.auditCount = max(s.AuditCount, uint64(len(s.Audit)))
-	if err := c.archiveAudit(); err != nil { // the snapshot may be too new to hold them
+	if err := c.archiveAudit(); err != nil { // the snapshot may start after entries that are only in the state it replaces
 		return errors.Annotate(err, "archive audit trail")
 	}
 	c.replace(restored, configuration)
--- a/core/catalog/submit.go
+++ b/core/catalog/submit.go
@@ -13,7 +13,7 @@
 	"parsleyport/core/record"
 )
 
-// plan collects what a submission changes before anything is changed.
+// changeSet collects what a submission changes, so that the submission can be refused before the state changes.
 type changeSet struct {
 	catalog        *Catalog
 	submission     core.Submission
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// since returns the time of the first acceptance for the record's SinceMS.
+// firstAcceptedMS returns the record's SinceMS: the time of its first acceptance in Unix milliseconds, or zero if a record of
+// this name was deleted before.
 func (cs *changeSet) firstAcceptedMS(key core.RecordKey) int64 {
 	deletedBefore := false
 	for key.SchemaVersion = 1; key.SchemaVersion <= record.NewestSchema; key.SchemaVersion++ {
@@ -152,8 +153,8 @@
 	cs.lastChanges[key] = s
 }
 
-// reserveName leaves the name of a deleted record to its tenant. It does so only for limited tokens, which are in use once all
-// control instances know owners, so that their states stay equal while the program is being upgraded.
+// reserveName keeps the name of a deleted record for its tenant. It does so only for limited tokens, which come into use once
+// all control instances know owners, so that their states stay equal during an upgrade.
 func (cs *changeSet) reserveName(key core.RecordKey, held core.Record) {
 	if !cs.principal.IsLimited() {
 		return
@@ -173,7 +174,7 @@
 	var body struct {
 		Service core.ServiceName `json:"service"`
 	}
-	if err := json.Unmarshal(r.Body, &body); err == nil { // record.New reports a broken body
+	if err := json.Unmarshal(r.Body, &body); err == nil { // record.New reports malformed bodies
 		cs.policyServices[body.Service] = true
 	}
 }
@@ -221,7 +222,7 @@
 	}
 }
 
-// deletesIdleService reports whether the submission deletes a service that has no open move.
+// deletesIdleService reports whether the submission deletes a service without an open move.
 func (cs *changeSet) deletesIdleService(service core.ServiceName) bool {
 	_, open := cs.catalog.openMoves[service]
 	return !open && cs.deletes[core.RecordKey{
@@ -231,7 +232,7 @@
 	}]
 }
 
-// touched reports whether the submission changes any schema version of a kind and name.
+// changes reports whether the submission changes any schema version of a kind and name.
 func (cs *changeSet) changes(kind core.Kind, name string) bool {
 	for key := range cs.lastChanges {
 		if key.Kind == kind && key.Name == name {
@@ -241,7 +242,7 @@
 	return false
 }
 
-// checkOpenMoves keeps both upstreams of an open move, since each of its steps refers to them.
+// checkOpenMoves refuses a change to an upstream of an open move, since each step of the move refers to both.
 func (cs *changeSet) checkOpenMoves(next *record.Configuration) *Verdict {
 	c := cs.catalog
 	services := lo.Keys(c.openMoves)
--- a/core/catalog/tombstones.go
+++ b/core/catalog/tombstones.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// TombstoneRetention is how long the stamp of a deleted record is kept at least. A submission must not be sent again, or for the
-	// first time with an old version, after a longer time.
+	// TombstoneRetention is the minimum time for which the tombstone of a deleted record is kept. A submission must not be sent
+	// again after a longer time, nor be sent for the first time if its version is that old.
 	TombstoneRetention = 30 * 24 * time.Hour
-	// defaultPurgeIntervalEntries is the number of audit entries between two searches for stamps to forget. They are counted and not timed, so
-	// that all replicas forget at the same entry.
+	// defaultPurgeIntervalEntries is the number of audit entries between two purges of tombstones. Counting entries instead of
+	// time makes all replicas purge at the same entry.
 	defaultPurgeIntervalEntries = 1000
 )
 
-// purgeTombstones drops the stamps of deleted records once no resend can bring an older version back: the deletion is older
-// than TombstoneRetention, and its verdict has left the memory, as have those of its tenant's submissions before it. Until then, a resend
-// is answered from memory or refused by the stamp. The memory also protects against a proposer whose clock is far ahead.
+// purgeTombstones drops the tombstones that no resend can depend on: the deletion is older than TombstoneRetention, and its
+// verdict has left the verdict history, as have the verdicts of earlier submissions of its tenant. Until then, a resend is
+// answered from the history or refused because of the tombstone. The second condition also protects against a proposer whose
+// clock is far ahead.
 func (c *Catalog) purgeTombstones(now time.Time) {
 	if c.auditCount%c.purgeIntervalEntries != 0 {
 		return
@@ -31,7 +32,7 @@
 		if !s.Deleted {
 			continue
 		}
-		if s.DeletedMS == 0 { // of a snapshot from before this rule
+		if s.DeletedMS == 0 { // restored from a snapshot without deletion times
 			s.DeletedMS = now.UnixMilli()
 			c.lastChanges[key] = s
 		}
--- a/core/catalog/verdict.go
+++ b/core/catalog/verdict.go
@@ -12,18 +12,18 @@
 	"parsleyport/core"
 )
 
-// Result says whether a command was accepted.
+// Result is the outcome of a command.
 type Result string
 
 // The results of a command.
 const (
 	Accepted Result = "accepted"
 	Refused  Result = "refused"
-	// Requested is the result of a membership change in the audit trail before it is decided.
+	// Requested is the result of a membership change that has not been decided yet; it occurs in the audit trail only.
 	Requested Result = "requested"
 )
 
-// Cause is the kind of a refusal.
+// Cause is the machine-readable reason of a refusal.
 type Cause string
 
 // The causes of a refusal.
@@ -40,14 +40,14 @@
 	CauseWrongStep    Cause = "wrong-step"
 	CauseNotPermitted Cause = "not-permitted" // the token is limited to other tenants
 
-	CauseSubmissionLimit Cause = "submission-limit" // too many or too long submissions of the token's tenants; not remembered
-	CauseRecordLimit     Cause = "record-limit"     // too many or too long records of a tenant
+	CauseSubmissionLimit Cause = "submission-limit" // the tenants of the token submitted too much in 24 h; not stored in the verdict history
+	CauseRecordLimit     Cause = "record-limit"     // a tenant would have too many records or too large ones
 
-	CauseExpectation Cause = "expectation"      // a record has another version than the submission builds on; not remembered
-	CauseRules       Cause = "rules-not-raised" // a control instance does not know yet how to decide it; not remembered
+	CauseExpectation Cause = "expectation"      // a record does not have the version that the submission expects; not stored in the verdict history
+	CauseRules       Cause = "rules-not-raised" // the submission needs a newer rules version than the one in force; not stored in the verdict history
 )
 
-// Winner names the submission that a refused one lost against.
+// Winner identifies the earlier submission because of which another one is refused.
 type Winner struct {
 	Submission core.SubmissionID  `json:"submission-id" msgpack:"submission-id"`
 	Operator   core.Operator      `json:"operator" msgpack:"operator"`
@@ -56,11 +56,11 @@
 	Deleted    bool               `json:"deleted,omitempty" msgpack:"deleted,omitempty"`
 }
 
-// Verdict is the result of a command; resends of a submission get the same one.
+// Verdict is the result of a command; resends of a submission get the same verdict.
 type Verdict struct {
 	Submission core.SubmissionID `json:"submission-id,omitempty" msgpack:"submission-id"`
 	Result     Result            `json:"result" msgpack:"result"`
-	Unchanged  bool              `json:"unchanged,omitempty" msgpack:"unchanged"` // accepted, but it was in force already
+	Unchanged  bool              `json:"unchanged,omitempty" msgpack:"unchanged"` // accepted, but already in force
 	Revision   core.Revision     `json:"revision" msgpack:"revision"`             // newest revision after the command
 	Cause      Cause             `json:"cause,omitempty" msgpack:"cause"`
 	Detail     string            `json:"detail,omitempty" msgpack:"detail"`
@@ -104,17 +104,17 @@
 	return fmt.Sprintf("%016x", uint64(hash))
 }
 
-// maxVerdicts is the number of latest submissions whose verdicts are remembered.
+// maxVerdicts is the number of submissions whose verdicts are stored; the oldest ones are evicted.
 const maxVerdicts = 100_000
 
-// remembered is a verdict with what identifies the content of its submission.
+// pastVerdict is a stored verdict with what identifies the content of its submission.
 type pastVerdict struct {
 	Verdict  Verdict       `msgpack:"verdict"`
 	Operator core.Operator `msgpack:"operator"`
 	Hash     core.Hash     `msgpack:"hash"`
 	Scope    string        `msgpack:"scope,omitempty"`
 
-	sequence uint64 // counts on in the order in which verdicts were given
+	sequence uint64 // position in the order of all verdicts
 }
 
 func (r pastVerdict) key() submissionKey {
@@ -124,17 +124,17 @@
 	}
 }
 
-// submissionKey identifies a submission; each set of tenants to which a token is limited has its own ids.
+// submissionKey identifies a submission; each scope has its own submission ids.
 type submissionKey struct {
 	scope string
 	id    core.SubmissionID
 }
 
-// memory holds the latest verdicts.
+// verdictHistory holds the latest verdicts, with which resends are answered.
 type verdictHistory struct {
 	byID    map[submissionKey]pastVerdict
 	byScope map[string][]submissionKey // oldest first
-	count   uint64                     // of all verdicts ever
+	count   uint64                     // number of verdicts ever added
 	limit   int
 }
 
@@ -146,8 +146,8 @@
 	}
 }
 
-// add remembers a verdict. A full memory forgets the oldest one of the scope with the most if it is shared fairly, so that no
-// scope loses one while it has less than its share; commands from before there were limits forget the oldest one of all.
+// add stores a verdict. If the history is full, fair eviction removes the oldest verdict of the scope with the most verdicts, so
+// that no scope below its share loses one. Commands from before limits existed evict the oldest verdict of all.
 func (h *verdictHistory) add(r pastVerdict, fair bool) {
 	h.count++
 	r.sequence = h.count
