--- a/core/catalog/audit_test.go
+++ b/core/catalog/audit_test.go
@@ -62,7 +62,7 @@
 		}
 		filter.Before = page.Next
 		if page.Next == 0 {
-			c.Assert(pages, qt.Equals, 3) // the limit ends the first one, 10 batches the second one
+			c.Assert(pages, qt.Equals, 3) // the limit ends the first page, the tenth batch the second one
 			break
 		}
 	}
--- a/core/catalog/bench_test.go
+++ b/core/catalog/bench_test.go
@@ -11,8 +11,8 @@
 	"parsleyport/core/catalog"
 )
 
-// BenchmarkReplay measures the replay of 1,000 changes, the most that a restart finds behind its snapshot, on top of a
-// configuration of 170 services with six records each, by a token with all rights and by a limited one; run it with -benchtime=3x.
+// BenchmarkReplay measures the replay of 1,000 changes, the most that a restart replays after its snapshot, on top of a
+// configuration of 170 services with six records each, by an unlimited and by a limited token; run it with -benchtime=3x.
 func BenchmarkReplay(b *testing.B) {
 	c := qt.New(b)
 	first := core.Submission{ID: "first", Operator: "amina"}
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -16,12 +16,12 @@
 
 var start = time.Date(2026, 12, 4, 9, 0, 0, 0, time.UTC)
 
-// replica applies commands and checks that refused ones leave the configuration as it is.
+// replica applies commands and checks that a refused command leaves the configuration unchanged.
 type replica struct {
 	*catalog.Catalog
 	index   core.LogIndex
-	limits  *catalog.Limits // of submitBy and move
-	elapsed time.Duration   // of submitBy, since start
+	limits  *catalog.Limits // for submitBy and move
+	elapsed time.Duration   // time since start, for submitBy
 }
 
 func (r *replica) apply(c *qt.C, command []byte, err error) catalog.Verdict {
@@ -146,7 +146,8 @@
 	return strings.Join(parts, " ")
 }
 
-// Guards against a lost answer whose resend runs again or gets another verdict, also after a snapshot (design 4.1).
+// Guards against a submission that runs again, or gets another verdict, when it is resent after a lost answer, also after a
+// snapshot (design 4.1).
 func TestResendGetsTheFirstVerdict(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -173,7 +174,7 @@
 	}
 }
 
-// Guards against verdicts that are forgotten too early, or never, so that memory and snapshots grow without bound (4.1).
+// Guards against verdicts that are evicted too early, or never, so that memory and snapshots grow without limit (4.1).
 func TestLatestVerdictsAreRemembered(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -197,7 +198,7 @@
 	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount+2, qt.Commentf("an expired verdict is remembered"))
 }
 
-// Guards against two operators who both believe that their content has won a version number (design 4.2).
+// Guards against two operators who are both told that their content was accepted under the same version (design 4.2).
 func TestVersionsAreDecidedByLogOrder(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -225,7 +226,7 @@
 	}
 }
 
-// Guards against a submission that is applied in part when one of its records is refused (invariants 2 and 3).
+// Guards against a submission that is applied partially when one of its records is refused (invariants 2 and 3).
 func TestSubmissionIsAtomic(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -243,7 +244,7 @@
 	c.Assert(r.submit(c, submission("good", policy(2, "v2"))).Result, qt.Equals, catalog.Accepted)
 }
 
-// Guards against a deleted record that a late submission with an old version brings back (invariant 10).
+// Guards against a deleted record that a late submission with an old version restores (invariant 10).
 func TestDeletion(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -267,7 +268,7 @@
 	c.Assert(deletion("e", "v3", 3).Unchanged, qt.IsTrue)
 	equal := r.submit(c, submission("equal", upstream(3, "v3", "r3")))
 	c.Assert(equal.Cause, qt.Equals, catalog.CauseEqualVersion)
-	c.Assert(*equal.Winner, qt.Equals, catalog.Winner{Submission: "d", Operator: "amina", Version: 3, Deleted: true}) // no hash of nothing
+	c.Assert(*equal.Winner, qt.Equals, catalog.Winner{Submission: "d", Operator: "amina", Version: 3, Deleted: true}) // a deletion has no content to hash
 	c.Assert(r.submit(c, submission("f", upstream(2, "v3", "r3"))).Cause, qt.Equals, catalog.CauseStaleVersion)
 	c.Assert(r.submit(c, submission("g", upstream(4, "v3", "r3"))).Result, qt.Equals, catalog.Accepted)
 }
@@ -369,8 +370,8 @@
 	c.Assert(isClosed(changed), qt.IsTrue)
 }
 
-// Guards against control instances of two program versions that decide one command differently: the older one must stop
-// when it meets newer rules, in the log or in a snapshot.
+// Guards against control instances of two program versions that decide a command differently: an instance must stop when it
+// meets newer rules than it knows, in the log or in a snapshot.
 func TestUnknownRulesStopTheInstance(t *testing.T) {
 	c := qt.New(t)
 	r, older := newReplica(c), newReplica(c)
--- a/core/catalog/expectations_test.go
+++ b/core/catalog/expectations_test.go
@@ -20,33 +20,33 @@
 	return s
 }
 
-// Guards against two changes on the same version that are both accepted, and against a refusal that stays after the reason for
-// it has gone.
+// Guards against two changes of the same version that are both accepted, and against a refusal that is repeated after the reason
+// for it has gone.
 func TestExpectations(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
-	one := newRecord(core.KindService, "looms", 1, `{"tenant":"t"}`)
-	two := newRecord(core.KindService, "looms", 2, `{"tenant":"t","priority":2}`)
-	c.Assert(r.submit(c, expecting(submission("a", one), 0)).Cause, qt.Equals, catalog.CauseRules)
+	version1 := newRecord(core.KindService, "looms", 1, `{"tenant":"t"}`)
+	version2 := newRecord(core.KindService, "looms", 2, `{"tenant":"t","priority":2}`)
+	c.Assert(r.submit(c, expecting(submission("a", version1), 0)).Cause, qt.Equals, catalog.CauseRules)
 	r.enableDeclarations(c)
-	early := expecting(submission("b", two), 1)
+	early := expecting(submission("b", version2), 1)
 	c.Assert(r.submit(c, early).Cause, qt.Equals, catalog.CauseExpectation)
-	c.Assert(r.submit(c, expecting(submission("a", one), 0)).Result, qt.Equals, catalog.Accepted)
+	c.Assert(r.submit(c, expecting(submission("a", version1), 0)).Result, qt.Equals, catalog.Accepted)
 	r = r.restored(c)
 	rival := expecting(submission("c", newRecord(core.KindService, "looms", 3, `{"tenant":"t","priority":3}`)), 1)
 	c.Assert(r.submit(c, early).Result, qt.Equals, catalog.Accepted)
 	refusal := r.submit(c, rival)
 	c.Assert(refusal.Cause, qt.Equals, catalog.CauseExpectation)
 	c.Assert(refusal.Winner.Submission, qt.Equals, core.SubmissionID("b"))
-	c.Assert(r.submit(c, early).Result, qt.Equals, catalog.Accepted) // a resend, though the version is 2 by now
+	c.Assert(r.submit(c, early).Result, qt.Equals, catalog.Accepted) // a resend is accepted although version 2 is now in force
 	known, exists := r.Verdict("b")
 	c.Assert(exists && known.Result == catalog.Accepted, qt.IsTrue)
 	_, exists = r.Verdict("c")
 	c.Assert(exists, qt.IsFalse)
 }
 
-// Guards against a new release that gets calls before its move gives it a share, or after it was taken back, where any release
-// of the service does.
+// Guards against a new release that gets calls before its move gives it a share, or after the move was taken back, when its
+// service takes any release.
 func TestMovesOfServicesWithAnyRelease(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
--- a/core/catalog/limits_test.go
+++ b/core/catalog/limits_test.go
@@ -14,8 +14,8 @@
 
 var tenantA, tenantB = []core.TenantID{"a"}, []core.TenantID{"b"}
 
-// Guards against a tenant that fills the memory of submission ids or the audit trail, against a resend that is refused or
-// loses its verdict because of a limit, and against replicas that decide differently after a snapshot.
+// Guards against a tenant that fills the verdict history or the audit trail, against a resend that is refused or loses its
+// verdict because of a limit, and against replicas that decide differently after a snapshot.
 func TestSubmissionLimitIsPerTenant(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New(), limits: &catalog.Limits{Submissions: 5, Bytes: 1 << 20, Records: 9, RecordBytes: 1 << 20}}
@@ -32,10 +32,10 @@
 		verdict := r.submitBy(c, core.SubmissionID(fmt.Sprint(i)), tenantA, tenantRecords("a"))
 		c.Assert(verdict.Cause == catalog.CauseSubmissionLimit, qt.Equals, i >= 4, qt.Commentf("%d: %+v", i, verdict))
 	}
-	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, 6) // the refusals above the limit are not in it
+	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, 6) // refusals because of the limit are not recorded
 	c.Assert(r.submitBy(c, "same id", tenantA, tenantRecords("a")), qt.DeepEquals, verdictA)
 	r.elapsed += 24 * time.Hour
-	for i := range 5 { // more than the memory has room for
+	for i := range 5 { // more verdicts than the history has room for
 		c.Assert(r.submitBy(c, core.SubmissionID(fmt.Sprint("next", i)), tenantA, tenantRecords("a")).Result, qt.Equals, catalog.Accepted)
 	}
 	c.Assert(r.submitBy(c, "same id", tenantB, tenantRecords("b")), qt.DeepEquals, verdictB)
@@ -44,7 +44,7 @@
 	c.Assert(r.submitBy(c, "platform", nil, tenantRecords("a")).Result, qt.Equals, catalog.Accepted)
 }
 
-// Guards against a tenant that fills the configuration, which every node holds, with records or the names of deleted ones.
+// Guards against a tenant that fills the configuration, which every node holds, with records or with names of deleted ones.
 func TestRecordLimitIsPerTenant(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New(), limits: &catalog.Limits{Submissions: 99, Bytes: 1 << 20, Records: 6, RecordBytes: 1000, DeletedNames: 1}}
@@ -71,10 +71,10 @@
 	check(`tenant "a" would have 2 remembered names .*, at most 1 are allowed; .* 30 days`, route(1, "z", ""), deletion("y"))
 	check(`tenant "a" would have record bodies of .* bytes, at most 1000 are allowed`, route(2, "y", fmt.Sprintf(`, "host": "%01000d"`, 0)))
 	r.limits.Records = 2
-	check("", route(3, "y", "")) // no more than before
+	check("", route(3, "y", "")) // above the limit, but not more than before
 }
 
-// Guards against a tenant whose moves push the ended ones of another out of the list.
+// Guards against a tenant whose moves evict the ended moves of another tenant from the list.
 func TestEndedMovesAreEvictedFairly(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -92,8 +92,8 @@
 	c.Assert(r.Moves()[0].MoveID, qt.Equals, moveB)
 }
 
-// Guards against a change of how commands from before there were limits are decided: an old log or snapshot would give
-// another state on a new program. The hash is that of the program before.
+// Guards against a change in how commands from before limits existed are decided: an old log or snapshot would give another
+// state in a new program. The expected hash was computed by the last program without limits.
 func TestLogWithoutLimitsReplaysUnchanged(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New()}
--- a/core/catalog/moves_test.go
+++ b/core/catalog/moves_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Guards against two moves or a policy change that work against each other on one service (design 7.5).
+// Guards against two moves, or a move and a policy change, that set the weights of one service at the same time (design 7.5).
 func TestOpenMoveRefusesConflicts(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -59,7 +59,7 @@
 	c.Assert(r.move(c, "third", "v1", "v3").Result, qt.Equals, catalog.Accepted)
 }
 
-// Guards against traffic that stays on a release after its move was taken back or has expired (design 7.4 and 7.6).
+// Guards against calls that still go to a release after its move was taken back or has expired (design 7.4 and 7.6).
 func TestTakenBackMoveRestoresWeights(t *testing.T) {
 	for _, state := range []core.MoveState{core.MoveTakenBack, core.MoveExpired} {
 		c := qt.New(t)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against new weights that vanish when a move is done, or that outlive the operator's next policy.
+// Guards against weights that are lost when a move is done, or that stay in force after the operator's next policy.
 func TestDoneMoveKeepsWeightsUntilNewerPolicy(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Guards against a move that cannot be judged or paced.
+// Guards against a move whose release cannot be compared with another one, or that has no share or no time to move.
 func TestMoveRequestIsChecked(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
@@ -142,7 +142,7 @@
 	c.Assert(r.Moves(), qt.HasLen, 0)
 }
 
-// Guards against ended moves that fill memory and snapshots, and against an open move that is forgotten with them.
+// Guards against ended moves that fill memory and snapshots, and against an open move that is evicted with them.
 func TestLatestEndedMovesAreListed(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
--- a/core/catalog/principal_test.go
+++ b/core/catalog/principal_test.go
@@ -18,7 +18,7 @@
 	return r.apply(c, command, err)
 }
 
-// tenantRecords are all records of one service, which has the name of its tenant.
+// tenantRecords returns all records of one service, which is named for its tenant.
 func tenantRecords(tenant string) []core.Record {
 	return []core.Record{
 		newRecord(core.KindService, tenant, 1, `{"tenant": %q}`, tenant),
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against a tenant that changes, takes over or takes the calls of another tenant's records.
+// Guards against a tenant that changes or takes over another tenant's records, or takes its calls.
 func TestLimitedPrincipalChangesOnlyOwnRecords(t *testing.T) {
 	c := qt.New(t)
 	r := &replica{Catalog: catalog.New()}
@@ -89,7 +89,7 @@
 
 	limited := catalog.Principal{Tenants: []core.TenantID{"a"}}
 	trail := r.Audit(catalog.AuditFilter{Viewer: limited})
-	c.Assert(trail, qt.HasLen, 3, qt.Commentf("%+v", trail)) // its part of the first submission and its two attempts
+	c.Assert(trail, qt.HasLen, 3, qt.Commentf("%+v", trail)) // its lines of the first submission and its two refused commands
 	c.Assert(trail[0].Changes, qt.HasLen, 5)
 	c.Assert(trail[0].Submission, qt.Equals, core.SubmissionID(""))
 	c.Assert(trail[1].Token, qt.Equals, "t")
--- a/core/catalog/property_test.go
+++ b/core/catalog/property_test.go
@@ -13,9 +13,9 @@
 	"parsleyport/core/catalog"
 )
 
-// Guards against replicas that differ after the same log, by map order or by a snapshot on the way, and against states
-// that break an invariant: a revision or record version that goes back, weights that do not add up, a changed verdict
-// of an ended move, a changed audit trail.
+// Guards against replicas that differ after the same log, because of map order or a snapshot in between, and against states
+// that break an invariant: a revision or record version that decreases, weights that do not add up, a changed verdict of an
+// ended move, a changed audit trail.
 func TestReplicasAgreeAndKeepInvariants(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		c := qt.New(rapidTB{
@@ -136,7 +136,7 @@
 	})
 }
 
-// Guards against a log entry or snapshot that stops the state machine on every replica at once.
+// Guards against a log entry or snapshot that makes the state machine fail on every replica at once.
 func FuzzApply(f *testing.F) {
 	valid, err := catalog.EncodeSubmit(start, 1, submission("a", policy(2, "v2")))
 	if err != nil {
--- a/core/catalog/tombstones_test.go
+++ b/core/catalog/tombstones_test.go
@@ -12,8 +12,8 @@
 	"parsleyport/core/catalog"
 )
 
-// Guards against stamps of deleted records that are kept for ever, against an older version that comes back because its
-// stamp was forgotten while it could still be sent again, and against replicas that forget at different entries.
+// Guards against tombstones that are kept forever, against an older version that is restored because its tombstone was purged
+// while a resend was still allowed, and against replicas that purge at different entries.
 func TestPurgedTombstonesDoNotResurrectRecords(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		c := qt.New(rapidTB{TB: outer, rapidT: t})
@@ -53,7 +53,7 @@
 				versions[name]++
 				s.Deletes = []core.Deletion{{Kind: core.KindUpstream, Name: name, SchemaVersion: 1, Version: versions[name]}}
 				deletions[name] = now
-			case 2: // a resend, in one of the two ways in which it may be one
+			case 2: // a resend, with the same or with another id
 				recent := history
 				for len(recent) > 0 && now.Sub(recent[0].at) > catalog.TombstoneRetention {
 					recent = recent[1:]
