--- a/core/catalog/audit.go
+++ b/core/catalog/audit.go
@@ -84,7 +84,7 @@
 	// maxAuditEntries limits the entries in the replicated state and in snapshots; older ones are in the archives only.
 	maxAuditEntries = 10_000
 	maxBatchEntries = 1_000
-	maxBatchBytes   = 1 << 20 // size of a batch without its last entry
+	maxBatchBytes   = 1 << 20 // a batch may exceed it by its last entry
 	// maxBatchesPerPage limits what one query reads from the archive: at most 10,000 entries, about 10 MB.
 	maxBatchesPerPage = 10
 )
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -36,7 +36,7 @@
 	rules                core.RulesVersion
 	usage                map[string]usage
 	deletedNames         map[core.TenantID]int
-	ownerships           map[core.RecordKey]ownership // owner fields of the records in force; derived state, since decoding all bodies takes milliseconds
+	ownerships           map[core.RecordKey]ownership // derived owner fields of the records in force; decoding all bodies takes milliseconds
 	purgeIntervalEntries uint64                       // constant except in tests
 	knownRules           core.RulesVersion            // constant except in tests
 }
@@ -49,7 +49,7 @@
 	Operator   core.Operator      `msgpack:"operator"`
 	Hash       core.Hash          `msgpack:"hash"`
 	Deleted    bool               `msgpack:"deleted"`
-	Owner      core.TenantID      `msgpack:"owner,omitempty"`      // tenant that keeps the name; set only if a token limited to tenants deleted the record
+	Owner      core.TenantID      `msgpack:"owner,omitempty"`      // tenant that keeps the name, if a limited token deleted the record
 	DeletedMS  int64              `msgpack:"deleted-ms,omitempty"` // time of the deletion in Unix milliseconds
 }
 
@@ -85,7 +85,7 @@
 	return c.configuration
 }
 
-// Changed returns a channel that is closed when the configuration after the one held at the call arrives.
+// Changed returns a channel that is closed when a configuration newer than the one current at the call arrives.
 func (c *Catalog) Changed() <-chan struct{} {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -180,7 +180,8 @@
 		Hash:     hash,
 		Scope:    scope,
 	}, e.Limits != nil)
-	if verdict.Cause == CauseNotPermitted { // the changes may name another tenant's records, and that tenant must not learn of the attempt
+	// The changes may name another tenant's records, and that tenant must not learn of the attempt.
+	if verdict.Cause == CauseNotPermitted {
 		summary.owners = slices.Repeat(principal.Tenants[:1], len(summary.changes))
 	}
 	c.appendAudit(index, e, summary, verdict)
--- a/core/catalog/property_test.go
+++ b/core/catalog/property_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// drawnTest reports failures to rapid, which then shrinks the case; rapid.T lacks a method of testing.TB in Go 1.26.
+// rapidTB reports failures to rapid, which then shrinks the case; rapid.T lacks a method of testing.TB in Go 1.26.
 type rapidTB struct {
 	testing.TB
 	rapidT *rapid.T
--- a/core/catalog/verdict.go
+++ b/core/catalog/verdict.go
@@ -26,7 +26,8 @@
 // Cause is the machine-readable reason of a refusal.
 type Cause string
 
-// The causes of a refusal.
+// The causes of a refusal. Refusals marked as not stored do not enter the verdict history: the same submission may be accepted
+// later.
 const (
 	CauseMalformed    Cause = "malformed"
 	CauseIDUsed       Cause = "submission-id-used"
@@ -40,11 +41,11 @@
 	CauseWrongStep    Cause = "wrong-step"
 	CauseNotPermitted Cause = "not-permitted" // the token is limited to other tenants
 
-	CauseSubmissionLimit Cause = "submission-limit" // the tenants of the token submitted too much in 24 h; not stored in the verdict history
+	CauseSubmissionLimit Cause = "submission-limit" // too many or too large submissions in 24 h; not stored
 	CauseRecordLimit     Cause = "record-limit"     // a tenant would have too many records or too large ones
 
-	CauseExpectation Cause = "expectation"      // a record does not have the version that the submission expects; not stored in the verdict history
-	CauseRules       Cause = "rules-not-raised" // the submission needs a newer rules version than the one in force; not stored in the verdict history
+	CauseExpectation Cause = "expectation"      // an expected version is not in force; not stored
+	CauseRules       Cause = "rules-not-raised" // needs a newer rules version; not stored
 )
 
 // Winner identifies the earlier submission because of which another one is refused.
--- a/core/record/configuration.go
+++ b/core/record/configuration.go
@@ -14,13 +14,13 @@
 
 // Errors of a configuration.
 const (
-	// ErrDangling means that a record refers to one that the configuration does not have.
+	// ErrDangling means that a record refers to a record that is not in the configuration.
 	ErrDangling = errors.ConstError("dangling reference")
-	// ErrWrongBase means that a delta does not start from the configuration that is held.
+	// ErrWrongBase means that a delta starts from a configuration other than the current one.
 	ErrWrongBase = errors.ConstError("delta starts from another configuration")
-	// ErrHashMismatch means that a result does not have the hash that its sender stated.
+	// ErrHashMismatch means that a received configuration, or one built from a delta, lacks the hash that its sender stated.
 	ErrHashMismatch = errors.ConstError("hash mismatch")
-	// ErrOlder means that a configuration is older than the one that is held.
+	// ErrOlder means that a configuration is not newer than the current one.
 	ErrOlder = errors.ConstError("configuration is older than the one in force")
 )
 
@@ -30,7 +30,7 @@
 	hash          core.Hash
 	records       map[core.RecordKey]core.Record
 	sorted        []core.Record
-	decodedBodies map[core.RecordKey]any // bodies of the records in use
+	decodedBodies map[core.RecordKey]any // bodies of the indexed records
 	overrides     map[core.ServiceName]core.Override
 	services      map[core.ServiceName]core.ServiceBody
 	upstreams     map[core.UpstreamName]core.UpstreamBody
@@ -41,7 +41,7 @@
 	declaration core.DeclarationBody
 }
 
-// Full is the transferable form of a configuration; records and overrides are sorted.
+// Full is the encoded form of a whole configuration; records and overrides are sorted.
 type Full struct {
 	Revision  core.Revision   `msgpack:"revision"`
 	Hash      core.Hash       `msgpack:"hash"`
@@ -49,7 +49,7 @@
 	Overrides []core.Override `msgpack:"overrides"`
 }
 
-// Delta leads from one configuration to a later one; unchanged records are not in it.
+// Delta is the encoded difference between a configuration and a later one.
 type Delta struct {
 	FromRevision    core.Revision      `msgpack:"from-revision"`
 	FromHash        core.Hash          `msgpack:"from-hash"`
@@ -65,18 +65,19 @@
 func Empty() *Configuration {
 	configuration, err := build(nil, 0, nil, nil)
 	if err != nil {
-		panic(err) // an empty set has no references
+		panic(err) // unreachable: an empty set has no references to check
 	}
 	return configuration
 }
 
-// New builds a configuration; it returns ErrDangling or a decoding error and never a part of the configuration.
-// Schema versions that are unknown here are kept but not used.
+// New builds a configuration from all records. It returns ErrDangling or a decoding error, and never a partial configuration.
+// Records in schema versions that this program does not know are stored but not used.
 func New(revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
 	return newFromPrevious(nil, revision, records, overrides)
 }
 
-// Next is New for a configuration whose records mostly are those of this one; their bodies are not decoded again.
+// Next builds the configuration of the next revision. It reuses the decoded bodies of the records that c shares with it, and
+// returns the errors of New.
 func (c *Configuration) Next(records []core.Record, overrides []core.Override) (*Configuration, error) {
 	return newFromPrevious(c, c.revision+1, records, overrides)
 }
@@ -93,7 +94,7 @@
 	return build(previous, revision, byKey, byService)
 }
 
-// FromFull checks the stated hash and builds the configuration; it returns ErrHashMismatch or the errors of New.
+// FromFull builds a configuration and compares its hash with the stated one. It returns ErrHashMismatch or the errors of New.
 func FromFull(full Full) (*Configuration, error) {
 	configuration, err := New(full.Revision, full.Records, full.Overrides)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return c, nil
 }
 
-// checkReferences goes through the names in order, so that all replicas report the same one of several faults.
+// checkReferences checks the names in sorted order, so that all replicas report the same error if there are several.
 func (c *Configuration) checkReferences() error {
 	for _, name := range sortedKeys(c.upstreams) {
 		upstream := c.upstreams[name]
@@ -187,10 +188,10 @@
 	return nil
 }
 
-// Revision returns the revision.
+// Revision returns the revision of the configuration.
 func (c *Configuration) Revision() core.Revision { return c.revision }
 
-// Hash returns the hash over revision, records and overrides.
+// Hash returns the hash of the revision, the records and the overrides.
 func (c *Configuration) Hash() core.Hash { return c.hash }
 
 // Record returns the record that is stored under a key.
@@ -211,8 +212,8 @@
 	return body, exists
 }
 
-// UpstreamOf returns the upstream that a service's weights or moves name. A service with any release has no upstream records:
-// its upstreams are named for their releases.
+// UpstreamOf returns the upstream that the weights or moves of a service name. A service with any release has no upstream
+// records: each of its upstreams has the name of its release.
 func (c *Configuration) UpstreamOf(service core.ServiceName, name core.UpstreamName) (core.UpstreamBody, bool) {
 	if c.services[service].AnyRelease {
 		return core.UpstreamBody{
@@ -223,10 +224,10 @@
 	return c.Upstream(name)
 }
 
-// Declaration returns the body of the declaration record, or an empty one.
+// Declaration returns the body of the declaration record, or an empty one if there is none.
 func (c *Configuration) Declaration() core.DeclarationBody { return c.declaration }
 
-// Policy returns the policy of a service, with its default values filled in.
+// Policy returns the policy of a service, with defaults filled in.
 func (c *Configuration) Policy(service core.ServiceName) (core.PolicyBody, bool) {
 	body, exists := c.policies[service]
 	if body.MaxAttempts == 0 {
@@ -235,7 +236,7 @@
 	return body, exists
 }
 
-// Weights returns the weights in force for a service: those of its move if there is an override, else those of its policy.
+// Weights returns the weights in force for a service: those of an override if there is one, else those of its policy.
 func (c *Configuration) Weights(service core.ServiceName) []core.Weight {
 	if override, exists := c.overrides[service]; exists {
 		return override.Weights
@@ -246,13 +247,13 @@
 	return c.policies[service].Weights
 }
 
-// MoveTarget returns the upstream to which a service's traffic is being moved; it is false if no move is open.
+// MoveTarget returns the upstream to which an open move shifts a service's traffic; it is false if no move is open.
 func (c *Configuration) MoveTarget(service core.ServiceName) (core.UpstreamName, bool) {
 	override, exists := c.overrides[service]
 	return override.To, exists && override.Open
 }
 
-// anyReleaseWeights are those of a service with any release that no move has touched.
+// anyReleaseWeights are the weights of a service with any release that has no override.
 var anyReleaseWeights = []core.Weight{{
 	Upstream: core.UpstreamName(core.OtherReleases),
 	PerMille: core.FullShare,
@@ -283,7 +284,7 @@
 	return overrides
 }
 
-// Full returns the transferable form.
+// Full returns the encoded form of the configuration.
 func (c *Configuration) Full() Full {
 	return Full{
 		Revision:  c.revision,
@@ -331,7 +332,7 @@
 func writeUint64(digest *xxhash.Digest, number uint64) {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], number)
-	_, _ = digest.Write(encoded[:]) // a Digest never fails
+	_, _ = digest.Write(encoded[:]) // writing to a Digest never fails
 }
 
 func writeString(digest *xxhash.Digest, text string) {
--- a/core/record/configuration_test.go
+++ b/core/record/configuration_test.go
@@ -9,7 +9,7 @@
 	"parsleyport/core/record"
 )
 
-// Guards against a decoded body that is kept although its record has changed or another schema version is in use.
+// Guards against a decoded body that is reused although its record has changed or another schema version is in use.
 func TestNextEqualsFullBuild(t *testing.T) {
 	c := qt.New(t)
 	newService := func(version core.RecordVersion, schema core.SchemaVersion, priority string) core.Record {
--- a/core/record/decode.go
+++ b/core/record/decode.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// sortedRecords begins with the order of the previous configuration, since sorting what is nearly sorted is cheap.
+// sortedRecords starts from the order of the previous configuration, since sorting a nearly sorted slice is cheap.
 func sortedRecords(records map[core.RecordKey]core.Record, previous *Configuration) []core.Record {
 	sorted := make([]core.Record, 0, len(records))
 	previousRecords := map[core.RecordKey]core.Record{}
@@ -35,8 +35,8 @@
 	return sorted
 }
 
-// newestSupported picks from sorted records, for each kind and name, the one with the highest schema version that this
-// program understands.
+// newestSupported returns, for each kind and name in sorted records, the record with the highest schema version that this
+// program knows.
 func newestSupported(sorted []core.Record) []core.Record {
 	chosen := make([]core.Record, 0, len(sorted))
 	for _, r := range sorted {
@@ -52,9 +52,9 @@
 	return chosen
 }
 
-// index puts a record in use. Kinds that a later program added are kept and forwarded only.
+// indexRecord makes a record available for lookups. Records of kinds that a later program version added are only forwarded.
 func (c *Configuration) indexRecord(r core.Record, previous *Configuration) error {
-	body, err := previous.bodyOf(r)
+	body, err := previous.decodedBody(r)
 	if err != nil || body == nil {
 		return err
 	}
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// bodyOf returns the decoded body of a record. One that this configuration holds is not decoded again: at 170 services, the
-// decoding took half of the time of a change.
-func (c *Configuration) bodyOf(r core.Record) (any, error) {
+// decodedBody returns the decoded body of a record. It reuses the body if this configuration holds the same record: with 170
+// services, decoding took half of the time of a change.
+func (c *Configuration) decodedBody(r core.Record) (any, error) {
 	if c != nil {
 		if held, exists := c.records[r.Key()]; exists && sharesMemory(held.Body, r.Body) {
 			if body, known := c.decodedBodies[r.Key()]; known {
@@ -105,12 +105,12 @@
 	return nil, nil
 }
 
-// sharesMemory reports whether two bodies share their memory; bodies are never changed in place.
+// sharesMemory reports whether two bodies share their memory and so are equal; bodies are never changed in place.
 func sharesMemory(a, b []byte) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// decodeBody decodes leniently: a later program may have added fields to a schema version.
+// decodeBody accepts unknown fields, since a later program version may have added fields to a schema version.
 func decodeBody[T any](r core.Record) (any, error) {
 	var body T
 	if err := json.Unmarshal(r.Body, &body); err != nil {
--- a/core/record/delta.go
+++ b/core/record/delta.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// DeltaFrom returns what leads from an older configuration to c.
+// DeltaFrom returns the delta from an older configuration to c.
 func (c *Configuration) DeltaFrom(older *Configuration) Delta {
 	delta := Delta{
 		FromRevision: older.revision,
@@ -41,8 +41,8 @@
 	return delta
 }
 
-// Apply returns the configuration that the delta leads to and leaves c as it is; it returns ErrOlder, ErrWrongBase,
-// ErrHashMismatch or the errors of New.
+// Apply returns the configuration that results from a delta; c is unchanged. It returns ErrOlder, ErrWrongBase, ErrHashMismatch
+// or the errors of New.
 func (c *Configuration) Apply(delta Delta) (*Configuration, error) {
 	if delta.ToRevision <= c.revision {
 		return nil, errors.Annotatef(ErrOlder, "revision %d, in force is %d", delta.ToRevision, c.revision)
--- a/core/record/route.go
+++ b/core/record/route.go
@@ -9,24 +9,24 @@
 	"parsleyport/core"
 )
 
-// Route is a route with its name, ready for matching.
+// Route is the body of a route record with the record's name.
 type Route struct {
 	core.RouteBody
 	Name core.RouteName
 }
 
-// Match returns the route for a request: the longest path prefix whose host and method fit.
+// Match returns the route for a request: of the routes whose host and method match, the one with the longest path prefix.
 func (c *Configuration) Match(host, method, path string) (Route, bool) {
-	if bare, _, err := net.SplitHostPort(host); err == nil {
-		host = bare
+	if hostname, _, err := net.SplitHostPort(host); err == nil {
+		host = hostname
 	}
 	return c.routeIndex.match(strings.ToLower(host), method, path)
 }
 
-// routeIndex finds the routes of a path by their prefixes, so that the time for a call does not grow with the number of
+// routeIndex finds the routes for a path by its prefixes, so that the lookup time of a call does not depend on the number of
 // routes.
 type routeIndex struct {
-	byPrefix       map[string][]Route // in the order of routeLess
+	byPrefix       map[string][]Route // each list in the order of routeLess
 	maxPrefixBytes int
 }
 
@@ -56,7 +56,7 @@
 	return Route{}, false
 }
 
-// Overlapping returns the routes of other names that match some of the calls which a route of this body matches.
+// Overlapping returns the routes with other names that match some of the calls that a route with this body matches.
 func (c *Configuration) Overlapping(name core.RouteName, body core.RouteBody) []Route {
 	var overlapping []Route
 	for _, route := range c.routes {
--- a/core/record/route_test.go
+++ b/core/record/route_test.go
@@ -13,7 +13,7 @@
 	return core.Record{Kind: kind, Name: name, SchemaVersion: 1, Version: 1, Body: []byte(body)}
 }
 
-// Guards against routes to services that do not exist, and against splits that no call could follow.
+// Guards against routes to services that do not exist, and against splits that match no service for any call.
 func TestSplitRoutes(t *testing.T) {
 	c := qt.New(t)
 	for body, valid := range map[string]bool{
@@ -34,7 +34,7 @@
 	c.Assert(err, qt.ErrorIs, ErrDangling)
 }
 
-// Guards against an index of routes that finds others than a search through all of them.
+// Guards against a route index that finds other routes than a search through all routes.
 func TestRouteIndexFindsTheLongestPrefix(t *testing.T) {
 	c := qt.New(t)
 	records := []core.Record{recordOf(core.KindService, "x", `{"tenant":"t","any-release":true}`)}
--- a/core/record/schema.go
+++ b/core/record/schema.go
@@ -11,28 +11,28 @@
 	"parsleyport/core"
 )
 
-// NewestSchema is the newest schema version that this program understands, for each kind.
+// NewestSchema is the newest schema version that this program knows, for each kind.
 const NewestSchema core.SchemaVersion = 1
 
 // Limits of a record.
 const (
 	maxNameBytes       = 128
 	maxBodyBytes       = 64 << 10
-	maxRouteTimeoutMS  = 10 * 60 * 1000 // milliseconds
-	maxAttempts        = 5
+	maxRouteTimeoutMS  = 10 * 60 * 1000
+	maxPolicyAttempts  = 5
 	maxRouteAttempts   = 100
 	maxPriority        = 9
 	maxSlots           = 10_000
 	maxWeights         = 32
-	maxShareWeight     = 1 << 32 // so that a sum of them fits 64 bits
+	maxShareWeight     = 1 << 32 // so that the sum of maxWeights of them fits in 64 bits
 	defaultMaxAttempts = 3
 	supportedMethods   = "GET HEAD POST PUT PATCH DELETE OPTIONS"
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// CheckRecord checks one record by itself; the error says which field is wrong and what was expected.
-// A schema version that this program does not know is an error here, though relays forward it.
+// CheckRecord checks one record by itself; the error names the wrong field and what was expected. A schema version that this
+// program does not know is an error, although relays forward records in such versions.
 func CheckRecord(r core.Record) error {
 	if err := checkName(r.Name); err != nil {
 		return errors.Annotatef(err, "%s record %q", r.Kind, r.Name)
@@ -194,8 +194,8 @@
 	if policy.Service == "" {
 		return errors.Errorf("service is missing")
 	}
-	if policy.MaxAttempts < 0 || policy.MaxAttempts > maxAttempts {
-		return errors.Errorf("max-attempts is %d, expected 0 (for %d) to %d", policy.MaxAttempts, defaultMaxAttempts, maxAttempts)
+	if policy.MaxAttempts < 0 || policy.MaxAttempts > maxPolicyAttempts {
+		return errors.Errorf("max-attempts is %d, expected 0 (for %d) to %d", policy.MaxAttempts, defaultMaxAttempts, maxPolicyAttempts)
 	}
 	return checkWeights(policy.Weights)
 }
--- a/core/record/schema_floor.go
+++ b/core/record/schema_floor.go
@@ -10,11 +10,11 @@
 	"parsleyport/core"
 )
 
-// ErrSchemaFloor means that a record would have no schema version that every attached node supports.
+// ErrSchemaFloor means that a record would exist only in schema versions that some attached node does not support.
 const ErrSchemaFloor = errors.ConstError("no schema version that every attached node supports")
 
-// CheckSchemaFloor returns ErrSchemaFloor if a selected kind and name has records, but none with a schema version up to
-// floor, the highest one that every attached node supports; a floor of zero means that no node is attached.
+// CheckSchemaFloor returns ErrSchemaFloor if a selected kind and name has records, but none with a schema version up to floor.
+// The floor is the highest schema version that every attached node supports; zero means that no node is attached.
 func CheckSchemaFloor(records []core.Record, selected func(core.Kind, string) bool, floor core.SchemaVersion) error {
 	if floor == 0 {
 		return nil
--- a/core/record/schema_test.go
+++ b/core/record/schema_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// Guards against replicas that store different verdicts because map order decides which of several faults is reported.
+// Guards against replicas that store different verdicts because map order determines which of several errors is reported.
 func TestReferenceErrorsAreDeterministic(t *testing.T) {
 	c := qt.New(t)
 	var records []core.Record
@@ -51,7 +51,7 @@
 	c.Assert(err, qt.ErrorMatches, `service "late" needs schema version 1 or lower.*`)
 }
 
-// Guards against a body that passes the check at apply and then breaks the configuration.
+// Guards against a body that passes CheckRecord and then makes the configuration fail to build.
 func FuzzCheckRecord(f *testing.F) {
 	f.Add("service", "a", `{"tenant": "t", "priority": 5}`)
 	f.Add("upstream", "a", `{"service": "a", "release": "r", "slots": 9}`)
--- a/core/record/source.go
+++ b/core/record/source.go
@@ -1,10 +1,10 @@
 package record
 
-// Source gives the newest configuration and tells of newer ones. It is declared here and not in package core, because
-// core cannot import this package.
+// Source provides the newest configuration and signals newer ones. It is declared here because package core cannot import this
+// package.
 type Source interface {
 	// Current returns the newest configuration; it is never nil.
 	Current() *Configuration
-	// Changed returns a channel that is closed when the configuration after the one held at the call arrives.
+	// Changed returns a channel that is closed when a configuration newer than the one current at the call arrives.
 	Changed() <-chan struct{}
 }
