--- a/core/catalog/expect.go
+++ b/core/catalog/expectations.go
@@ -6,16 +6,16 @@
 	"parsleyport/core"
 )
 
-// premature refuses a submission that builds on other versions than those in force, or that the rules in force do not cover.
-// Such a refusal is not remembered: the same submission may be accepted later.
-func (c *Catalog) premature(e envelope, id core.SubmissionID, body any) *Verdict {
+// checkPreconditions refuses a submission that expects other versions than those in force, or that needs newer rules than those
+// in force. The refusal is not stored, since the same submission may be accepted later.
+func (c *Catalog) checkPreconditions(e envelope, id core.SubmissionID, body any) *Verdict {
 	s, isSubmission := body.(core.Submission)
 	if !isSubmission {
 		return nil
 	}
-	refusal := c.beyondRules(s)
+	refusal := c.checkRequiredRules(s)
 	if refusal == nil {
-		refusal = c.unexpected(e.principal(), s)
+		refusal = c.checkExpectations(e.principal(), s)
 	}
 	if refusal != nil {
 		refusal.Submission, refusal.At = id, e.At
@@ -23,7 +23,7 @@
 	return refusal
 }
 
-func (c *Catalog) beyondRules(s core.Submission) *Verdict {
+func (c *Catalog) checkRequiredRules(s core.Submission) *Verdict {
 	if c.rules >= DeclarationRules || !needsDeclarationRules(s) {
 		return nil
 	}
@@ -50,30 +50,30 @@
 	return false
 }
 
-func (c *Catalog) unexpected(by Principal, s core.Submission) *Verdict {
-	o := newOwners(c.configuration, s.Records)
+func (c *Catalog) checkExpectations(principal Principal, s core.Submission) *Verdict {
+	o := newOwnerLookup(c.configuration, s.Records)
 	for _, expected := range s.Expect {
-		held, exists := c.configuration.Record(expected.Key())
-		if by.IsLimited() && !by.Sees(o.current(expected.Kind, expected.Name, nil)) {
+		current, exists := c.configuration.Record(expected.Key())
+		if principal.IsLimited() && !principal.CanAccess(o.tenantBefore(expected.Kind, expected.Name, nil)) {
 			return notPermitted("%s: there is no such record of a tenant of this token", describe(expected.Key(), expected.Version))
 		}
-		if held.Version == expected.Version {
+		if current.Version == expected.Version {
 			continue
 		}
 		refusal := refused(CauseExpectation, "%s is expected, there is no such record", describe(expected.Key(), expected.Version))
 		if exists {
-			refusal = refused(CauseExpectation, "%s is expected, version %d is in force", describe(expected.Key(), expected.Version), held.Version)
-			refusal = refusal.against(c.stamps[expected.Key()])
+			refusal = refused(CauseExpectation, "%s is expected, version %d is in force", describe(expected.Key(), expected.Version), current.Version)
+			refusal = refusal.withWinner(c.lastChanges[expected.Key()])
 		}
 		return &refusal
 	}
 	return nil
 }
 
-// Verdict returns the remembered verdict of a submission of a principal with all rights.
+// Verdict returns the stored verdict of a submission by an unlimited principal.
 func (c *Catalog) Verdict(id core.SubmissionID) (Verdict, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	known, exists := c.verdicts.byID[memoryKey{id: id}]
-	return known.Verdict, exists
+	past, exists := c.verdicts.byID[submissionKey{id: id}]
+	return past.Verdict, exists
 }
--- a/core/catalog/limits.go
+++ b/core/catalog/limits.go
@@ -9,21 +9,21 @@
 	"parsleyport/core/record"
 )
 
-// limitWindow is the time over which submissions are counted; it starts with the first one.
+// limitWindow is the time over which submissions are counted; a window starts with its first submission.
 const limitWindow = 24 * time.Hour
 
-// Limits bound what limited tokens submit. They are part of a command, so that a replay decides each command as it was
-// decided first, whatever the settings are by then. The first two are for each set of tenants to which a token is limited, the
-// others for each tenant.
+// Limits restrict what limited tokens submit. They are part of a command, so that a replay decides each command as it was
+// decided at first, even if the settings have changed. Submissions and Bytes apply to each set of tenants to which a token is
+// limited, the other fields to each tenant.
 type Limits struct {
 	Submissions  int   `msgpack:"submissions"`   // new submission ids in 24 h
 	Bytes        int64 `msgpack:"bytes"`         // of their encoded content in 24 h
-	Records      int   `msgpack:"records"`       // in force
-	RecordBytes  int64 `msgpack:"record-bytes"`  // of their bodies
-	DeletedNames int   `msgpack:"deleted-names"` // of records whose deletion is still remembered
+	Records      int   `msgpack:"records"`       // records in force
+	RecordBytes  int64 `msgpack:"record-bytes"`  // total size of the bodies of the records in force
+	DeletedNames int   `msgpack:"deleted-names"` // names of deleted records whose tombstones are still kept
 }
 
-// usage counts the submissions since the start of a window.
+// usage counts the submissions since the start of a window; SinceMS is in Unix milliseconds.
 type usage struct {
 	SinceMS     int64 `msgpack:"since-ms"`
 	Submissions int   `msgpack:"submissions"`
@@ -35,22 +35,22 @@
 	Usage usage  `msgpack:"usage"`
 }
 
-// bounded returns the limits that apply to the principal, or nil.
-func (p Principal) bounded() *Limits {
+// effectiveLimits returns the limits that apply to the principal, or nil.
+func (p Principal) effectiveLimits() *Limits {
 	if !p.IsLimited() {
 		return nil
 	}
 	return p.Limits
 }
 
-// charge counts a new submission, or refuses it. The refusal is neither remembered nor in the audit trail, both of which it
-// protects; the same id can be sent again later.
-func (c *Catalog) charge(e envelope, scope string, id core.SubmissionID) *Verdict {
-	limits := e.principal().bounded()
+// chargeUsage counts a new submission, or refuses it. The refusal is stored neither in the verdict history nor in the audit
+// trail, because the limit protects both from growing; the same id can be sent again later.
+func (c *Catalog) chargeUsage(e envelope, scope string, id core.SubmissionID) *Verdict {
+	limits := e.principal().effectiveLimits()
 	if limits == nil {
 		return nil
 	}
-	after, refusal := c.usageWith(e, scope, *limits)
+	after, refusal := c.usageAfter(e, scope, *limits)
 	if refusal != nil {
 		refusal.Submission, refusal.At = id, e.At
 		return refusal
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func (c *Catalog) usageWith(e envelope, scope string, limits Limits) (usage, *Verdict) {
+func (c *Catalog) usageAfter(e envelope, scope string, limits Limits) (usage, *Verdict) {
 	u := c.usage[scope]
 	if u.hasEnded(e.At) {
 		u = usage{
@@ -80,12 +80,12 @@
 	return u, nil
 }
 
-// OverLimit returns the refusal that a command would get now because its tenants have submitted too much, unless its id is
-// remembered. It keeps such commands out of the log; the caller confirms that this state is current, or a resend might get
-// the refusal.
+// OverLimit returns the refusal that a command would get now because its tenants have submitted too much; it is false if the
+// command is within the limits or its id is in the verdict history. Callers use it to keep such commands out of the log. They
+// must confirm that this state is current, since otherwise a resend might get the refusal instead of its verdict.
 func (c *Catalog) OverLimit(command []byte) (Verdict, bool) {
 	var e envelope
-	if err := decode(command, &e); err != nil || e.principal().bounded() == nil {
+	if err := decode(command, &e); err != nil || e.principal().effectiveLimits() == nil {
 		return Verdict{}, false
 	}
 	var body struct {
@@ -97,30 +97,30 @@
 	scope := e.principal().Scope()
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if _, exists := c.verdicts.byID[memoryKey{scope: scope, id: body.ID}]; exists {
+	if _, exists := c.verdicts.byID[submissionKey{scope: scope, id: body.ID}]; exists {
 		return Verdict{}, false
 	}
-	_, refusal := c.usageWith(e, scope, *e.Limits)
+	_, refusal := c.usageAfter(e, scope, *e.Limits)
 	if refusal == nil {
 		return Verdict{}, false
 	}
 	refusal.Submission, refusal.At = body.ID, e.At
-	return c.complete(*refusal), true
+	return c.withRevision(*refusal), true
 }
 
-func shortened(text string) string {
+func truncate(text string) string {
 	if len(text) <= maxTextBytes {
 		return text
 	}
 	return strings.ToValidUTF8(text[:maxTextBytes], "") + "..."
 }
 
-// hasEnded also ends a window that a proposer whose clock was far ahead has started.
+// hasEnded is also true for a window that starts far in the future, as a proposer whose clock is far ahead may start one.
 func (u usage) hasEnded(now time.Time) bool {
 	return now.Sub(time.UnixMilli(u.SinceMS)).Abs() >= limitWindow
 }
 
-func (c *Catalog) forgetUsage(now time.Time) {
+func (c *Catalog) purgeUsage(now time.Time) {
 	for scope, u := range c.usage {
 		if u.hasEnded(now) {
 			delete(c.usage, scope)
@@ -129,7 +129,7 @@
 }
 
 func sortedUsage(all map[string]usage) []scopedUsage {
-	var sorted []scopedUsage // nil is left out of a snapshot
+	var sorted []scopedUsage // stays nil if empty, so that snapshots omit it
 	for scope, u := range all {
 		sorted = append(sorted, scopedUsage{
 			Scope: scope,
@@ -140,28 +140,28 @@
 	return sorted
 }
 
-// holding is what a tenant has in the replicated state.
-type holding struct {
+// tenantTotals counts what a tenant has in the replicated state.
+type tenantTotals struct {
 	records      int
 	bytes        int64
 	deletedNames int
 }
 
-// checkLimits refuses a submission that would leave a tenant above a limit with more than it has now.
-func (p *plan) checkLimits(next *record.Configuration) *Verdict {
-	limits := p.by.bounded()
+// checkRecordLimits refuses a submission that leaves a tenant above a limit and with more than it has now.
+func (cs *changeSet) checkRecordLimits(next *record.Configuration) *Verdict {
+	limits := cs.principal.effectiveLimits()
 	if limits == nil {
 		return nil
 	}
-	after := p.holdings(next, p.stamps)
-	var before map[core.TenantID]*holding // is needed only above a limit
-	for _, tenant := range p.by.Tenants {
+	after := cs.totalsByTenant(next, cs.lastChanges)
+	var before map[core.TenantID]*tenantTotals // computed only if a limit is exceeded
+	for _, tenant := range cs.principal.Tenants {
 		a := after[tenant]
 		if a.records <= limits.Records && a.bytes <= limits.RecordBytes && a.deletedNames <= limits.DeletedNames {
 			continue
 		}
 		if before == nil {
-			before = p.holdings(p.catalog.configuration, nil)
+			before = cs.totalsByTenant(cs.catalog.configuration, nil)
 		}
 		b := before[tenant]
 		var refusal Verdict
@@ -171,7 +171,7 @@
 		case a.bytes > max(limits.RecordBytes, b.bytes):
 			refusal = refused(CauseRecordLimit, "tenant %q would have record bodies of %d bytes, at most %d are allowed", tenant, a.bytes, limits.RecordBytes)
 		case a.deletedNames > max(limits.DeletedNames, b.deletedNames):
-			refusal = refused(CauseRecordLimit, "tenant %q would have %d remembered names of deleted records, at most %d are allowed; they are forgotten after %d days", tenant, a.deletedNames, limits.DeletedNames, StampAge/(24*time.Hour))
+			refusal = refused(CauseRecordLimit, "tenant %q would have %d remembered names of deleted records, at most %d are allowed; they are forgotten after %d days", tenant, a.deletedNames, limits.DeletedNames, TombstoneRetention/(24*time.Hour))
 		default:
 			continue
 		}
@@ -180,51 +180,51 @@
 	return nil
 }
 
-// holdings counts what the principal's tenants have in a configuration, with the stamps that the submission changes.
-func (p *plan) holdings(configuration *record.Configuration, changed map[core.RecordKey]stamp) map[core.TenantID]*holding {
-	c := p.catalog
-	held := make(map[core.TenantID]*holding, len(p.by.Tenants))
-	for _, tenant := range p.by.Tenants {
-		held[tenant] = &holding{
+// totalsByTenant counts what the principal's tenants have in a configuration, including the submission's last changes.
+func (cs *changeSet) totalsByTenant(configuration *record.Configuration, changed map[core.RecordKey]lastChange) map[core.TenantID]*tenantTotals {
+	c := cs.catalog
+	totals := make(map[core.TenantID]*tenantTotals, len(cs.principal.Tenants))
+	for _, tenant := range cs.principal.Tenants {
+		totals[tenant] = &tenantTotals{
 			deletedNames: c.deletedNames[tenant],
 		}
 	}
-	add := func(s stamp, count int) {
-		if h, exists := held[s.Owner]; exists && s.Deleted {
+	add := func(s lastChange, count int) {
+		if h, exists := totals[s.Owner]; exists && s.Deleted {
 			h.deletedNames += count
 		}
 	}
 	for key, s := range changed {
-		add(c.stamps[key], -1)
+		add(c.lastChanges[key], -1)
 		add(s, 1)
 	}
-	o := newOwners(configuration, nil)
+	o := newOwnerLookup(configuration, nil)
 	for _, r := range configuration.Records() {
 		key := r.Key()
-		belongs := c.ownerships[key]
-		if _, is := changed[key]; is {
-			belongs = decodeOwner(r)
+		owner := c.ownerships[key]
+		if _, isChanged := changed[key]; isChanged {
+			owner = decodeOwnership(r)
 		}
-		if h, exists := held[o.tenantOf(r, belongs)]; exists {
+		if h, exists := totals[o.tenantOfBody(r, owner)]; exists {
 			h.records++
 			h.bytes += int64(len(r.Body))
 		}
 	}
-	return held
+	return totals
 }
 
-// setStamp replaces a stamp and counts the names of deleted records.
-func (c *Catalog) setStamp(key core.RecordKey, s stamp) {
-	c.dropStamp(key)
-	c.stamps[key] = s
+// setLastChange replaces the last change of a record and updates the number of names of deleted records.
+func (c *Catalog) setLastChange(key core.RecordKey, s lastChange) {
+	c.dropLastChange(key)
+	c.lastChanges[key] = s
 	if s.Deleted && s.Owner != "" {
 		c.deletedNames[s.Owner]++
 	}
 }
 
-func (c *Catalog) dropStamp(key core.RecordKey) {
-	s := c.stamps[key]
-	delete(c.stamps, key)
+func (c *Catalog) dropLastChange(key core.RecordKey) {
+	s := c.lastChanges[key]
+	delete(c.lastChanges, key)
 	if !s.Deleted || s.Owner == "" {
 		return
 	}
--- a/core/catalog/moves.go
+++ b/core/catalog/moves.go
@@ -11,7 +11,7 @@
 	"parsleyport/core"
 )
 
-// maxEndedMoves bounds the ended moves that are listed; older ones are in the audit trail only.
+// maxEndedMoves limits the ended moves that are listed; older ones are in the audit trail only.
 const maxEndedMoves = 1000
 
 // causeOperator is the cause of a move that an operator took back.
@@ -19,11 +19,11 @@
 
 var moveStates = []core.MoveState{core.MoveProposed, core.MoveProbing, core.MoveGrowing, core.MoveDone, core.MoveTakenBack, core.MoveExpired}
 
-// move is a move with the override that it replaces, if an earlier move left one.
+// move is a move together with the override that it replaces, if an earlier move left one.
 type move struct {
 	Move     core.Move      `msgpack:"move"`
 	Previous *core.Override `msgpack:"previous"`
-	Fair     bool           `msgpack:"fair,omitempty"` // started by a command with limits
+	Fair     bool           `msgpack:"fair,omitempty"` // started by a command with limits; ended moves are then evicted fairly
 }
 
 // Ended reports whether a state is final.
@@ -38,7 +38,7 @@
 	return lo.Map(c.moveOrder, func(id core.MoveID, _ int) core.Move { return c.moves[id].Move })
 }
 
-// Move returns one move.
+// Move returns the move with an id.
 func (c *Catalog) Move(id core.MoveID) (core.Move, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -47,10 +47,10 @@
 }
 
 func (c *Catalog) startMove(e envelope, request core.MoveRequest) Verdict {
-	if !e.principal().Sees(ServiceTenant(c.configuration, request.Service)) {
+	if !e.principal().CanAccess(ServiceTenant(c.configuration, request.Service)) {
 		return *notPermitted("service %q does not belong to a tenant of this token", request.Service)
 	}
-	if refusal := c.checkRequest(e.At, request); refusal != nil {
+	if refusal := c.checkMoveRequest(e.At, request); refusal != nil {
 		return *refusal
 	}
 	c.moveCount++
@@ -63,15 +63,15 @@
 			State:           core.MoveProposed,
 			StartedAt:       e.At,
 			SteppedAt:       e.At,
-			OriginalWeights: c.weightsBefore(request.Service),
+			OriginalWeights: c.originalWeights(request.Service),
 		},
 		Fair: e.Limits != nil,
 	}
-	if held, exists := lo.Find(c.configuration.Overrides(), func(o core.Override) bool { return o.Service == request.Service }); exists {
-		started.Previous = &held
+	if override, exists := lo.Find(c.configuration.Overrides(), func(o core.Override) bool { return o.Service == request.Service }); exists {
+		started.Previous = &override
 	}
-	if c.holdsBack(request.Service) {
-		next, refusal := c.build(c.configuration.Records(), c.overridesWith(started))
+	if c.takesAnyRelease(request.Service) {
+		next, refusal := c.buildNext(c.configuration.Records(), c.overridesAfter(started))
 		if refusal != nil {
 			return *refusal
 		}
@@ -86,16 +86,17 @@
 	}
 }
 
-// holdsBack reports whether a release of the service gets calls unless its weights exclude it, so that a move has to name the
-// new release from its start and after it was taken back.
-func (c *Catalog) holdsBack(service core.ServiceName) bool {
+// takesAnyRelease reports whether every release of the service gets calls unless the weights exclude it. A move then has to
+// name the new release in the weights from its start, and also after it was taken back.
+func (c *Catalog) takesAnyRelease(service core.ServiceName) bool {
 	body, _ := c.configuration.Service(service)
 	return body.AnyRelease
 }
 
-// weightsBefore returns the weights that a move starts from. With any release, the old releases are all but the new one.
-func (c *Catalog) weightsBefore(service core.ServiceName) []core.Weight {
-	if !c.holdsBack(service) {
+// originalWeights returns the weights that a move starts from. If the service takes any release, the old releases are all but
+// the new one.
+func (c *Catalog) originalWeights(service core.ServiceName) []core.Weight {
+	if !c.takesAnyRelease(service) {
 		return c.configuration.Weights(service)
 	}
 	return []core.Weight{{
@@ -104,9 +105,9 @@
 	}}
 }
 
-func (c *Catalog) checkRequest(at time.Time, request core.MoveRequest) *Verdict {
+func (c *Catalog) checkMoveRequest(at time.Time, request core.MoveRequest) *Verdict {
 	if id, open := c.openMoves[request.Service]; open {
-		refusal := moveOpen(id, "move %s of service %q is open", id, request.Service)
+		refusal := moveOpenRefusal(id, "move %s of service %q is open", id, request.Service)
 		return &refusal
 	}
 	from, fromExists := c.configuration.UpstreamOf(request.Service, request.From)
@@ -121,7 +122,7 @@
 		refusal = refused(CauseMalformed, "upstreams %q and %q have the same release %q", request.From, request.To, from.Release)
 	case to.Release == core.OtherReleases:
 		refusal = refused(CauseMalformed, "service %q cannot be moved to all its other releases", request.Service)
-	case weightOf(c.weightsBefore(request.Service), request.From) == 0:
+	case weightOf(c.originalWeights(request.Service), request.From) == 0:
 		refusal = refused(CauseMalformed, "upstream %q has no share of service %q that could be moved", request.From, request.Service)
 	case !request.Deadline.After(at):
 		refusal = refused(CauseMalformed, "deadline %s is not after the submission at %s", request.Deadline.UTC().Format(time.RFC3339), at.Format(time.RFC3339))
@@ -135,10 +136,10 @@
 
 func (c *Catalog) abortMove(e envelope, abort Abort) Verdict {
 	m, exists := c.moves[abort.MoveID]
-	if !exists || !e.principal().Sees(ServiceTenant(c.configuration, m.Move.Request.Service)) {
+	if !exists || !e.principal().CanAccess(ServiceTenant(c.configuration, m.Move.Request.Service)) {
 		return refused(CauseNotFound, "there is no move %q", abort.MoveID)
 	}
-	verdict := c.advance(m, core.MoveStep{
+	verdict := c.applyStep(m, core.MoveStep{
 		MoveID: abort.MoveID,
 		Step:   m.Move.Step + 1,
 		State:  core.MoveTakenBack,
@@ -149,31 +150,31 @@
 	return verdict
 }
 
-// step applies a step of the leader. A step that changes nothing is not in the audit trail: after a change of leader,
-// two leaders may send the same one.
+// step applies a step that the leader proposed. A refused step is not in the audit trail: after a change of leader, two
+// leaders may propose the same one.
 func (c *Catalog) step(index core.LogIndex, e envelope) Verdict {
 	var s core.MoveStep
 	if err := decode(e.Body, &s); err != nil {
-		return c.complete(refused(CauseMalformed, "%s: %v", e.Action, err))
+		return c.withRevision(refused(CauseMalformed, "%s: %v", e.Action, err))
 	}
 	s.At = e.At
 	verdict := refused(CauseNotFound, "there is no move %q", s.MoveID)
 	if m, exists := c.moves[s.MoveID]; exists {
-		verdict = c.advance(m, s)
+		verdict = c.applyStep(m, s)
 	}
 	verdict.Move = s.MoveID
 	verdict.At = e.At
-	verdict = c.complete(verdict)
+	verdict = c.withRevision(verdict)
 	if verdict.Result == Accepted {
-		c.record(index, e, sender{
-			what:   []string{describeStep(s)},
-			owners: []core.TenantID{ServiceTenant(c.configuration, c.moves[s.MoveID].Move.Request.Service)},
+		c.appendAudit(index, e, commandSummary{
+			changes: []string{describeStep(s)},
+			owners:  []core.TenantID{ServiceTenant(c.configuration, c.moves[s.MoveID].Move.Request.Service)},
 		}, verdict)
 	}
 	return verdict
 }
 
-func (c *Catalog) advance(m move, s core.MoveStep) Verdict {
+func (c *Catalog) applyStep(m move, s core.MoveStep) Verdict {
 	switch {
 	case Ended(m.Move.State):
 		return refused(CauseMoveEnded, "move %s has ended: %s", s.MoveID, m.Move.State)
@@ -194,7 +195,7 @@
 		m.Move.Share = 0
 	}
 	if m.Move.Share != before || Ended(s.State) {
-		next, refusal := c.build(c.configuration.Records(), c.overridesWith(m))
+		next, refusal := c.buildNext(c.configuration.Records(), c.overridesAfter(m))
 		if refusal != nil {
 			return *refusal
 		}
@@ -203,18 +204,18 @@
 	c.moves[s.MoveID] = m
 	if Ended(s.State) {
 		delete(c.openMoves, m.Move.Request.Service)
-		c.forgetEndedMove(m.Fair)
+		c.evictEndedMove(m.Fair)
 	}
 	return Verdict{
 		Result: Accepted,
 	}
 }
 
-// overridesWith returns all overrides as they are after a move's step.
-func (c *Catalog) overridesWith(m move) []core.Override {
+// overridesAfter returns all overrides as they are after a step of a move.
+func (c *Catalog) overridesAfter(m move) []core.Override {
 	request := m.Move.Request
 	overrides := lo.Reject(c.configuration.Overrides(), func(o core.Override, _ int) bool { return o.Service == request.Service })
-	if m.Move.Share > 0 || c.holdsBack(request.Service) {
+	if m.Move.Share > 0 || c.takesAnyRelease(request.Service) {
 		return append(overrides, core.Override{
 			Service: request.Service,
 			Move:    m.Move.MoveID,
@@ -230,8 +231,8 @@
 	return overrides
 }
 
-// movedWeights moves a share of From's weight to To, rounded up so that a small share of a small weight is not lost.
-// It keeps From without weight, so that its record cannot be deleted while the move may still be taken back.
+// movedWeights moves a share of From's weight to To. It rounds up, so that a small share of a small weight does not become
+// zero. It keeps an entry for From even at weight zero, so that its record cannot be deleted while the move may be taken back.
 func movedWeights(original []core.Weight, request core.MoveRequest, share core.PerMille) []core.Weight {
 	from := weightOf(original, request.From)
 	moved := (from*share + core.FullShare - 1) / core.FullShare
@@ -256,9 +257,9 @@
 	return 0
 }
 
-// forgetEndedMove forgets the oldest ended move if there are too many: that of the tenant with the most if they are shared
-// fairly, so that no tenant's moves leave the list because of another one.
-func (c *Catalog) forgetEndedMove(fair bool) {
+// evictEndedMove removes the oldest ended move if there are too many. With fair eviction it removes the oldest one of the tenant
+// with the most ended moves, so that one tenant cannot push another one's moves out of the list.
+func (c *Catalog) evictEndedMove(fair bool) {
 	if len(c.moveOrder) <= maxEndedMoves+len(c.openMoves) {
 		return
 	}
--- a/core/catalog/property_test.go
+++ b/core/catalog/property_test.go
@@ -13,14 +13,14 @@
 	"parsleyport/core/catalog"
 )
 
-// Guards against replicas that differ after the same log, by map order or by a snapshot on the way, and against states
-// that break an invariant: a revision or record version that goes back, weights that do not add up, a changed verdict
-// of an ended move, a changed audit trail.
+// Guards against replicas that differ after the same log, because of map order or a snapshot in between, and against states
+// that break an invariant: a revision or record version that decreases, weights that do not add up, a changed verdict of an
+// ended move, a changed audit trail.
 func TestReplicasAgreeAndKeepInvariants(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		c := qt.New(drawnTest{
-			TB:    outer,
-			drawn: t,
+		c := qt.New(rapidTB{
+			TB:     outer,
+			rapidT: t,
 		})
 		one := newReplica(c)
 		other := one.restored(c)
@@ -47,15 +47,15 @@
 	})
 }
 
-// drawnTest reports failures to rapid, which then shrinks the case; rapid.T lacks a method of testing.TB in Go 1.26.
-type drawnTest struct {
+// rapidTB reports failures to rapid, which then shrinks the case; rapid.T lacks a method of testing.TB in Go 1.26.
+type rapidTB struct {
 	testing.TB
-	drawn *rapid.T
+	rapidT *rapid.T
 }
 
-func (d drawnTest) Fatal(args ...any) {
-	d.drawn.Helper()
-	d.drawn.Fatal(args...)
+func (d rapidTB) Fatal(args ...any) {
+	d.rapidT.Helper()
+	d.rapidT.Fatal(args...)
 }
 
 type observation struct {
@@ -86,8 +86,8 @@
 	c.Assert(after.revision == o.revision || after.revision == o.revision+1, qt.IsTrue)
 	c.Assert(after.revision == o.revision, qt.Equals, after.hash == o.hash)
 	for key, version := range o.versions {
-		if held, exists := after.versions[key]; exists {
-			c.Assert(held >= version, qt.IsTrue)
+		if versionAfter, exists := after.versions[key]; exists {
+			c.Assert(versionAfter >= version, qt.IsTrue)
 		}
 	}
 	for i, move := range o.moves {
@@ -136,7 +136,7 @@
 	})
 }
 
-// Guards against a log entry or snapshot that stops the state machine on every replica at once.
+// Guards against a log entry or snapshot that makes the state machine fail on every replica at once.
 func FuzzApply(f *testing.F) {
 	valid, err := catalog.EncodeSubmit(start, 1, submission("a", policy(2, "v2")))
 	if err != nil {
--- a/core/catalog/forget_test.go
+++ b/core/catalog/tombstones_test.go
@@ -12,11 +12,11 @@
 	"parsleyport/core/catalog"
 )
 
-// Guards against stamps of deleted records that are kept for ever, against an older version that comes back because its
-// stamp was forgotten while it could still be sent again, and against replicas that forget at different entries.
-func TestForgottenStampsBringNothingBack(outer *testing.T) {
+// Guards against tombstones that are kept forever, against an older version that is restored because its tombstone was purged
+// while a resend was still allowed, and against replicas that purge at different entries.
+func TestPurgedTombstonesDoNotResurrectRecords(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		c := qt.New(drawnTest{TB: outer, drawn: t})
+		c := qt.New(rapidTB{TB: outer, rapidT: t})
 		one, other := newReplica(c), newReplica(c)
 		verdicts := rapid.IntRange(1, 8).Draw(t, "verdicts")
 		one.SetLimits(verdicts, 2)
@@ -35,7 +35,7 @@
 			before := observe(one)
 			c.Assert(other.apply(c, command, nil), qt.DeepEquals, one.apply(c, command, err))
 			for key, version := range observe(one).versions {
-				if _, held := before.versions[key]; !held {
+				if _, existedBefore := before.versions[key]; !existedBefore {
 					c.Assert(version > highest[key], qt.IsTrue, qt.Commentf("version %d of %q came back after %d", version, key.Name, highest[key]))
 				}
 				highest[key] = max(highest[key], version)
@@ -53,9 +53,9 @@
 				versions[name]++
 				s.Deletes = []core.Deletion{{Kind: core.KindUpstream, Name: name, SchemaVersion: 1, Version: versions[name]}}
 				deletions[name] = now
-			case 2: // a resend, in one of the two ways in which it may be one
+			case 2: // a resend, with the same or with another id
 				recent := history
-				for len(recent) > 0 && now.Sub(recent[0].at) > catalog.StampAge {
+				for len(recent) > 0 && now.Sub(recent[0].at) > catalog.TombstoneRetention {
 					recent = recent[1:]
 				}
 				if len(recent) == 0 {
@@ -75,11 +75,11 @@
 				other.SetLimits(verdicts, 2)
 			}
 		}
-		c.Assert(other.DeletedStamps(), qt.Equals, one.DeletedStamps())
-		now = now.Add(catalog.StampAge + time.Hour)
+		c.Assert(other.TombstoneCount(), qt.Equals, one.TombstoneCount())
+		now = now.Add(catalog.TombstoneRetention + time.Hour)
 		for i := range verdicts + 2 {
 			apply(core.Submission{ID: core.SubmissionID(fmt.Sprint("last-", i)), Operator: "amina", Deletes: []core.Deletion{{Kind: core.KindRoute, Name: "none", SchemaVersion: 1, Version: 1}}})
 		}
-		c.Assert(one.DeletedStamps(), qt.Equals, 0)
+		c.Assert(one.TombstoneCount(), qt.Equals, 0)
 	})
 }
--- a/core/catalog/verdict.go
+++ b/core/catalog/verdict.go
@@ -12,21 +12,22 @@
 	"parsleyport/core"
 )
 
-// Result says whether a command was accepted.
+// Result is the outcome of a command.
 type Result string
 
 // The results of a command.
 const (
 	Accepted Result = "accepted"
 	Refused  Result = "refused"
-	// Requested is the result of a membership change in the audit trail before it is decided.
+	// Requested is the result of a membership change that has not been decided yet; it occurs in the audit trail only.
 	Requested Result = "requested"
 )
 
-// Cause is the kind of a refusal.
+// Cause is the machine-readable reason of a refusal.
 type Cause string
 
-// The causes of a refusal.
+// The causes of a refusal. Refusals marked as not stored do not enter the verdict history: the same submission may be accepted
+// later.
 const (
 	CauseMalformed    Cause = "malformed"
 	CauseIDUsed       Cause = "submission-id-used"
@@ -40,14 +41,14 @@
 	CauseWrongStep    Cause = "wrong-step"
 	CauseNotPermitted Cause = "not-permitted" // the token is limited to other tenants
 
-	CauseSubmissionLimit Cause = "submission-limit" // too many or too long submissions of the token's tenants; not remembered
-	CauseRecordLimit     Cause = "record-limit"     // too many or too long records of a tenant
+	CauseSubmissionLimit Cause = "submission-limit" // too many or too large submissions in 24 h; not stored
+	CauseRecordLimit     Cause = "record-limit"     // a tenant would have too many records or too large ones
 
-	CauseExpectation Cause = "expectation"      // a record has another version than the submission builds on; not remembered
-	CauseRules       Cause = "rules-not-raised" // a control instance does not know yet how to decide it; not remembered
+	CauseExpectation Cause = "expectation"      // an expected version is not in force; not stored
+	CauseRules       Cause = "rules-not-raised" // needs a newer rules version; not stored
 )
 
-// Winner names the submission that a refused one lost against.
+// Winner identifies the earlier submission because of which another one is refused.
 type Winner struct {
 	Submission core.SubmissionID  `json:"submission-id" msgpack:"submission-id"`
 	Operator   core.Operator      `json:"operator" msgpack:"operator"`
@@ -56,11 +57,11 @@
 	Deleted    bool               `json:"deleted,omitempty" msgpack:"deleted,omitempty"`
 }
 
-// Verdict is the result of a command; resends of a submission get the same one.
+// Verdict is the result of a command; resends of a submission get the same verdict.
 type Verdict struct {
 	Submission core.SubmissionID `json:"submission-id,omitempty" msgpack:"submission-id"`
 	Result     Result            `json:"result" msgpack:"result"`
-	Unchanged  bool              `json:"unchanged,omitempty" msgpack:"unchanged"` // accepted, but it was in force already
+	Unchanged  bool              `json:"unchanged,omitempty" msgpack:"unchanged"` // accepted, but already in force
 	Revision   core.Revision     `json:"revision" msgpack:"revision"`             // newest revision after the command
 	Cause      Cause             `json:"cause,omitempty" msgpack:"cause"`
 	Detail     string            `json:"detail,omitempty" msgpack:"detail"`
@@ -87,7 +88,7 @@
 	}
 }
 
-func (v Verdict) against(s stamp) Verdict {
+func (v Verdict) withWinner(s lastChange) Verdict {
 	v.Winner = &Winner{
 		Submission: s.Submission,
 		Operator:   s.Operator,
@@ -104,82 +105,82 @@
 	return fmt.Sprintf("%016x", uint64(hash))
 }
 
-// maxVerdicts is the number of latest submissions whose verdicts are remembered.
+// maxVerdicts is the number of submissions whose verdicts are stored; the oldest ones are evicted.
 const maxVerdicts = 100_000
 
-// remembered is a verdict with what identifies the content of its submission.
-type remembered struct {
+// pastVerdict is a stored verdict with what identifies the content of its submission.
+type pastVerdict struct {
 	Verdict  Verdict       `msgpack:"verdict"`
 	Operator core.Operator `msgpack:"operator"`
 	Hash     core.Hash     `msgpack:"hash"`
 	Scope    string        `msgpack:"scope,omitempty"`
 
-	number uint64 // counts on in the order in which verdicts were given
+	sequence uint64 // position in the order of all verdicts
 }
 
-func (r remembered) key() memoryKey {
-	return memoryKey{
+func (r pastVerdict) key() submissionKey {
+	return submissionKey{
 		scope: r.Scope,
 		id:    r.Verdict.Submission,
 	}
 }
 
-// memoryKey identifies a submission; each set of tenants to which a token is limited has its own ids.
-type memoryKey struct {
+// submissionKey identifies a submission; each scope has its own submission ids.
+type submissionKey struct {
 	scope string
 	id    core.SubmissionID
 }
 
-// memory holds the latest verdicts.
-type memory struct {
-	byID   map[memoryKey]remembered
-	scopes map[string][]memoryKey // oldest first
-	count  uint64                 // of all verdicts ever
-	limit  int
+// verdictHistory holds the latest verdicts, with which resends are answered.
+type verdictHistory struct {
+	byID    map[submissionKey]pastVerdict
+	byScope map[string][]submissionKey // oldest first
+	count   uint64                     // number of verdicts ever added
+	limit   int
 }
 
-func newMemory() memory {
-	return memory{
-		byID:   make(map[memoryKey]remembered),
-		scopes: make(map[string][]memoryKey),
-		limit:  maxVerdicts,
+func newVerdictHistory() verdictHistory {
+	return verdictHistory{
+		byID:    make(map[submissionKey]pastVerdict),
+		byScope: make(map[string][]submissionKey),
+		limit:   maxVerdicts,
 	}
 }
 
-// add remembers a verdict. A full memory forgets the oldest one of the scope with the most if it is shared fairly, so that no
-// scope loses one while it has less than its share; commands from before there were limits forget the oldest one of all.
-func (m *memory) add(r remembered, fair bool) {
-	m.count++
-	r.number = m.count
-	m.byID[r.key()] = r
-	m.scopes[r.Scope] = append(m.scopes[r.Scope], r.key())
-	if len(m.byID) > m.limit {
-		m.forgetOldest(m.fullest(fair))
+// add stores a verdict. If the history is full, fair eviction removes the oldest verdict of the scope with the most verdicts, so
+// that no scope below its share loses one. Commands from before limits existed evict the oldest verdict of all.
+func (h *verdictHistory) add(r pastVerdict, fair bool) {
+	h.count++
+	r.sequence = h.count
+	h.byID[r.key()] = r
+	h.byScope[r.Scope] = append(h.byScope[r.Scope], r.key())
+	if len(h.byID) > h.limit {
+		h.evictOldest(h.scopeToEvict(fair))
 	}
 }
 
-func (m *memory) fullest(fair bool) string {
-	var found string
-	for scope, keys := range m.scopes {
-		most := m.scopes[found]
-		older := len(most) == 0 || m.byID[keys[0]].number < m.byID[most[0]].number
-		if (!fair || len(keys) == len(most)) && older || fair && len(keys) > len(most) {
-			found = scope
+func (h *verdictHistory) scopeToEvict(fair bool) string {
+	var foundScope string
+	for scope, keys := range h.byScope {
+		foundKeys := h.byScope[foundScope]
+		older := len(foundKeys) == 0 || h.byID[keys[0]].sequence < h.byID[foundKeys[0]].sequence
+		if (!fair || len(keys) == len(foundKeys)) && older || fair && len(keys) > len(foundKeys) {
+			foundScope = scope
 		}
 	}
-	return found
+	return foundScope
 }
 
-func (m *memory) forgetOldest(scope string) {
-	keys := m.scopes[scope]
-	delete(m.byID, keys[0])
-	m.scopes[scope] = keys[1:]
+func (h *verdictHistory) evictOldest(scope string) {
+	keys := h.byScope[scope]
+	delete(h.byID, keys[0])
+	h.byScope[scope] = keys[1:]
 	if len(keys) == 1 {
-		delete(m.scopes, scope)
+		delete(h.byScope, scope)
 	}
 }
 
 // all returns the verdicts, oldest first.
-func (m *memory) all() []remembered {
-	return slices.SortedFunc(maps.Values(m.byID), func(a, b remembered) int { return cmp.Compare(a.number, b.number) })
+func (h *verdictHistory) all() []pastVerdict {
+	return slices.SortedFunc(maps.Values(h.byID), func(a, b pastVerdict) int { return cmp.Compare(a.sequence, b.sequence) })
 }
--- a/core/record/configuration.go
+++ b/core/record/configuration.go
@@ -14,34 +14,34 @@
 
 // Errors of a configuration.
 const (
-	// ErrDangling means that a record refers to one that the configuration does not have.
+	// ErrDangling means that a record refers to a record that is not in the configuration.
 	ErrDangling = errors.ConstError("dangling reference")
-	// ErrWrongBase means that a delta does not start from the configuration that is held.
+	// ErrWrongBase means that a delta starts from a configuration other than the current one.
 	ErrWrongBase = errors.ConstError("delta starts from another configuration")
-	// ErrHashMismatch means that a result does not have the hash that its sender stated.
+	// ErrHashMismatch means that a received configuration, or one built from a delta, lacks the hash that its sender stated.
 	ErrHashMismatch = errors.ConstError("hash mismatch")
-	// ErrOlder means that a configuration is older than the one that is held.
+	// ErrOlder means that a configuration is not newer than the current one.
 	ErrOlder = errors.ConstError("configuration is older than the one in force")
 )
 
 // Configuration is an immutable set of records and overrides whose references have been checked.
 type Configuration struct {
-	revision  core.Revision
-	hash      core.Hash
-	records   map[core.RecordKey]core.Record
-	sorted    []core.Record
-	decoded   map[core.RecordKey]any // bodies of the records in use
-	overrides map[core.ServiceName]core.Override
-	services  map[core.ServiceName]core.ServiceBody
-	upstreams map[core.UpstreamName]core.UpstreamBody
-	policies  map[core.ServiceName]core.PolicyBody
-	routes    []Route // longest path prefix first
-	byPrefix  routeIndex
+	revision      core.Revision
+	hash          core.Hash
+	records       map[core.RecordKey]core.Record
+	sorted        []core.Record
+	decodedBodies map[core.RecordKey]any // bodies of the indexed records
+	overrides     map[core.ServiceName]core.Override
+	services      map[core.ServiceName]core.ServiceBody
+	upstreams     map[core.UpstreamName]core.UpstreamBody
+	policies      map[core.ServiceName]core.PolicyBody
+	routes        []Route // longest path prefix first
+	routeIndex    routeIndex
 
 	declaration core.DeclarationBody
 }
 
-// Full is the transferable form of a configuration; records and overrides are sorted.
+// Full is the encoded form of a whole configuration; records and overrides are sorted.
 type Full struct {
 	Revision  core.Revision   `msgpack:"revision"`
 	Hash      core.Hash       `msgpack:"hash"`
@@ -49,7 +49,7 @@
 	Overrides []core.Override `msgpack:"overrides"`
 }
 
-// Delta leads from one configuration to a later one; unchanged records are not in it.
+// Delta is the encoded difference between a configuration and a later one.
 type Delta struct {
 	FromRevision    core.Revision      `msgpack:"from-revision"`
 	FromHash        core.Hash          `msgpack:"from-hash"`
@@ -65,23 +65,24 @@
 func Empty() *Configuration {
 	configuration, err := build(nil, 0, nil, nil)
 	if err != nil {
-		panic(err) // an empty set has no references
+		panic(err) // unreachable: an empty set has no references to check
 	}
 	return configuration
 }
 
-// New builds a configuration; it returns ErrDangling or a decoding error and never a part of the configuration.
-// Schema versions that are unknown here are kept but not used.
+// New builds a configuration from all records. It returns ErrDangling or a decoding error, and never a partial configuration.
+// Records in schema versions that this program does not know are stored but not used.
 func New(revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
-	return newAfter(nil, revision, records, overrides)
+	return newFromPrevious(nil, revision, records, overrides)
 }
 
-// Next is New for a configuration whose records mostly are those of this one; their bodies are not decoded again.
+// Next builds the configuration of the next revision. It reuses the decoded bodies of the records that c shares with it, and
+// returns the errors of New.
 func (c *Configuration) Next(records []core.Record, overrides []core.Override) (*Configuration, error) {
-	return newAfter(c, c.revision+1, records, overrides)
+	return newFromPrevious(c, c.revision+1, records, overrides)
 }
 
-func newAfter(previous *Configuration, revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
+func newFromPrevious(previous *Configuration, revision core.Revision, records []core.Record, overrides []core.Override) (*Configuration, error) {
 	byKey := make(map[core.RecordKey]core.Record, len(records))
 	for _, r := range records {
 		byKey[r.Key()] = r
@@ -93,7 +94,7 @@
 	return build(previous, revision, byKey, byService)
 }
 
-// FromFull checks the stated hash and builds the configuration; it returns ErrHashMismatch or the errors of New.
+// FromFull builds a configuration and compares its hash with the stated one. It returns ErrHashMismatch or the errors of New.
 func FromFull(full Full) (*Configuration, error) {
 	configuration, err := New(full.Revision, full.Records, full.Overrides)
 	if err != nil {
@@ -107,30 +108,30 @@
 
 func build(previous *Configuration, revision core.Revision, records map[core.RecordKey]core.Record, overrides map[core.ServiceName]core.Override) (*Configuration, error) {
 	c := &Configuration{
-		revision:  revision,
-		records:   records,
-		overrides: overrides,
-		services:  make(map[core.ServiceName]core.ServiceBody),
-		upstreams: make(map[core.UpstreamName]core.UpstreamBody),
-		policies:  make(map[core.ServiceName]core.PolicyBody),
-		decoded:   make(map[core.RecordKey]any, len(records)),
+		revision:      revision,
+		records:       records,
+		overrides:     overrides,
+		services:      make(map[core.ServiceName]core.ServiceBody),
+		upstreams:     make(map[core.UpstreamName]core.UpstreamBody),
+		policies:      make(map[core.ServiceName]core.PolicyBody),
+		decodedBodies: make(map[core.RecordKey]any, len(records)),
 	}
 	c.sorted = sortedRecords(records, previous)
 	for _, r := range newestSupported(c.sorted) {
-		if err := c.index(r, previous); err != nil {
+		if err := c.indexRecord(r, previous); err != nil {
 			return nil, errors.Annotatef(err, "%s record %q", r.Kind, r.Name)
 		}
 	}
 	if err := c.checkReferences(); err != nil {
 		return nil, err
 	}
-	sort.Slice(c.routes, func(i, j int) bool { return routeBefore(c.routes[i], c.routes[j]) })
-	c.byPrefix = newRouteIndex(c.routes)
+	sort.Slice(c.routes, func(i, j int) bool { return routeLess(c.routes[i], c.routes[j]) })
+	c.routeIndex = newRouteIndex(c.routes)
 	c.hash = c.computeHash()
 	return c, nil
 }
 
-// checkReferences goes through the names in order, so that all replicas report the same one of several faults.
+// checkReferences checks the names in sorted order, so that all replicas report the same error if there are several.
 func (c *Configuration) checkReferences() error {
 	for _, name := range sortedKeys(c.upstreams) {
 		upstream := c.upstreams[name]
@@ -187,10 +188,10 @@
 	return nil
 }
 
-// Revision returns the revision.
+// Revision returns the revision of the configuration.
 func (c *Configuration) Revision() core.Revision { return c.revision }
 
-// Hash returns the hash over revision, records and overrides.
+// Hash returns the hash of the revision, the records and the overrides.
 func (c *Configuration) Hash() core.Hash { return c.hash }
 
 // Record returns the record that is stored under a key.
@@ -211,8 +212,8 @@
 	return body, exists
 }
 
-// UpstreamOf returns the upstream that a service's weights or moves name. A service with any release has no upstream records:
-// its upstreams are named for their releases.
+// UpstreamOf returns the upstream that the weights or moves of a service name. A service with any release has no upstream
+// records: each of its upstreams has the name of its release.
 func (c *Configuration) UpstreamOf(service core.ServiceName, name core.UpstreamName) (core.UpstreamBody, bool) {
 	if c.services[service].AnyRelease {
 		return core.UpstreamBody{
@@ -223,37 +224,37 @@
 	return c.Upstream(name)
 }
 
-// Declaration returns the body of the declaration record, or an empty one.
+// Declaration returns the body of the declaration record, or an empty one if there is none.
 func (c *Configuration) Declaration() core.DeclarationBody { return c.declaration }
 
-// Policy returns the policy of a service, with its default values filled in.
+// Policy returns the policy of a service, with defaults filled in.
 func (c *Configuration) Policy(service core.ServiceName) (core.PolicyBody, bool) {
 	body, exists := c.policies[service]
 	if body.MaxAttempts == 0 {
-		body.MaxAttempts = defaultAttempts
+		body.MaxAttempts = defaultMaxAttempts
 	}
 	return body, exists
 }
 
-// Weights returns the weights in force for a service: those of its move if there is an override, else those of its policy.
+// Weights returns the weights in force for a service: those of an override if there is one, else those of its policy.
 func (c *Configuration) Weights(service core.ServiceName) []core.Weight {
 	if override, exists := c.overrides[service]; exists {
 		return override.Weights
 	}
 	if c.services[service].AnyRelease {
-		return openWeights
+		return anyReleaseWeights
 	}
 	return c.policies[service].Weights
 }
 
-// OnTrial returns the upstream to which a service's traffic is being moved; it is false if no move is open.
-func (c *Configuration) OnTrial(service core.ServiceName) (core.UpstreamName, bool) {
+// MoveTarget returns the upstream to which an open move shifts a service's traffic; it is false if no move is open.
+func (c *Configuration) MoveTarget(service core.ServiceName) (core.UpstreamName, bool) {
 	override, exists := c.overrides[service]
 	return override.To, exists && override.Open
 }
 
-// openWeights are those of a service with any release that no move has touched.
-var openWeights = []core.Weight{{
+// anyReleaseWeights are the weights of a service with any release that has no override.
+var anyReleaseWeights = []core.Weight{{
 	Upstream: core.UpstreamName(core.OtherReleases),
 	PerMille: core.FullShare,
 }}
@@ -283,7 +284,7 @@
 	return overrides
 }
 
-// Full returns the transferable form.
+// Full returns the encoded form of the configuration.
 func (c *Configuration) Full() Full {
 	return Full{
 		Revision:  c.revision,
@@ -293,7 +294,7 @@
 	}
 }
 
-func keyBefore(a, b core.RecordKey) bool {
+func keyLess(a, b core.RecordKey) bool {
 	if a.Kind != b.Kind {
 		return a.Kind < b.Kind
 	}
@@ -305,36 +306,36 @@
 
 func (c *Configuration) computeHash() core.Hash {
 	digest := xxhash.New()
-	writeNumber(digest, uint64(c.revision))
+	writeUint64(digest, uint64(c.revision))
 	for _, r := range c.sorted {
-		writeText(digest, string(r.Kind))
-		writeText(digest, r.Name)
-		writeNumber(digest, uint64(r.SchemaVersion))
-		writeNumber(digest, uint64(r.Version))
-		writeText(digest, string(r.Body))
-		writeNumber(digest, uint64(r.SinceMS))
+		writeString(digest, string(r.Kind))
+		writeString(digest, r.Name)
+		writeUint64(digest, uint64(r.SchemaVersion))
+		writeUint64(digest, uint64(r.Version))
+		writeString(digest, string(r.Body))
+		writeUint64(digest, uint64(r.SinceMS))
 	}
 	for _, o := range c.Overrides() {
-		writeText(digest, string(o.Service))
-		writeText(digest, string(o.Move))
-		writeText(digest, string(o.From))
-		writeText(digest, string(o.To))
-		writeText(digest, strconv.FormatBool(o.Open))
+		writeString(digest, string(o.Service))
+		writeString(digest, string(o.Move))
+		writeString(digest, string(o.From))
+		writeString(digest, string(o.To))
+		writeString(digest, strconv.FormatBool(o.Open))
 		for _, weight := range o.Weights {
-			writeText(digest, string(weight.Upstream))
-			writeNumber(digest, uint64(weight.PerMille))
+			writeString(digest, string(weight.Upstream))
+			writeUint64(digest, uint64(weight.PerMille))
 		}
 	}
 	return core.Hash(digest.Sum64())
 }
 
-func writeNumber(digest *xxhash.Digest, number uint64) {
+func writeUint64(digest *xxhash.Digest, number uint64) {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], number)
-	_, _ = digest.Write(encoded[:]) // a Digest never fails
+	_, _ = digest.Write(encoded[:]) // writing to a Digest never fails
 }
 
-func writeText(digest *xxhash.Digest, text string) {
-	writeNumber(digest, uint64(len(text)))
+func writeString(digest *xxhash.Digest, text string) {
+	writeUint64(digest, uint64(len(text)))
 	_, _ = digest.WriteString(text)
 }
--- a/core/record/decode.go
+++ b/core/record/decode.go
@@ -9,12 +9,12 @@
 	"parsleyport/core"
 )
 
-// sortedRecords begins with the order of the previous configuration, since sorting what is nearly sorted is cheap.
+// sortedRecords starts from the order of the previous configuration, since sorting a nearly sorted slice is cheap.
 func sortedRecords(records map[core.RecordKey]core.Record, previous *Configuration) []core.Record {
 	sorted := make([]core.Record, 0, len(records))
-	held := map[core.RecordKey]core.Record{}
+	previousRecords := map[core.RecordKey]core.Record{}
 	if previous != nil {
-		held = previous.records
+		previousRecords = previous.records
 		for _, r := range previous.sorted {
 			if next, exists := records[r.Key()]; exists {
 				sorted = append(sorted, next)
@@ -22,12 +22,12 @@
 		}
 	}
 	for key, r := range records {
-		if _, exists := held[key]; !exists {
+		if _, exists := previousRecords[key]; !exists {
 			sorted = append(sorted, r)
 		}
 	}
 	slices.SortFunc(sorted, func(a, b core.Record) int {
-		if keyBefore(a.Key(), b.Key()) {
+		if keyLess(a.Key(), b.Key()) {
 			return -1
 		}
 		return 1
@@ -35,8 +35,8 @@
 	return sorted
 }
 
-// newestSupported picks from sorted records, for each kind and name, the one with the highest schema version that this
-// program understands.
+// newestSupported returns, for each kind and name in sorted records, the record with the highest schema version that this
+// program knows.
 func newestSupported(sorted []core.Record) []core.Record {
 	chosen := make([]core.Record, 0, len(sorted))
 	for _, r := range sorted {
@@ -52,20 +52,20 @@
 	return chosen
 }
 
-// index puts a record in use. Kinds that a later program added are kept and forwarded only.
-func (c *Configuration) index(r core.Record, previous *Configuration) error {
-	body, err := previous.bodyOf(r)
+// indexRecord makes a record available for lookups. Records of kinds that a later program version added are only forwarded.
+func (c *Configuration) indexRecord(r core.Record, previous *Configuration) error {
+	body, err := previous.decodedBody(r)
 	if err != nil || body == nil {
 		return err
 	}
-	c.decoded[r.Key()] = body
+	c.decodedBodies[r.Key()] = body
 	switch body := body.(type) {
 	case core.ServiceBody:
 		c.services[core.ServiceName(r.Name)] = body
 	case core.UpstreamBody:
 		c.upstreams[core.UpstreamName(r.Name)] = body
 	case core.PolicyBody:
-		if held, exists := c.policies[body.Service]; exists && held.Service != "" {
+		if existing, exists := c.policies[body.Service]; exists && existing.Service != "" {
 			return errors.Errorf("service %q has two policies", body.Service)
 		}
 		c.policies[body.Service] = body
@@ -80,12 +80,12 @@
 	return nil
 }
 
-// bodyOf returns the decoded body of a record. One that this configuration holds is not decoded again: at 170 services, the
-// decoding took half of the time of a change.
-func (c *Configuration) bodyOf(r core.Record) (any, error) {
+// decodedBody returns the decoded body of a record. It reuses the body if this configuration holds the same record: with 170
+// services, decoding took half of the time of a change.
+func (c *Configuration) decodedBody(r core.Record) (any, error) {
 	if c != nil {
-		if held, exists := c.records[r.Key()]; exists && sameBytes(held.Body, r.Body) {
-			if body, known := c.decoded[r.Key()]; known {
+		if current, exists := c.records[r.Key()]; exists && sharesMemory(current.Body, r.Body) {
+			if body, known := c.decodedBodies[r.Key()]; known {
 				return body, nil
 			}
 		}
@@ -105,12 +105,12 @@
 	return nil, nil
 }
 
-// sameBytes reports whether two bodies share their memory; bodies are never changed in place.
-func sameBytes(a, b []byte) bool {
+// sharesMemory reports whether two bodies share their memory and so are equal; bodies are never changed in place.
+func sharesMemory(a, b []byte) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// decodeBody decodes leniently: a later program may have added fields to a schema version.
+// decodeBody accepts unknown fields, since a later program version may have added fields to a schema version.
 func decodeBody[T any](r core.Record) (any, error) {
 	var body T
 	if err := json.Unmarshal(r.Body, &body); err != nil {
--- a/core/record/delta.go
+++ b/core/record/delta.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// DeltaFrom returns what leads from an older configuration to c.
+// DeltaFrom returns the delta from an older configuration to c.
 func (c *Configuration) DeltaFrom(older *Configuration) Delta {
 	delta := Delta{
 		FromRevision: older.revision,
@@ -18,7 +18,7 @@
 		ToHash:       c.hash,
 	}
 	for _, r := range c.Records() {
-		if held, exists := older.records[r.Key()]; !exists || !sameRecord(held, r) {
+		if previous, exists := older.records[r.Key()]; !exists || !recordsEqual(previous, r) {
 			delta.Upserts = append(delta.Upserts, r)
 		}
 	}
@@ -27,9 +27,9 @@
 			delta.Deletes = append(delta.Deletes, key)
 		}
 	}
-	sort.Slice(delta.Deletes, func(i, j int) bool { return keyBefore(delta.Deletes[i], delta.Deletes[j]) })
+	sort.Slice(delta.Deletes, func(i, j int) bool { return keyLess(delta.Deletes[i], delta.Deletes[j]) })
 	for _, o := range c.Overrides() {
-		if held, exists := older.overrides[o.Service]; !exists || !sameOverride(held, o) {
+		if previous, exists := older.overrides[o.Service]; !exists || !overridesEqual(previous, o) {
 			delta.Overrides = append(delta.Overrides, o)
 		}
 	}
@@ -41,14 +41,14 @@
 	return delta
 }
 
-// Apply returns the configuration that the delta leads to and leaves c as it is; it returns ErrOlder, ErrWrongBase,
-// ErrHashMismatch or the errors of New.
+// Apply returns the configuration that results from a delta; c is unchanged. It returns ErrOlder, ErrWrongBase, ErrHashMismatch
+// or the errors of New.
 func (c *Configuration) Apply(delta Delta) (*Configuration, error) {
 	if delta.ToRevision <= c.revision {
-		return nil, errors.Annotatef(ErrOlder, "revision %d, in force is %d", delta.ToRevision, c.revision)
+		return nil, errors.Annotatef(ErrOlder, "revision %d, the revision in force is %d", delta.ToRevision, c.revision)
 	}
 	if delta.FromRevision != c.revision || delta.FromHash != c.hash {
-		return nil, errors.Annotatef(ErrWrongBase, "delta from revision %d, held is %d", delta.FromRevision, c.revision)
+		return nil, errors.Annotatef(ErrWrongBase, "delta starts at revision %d, the revision in force is %d", delta.FromRevision, c.revision)
 	}
 	next, err := build(c, delta.ToRevision, c.patchedRecords(delta), c.patchedOverrides(delta))
 	if err != nil {
@@ -88,11 +88,11 @@
 	return overrides
 }
 
-func sameRecord(a, b core.Record) bool {
+func recordsEqual(a, b core.Record) bool {
 	return a.Version == b.Version && bytes.Equal(a.Body, b.Body)
 }
 
-func sameOverride(a, b core.Override) bool {
+func overridesEqual(a, b core.Override) bool {
 	if a.Move != b.Move || a.From != b.From || a.To != b.To || a.Open != b.Open || len(a.Weights) != len(b.Weights) {
 		return false
 	}
