--- a/core/replay/replay.go
+++ b/core/replay/replay.go
@@ -126,7 +126,7 @@
 
 // apply does what the catalog does with a committed step.
 func (m *Measures) apply(step core.MoveStep) error {
-	if step.Step != m.Move.Step+1 || !rollout.Allowed(m.Move.State, step.State) {
+	if step.Step != m.Move.Step+1 || !rollout.IsTransition(m.Move.State, step.State) {
 		return errors.Errorf("step %d to %s does not follow step %d in %s", step.Step, step.State, m.Move.Step, m.Move.State)
 	}
 	m.Steps = append(m.Steps, step)
--- a/core/replay/rules.go
+++ b/core/replay/rules.go
@@ -28,7 +28,7 @@
 
 func newRule(name RuleName, move core.Move, from, to core.Release) Rule {
 	if name == RuleSequential {
-		return rollout.NewJudge(move, from, to)
+		return rollout.NewSequentialDecider(move, from, to)
 	}
 	return &schedule{
 		service:   move.Request.Service,
--- a/core/replay/world.go
+++ b/core/replay/world.go
@@ -45,7 +45,7 @@
 	dataCentre  int
 	incarnation core.Incarnation
 	recorder    *rollout.Recorder
-	guard       *rollout.Guard
+	guard       *rollout.CircuitBreaker
 }
 
 type report struct {
@@ -125,7 +125,7 @@
 func (w *world) start(n *node, at time.Time) {
 	n.incarnation = core.Incarnation(at.UnixNano())
 	n.recorder = rollout.NewRecorder(n.id, n.incarnation)
-	n.guard = rollout.NewGuard()
+	n.guard = rollout.NewCircuitBreaker()
 	n.guard.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
 }
 
--- a/core/rollout/brief.go
+++ b/core/rollout/brief_move_decider.go
@@ -12,58 +12,58 @@
 )
 
 const (
-	// briefRisk is the share for most of a brief move, if the request names none.
-	briefRisk core.PerMille = 60
-	// briefWait lets the nodes learn of the move before its first share.
-	briefWait = 500 * time.Millisecond
+	// briefRiskPerMille is the share for most of a brief move, if the request names none.
+	briefRiskPerMille core.PerMille = 60
+	// briefAnnounceDelay lets the nodes learn of the move before its first share.
+	briefAnnounceDelay = 500 * time.Millisecond
 	// A brief move spends these parts of its time at the risk share and at a fifth; the rest is a margin for the last step. Faults
 	// that come late have to show before the last step, since no release is left after it. Until then the new release has met 85
 	// in 1,000 of the calls, so that one whose fault shows at the very end has still met less than a tenth of them.
-	briefRiskUntil  = 0.74
-	briefFifthUntil = 0.94
-	briefFifth      = core.PerMille(200)
-	// briefDecideUntil is the part of its time after which a move in doubt is taken back, so that this too is in force in time.
-	briefDecideUntil = 0.96
-	// briefCalls of the new release have to be reported before each larger share.
-	briefCalls = 12
-	// briefAlarm is the probability that one comparison takes a release back which is as good as the old one.
-	briefAlarm = 1e-3
-	// briefDoubt keeps a share from growing. A good release that is not done in time can be moved to again, while a bad one that
+	briefRiskUntilRatio  = 0.74
+	briefFifthUntilRatio = 0.94
+	briefFifthPerMille   = core.PerMille(200)
+	// briefDecideUntilRatio is the part of its time after which a move in doubt is taken back, so that this too is in force in time.
+	briefDecideUntilRatio = 0.96
+	// briefMinCalls of the new release have to be reported before each larger share.
+	briefMinCalls = 12
+	// briefFalseAlarmProbability is the probability that one comparison takes a release back which is as good as the old one.
+	briefFalseAlarmProbability = 1e-3
+	// briefDoubtProbability keeps a share from growing. A good release that is not done in time can be moved to again, while a bad one that
 	// is done has no other beside it.
-	briefDoubt = 0.01
-	// briefFailures and briefSlow are the rates of the new release that are not yet worse than the old one's: failures of single
+	briefDoubtProbability = 0.01
+	// briefToleratedFailureRate and briefToleratedSlowRate are the rates of the new release that are not yet worse than the old one's: failures of single
 	// calls, and the slow answers of backend servers that have just started.
-	briefFailures = 0.02
-	briefSlow     = 0.05
-	// briefSlowMore is the part of a slow release's calls that are slow beyond the old one's, and briefMissed the probability that
+	briefToleratedFailureRate = 0.02
+	briefToleratedSlowRate    = 0.05
+	// briefDetectedSlowRate is the part of a slow release's calls that are slow beyond the old one's, and briefMissProbability the probability that
 	// such a release is done.
-	briefSlowMore = 0.15
-	briefMissed   = 0.2
-	// briefFewSlow is the part of the old release's answers that may be above the boundary at which a new one shows that it keeps
+	briefDetectedSlowRate = 0.15
+	briefMissProbability  = 0.2
+	// briefNoninferiorSlowRatio is the part of the old release's answers that may be above the boundary at which a new one shows that it keeps
 	// up. The fewer are, the fewer calls show it, but waiting moves the boundary that nearly all keep out of reach of slow answers.
-	briefFewSlow = 0.12
-	// briefWarmUp is for how long the latencies of a new release do not count: processes answer their first calls slowly. Reports
+	briefNoninferiorSlowRatio = 0.12
+	// briefWarmUpDuration is for how long the latencies of a new release do not count: processes answer their first calls slowly. Reports
 	// arrive within half a second.
-	briefWarmUp = 1500 * time.Millisecond
-	// briefHistory of the old release's calls tells its rates of the moment, together with briefWeight calls at its rates so far.
+	briefWarmUpDuration = 1500 * time.Millisecond
+	// briefRateWindow of the old release's calls tells its rates of the moment, together with briefRateWeightCalls calls at its rates so far.
 	// Nodes report every 0.3 s.
-	briefHistory = 600 * time.Millisecond
-	briefWeight  = 5.0
-	// briefMinBad keeps a few unlucky calls from taking a move back.
-	briefMinBad = 3
+	briefRateWindow      = 600 * time.Millisecond
+	briefRateWeightCalls = 5.0
+	// briefMinBadCalls keeps a few unlucky calls from taking a move back.
+	briefMinBadCalls = 3
 )
 
 // Brief decides the steps of one move that is too short for a Judge. It compares the releases over the same time, by route and
 // in total, since the move began and since its latest step. It is not safe for concurrent use.
-type Brief struct {
-	service core.ServiceName
-	to      core.Release
-	ready   int // backend servers of the new release that take calls
-	stage   uint64
-	began   time.Time
-	before  map[core.RouteName]briefPair // counts at the latest step
-	history []briefPast                  // of the latest decisions, oldest first
-	first   map[core.RouteName]latencies // of the new release's answers while it warmed up
+type BriefMoveDecider struct {
+	service         core.ServiceName
+	to              core.Release
+	readyEndpoints  int // backend servers of the new release that take calls
+	step            uint64
+	stepSeenAt      time.Time
+	countedAtStep   map[core.RouteName]briefPair // counts at the latest step
+	history         []briefSnapshot              // of the latest decisions, oldest first
+	warmUpLatencies map[core.RouteName]latencies // of the new release's answers while it warmed up
 }
 
 type latencies [core.LatencyBuckets]uint64
@@ -88,51 +88,51 @@
 	return move.Request.Deadline.Sub(move.StartedAt) <= atMost
 }
 
-// NewBrief returns the decision for one brief move to a release.
-func NewBrief(move core.Move, to core.Release) *Brief {
-	return &Brief{
-		service: move.Request.Service,
-		to:      to,
-		before:  make(map[core.RouteName]briefPair),
-		first:   make(map[core.RouteName]latencies),
+// NewBriefMoveDecider returns the decision for one brief move to a release.
+func NewBriefMoveDecider(move core.Move, to core.Release) *BriefMoveDecider {
+	return &BriefMoveDecider{
+		service:         move.Request.Service,
+		to:              to,
+		countedAtStep:   make(map[core.RouteName]briefPair),
+		warmUpLatencies: make(map[core.RouteName]latencies),
 	}
 }
 
 // ObserveEndpoints tells which endpoints exist.
-func (b *Brief) ObserveEndpoints(_ time.Time, endpoints []core.Endpoint) {
-	b.ready = lo.CountBy(endpoints, func(e core.Endpoint) bool {
+func (b *BriefMoveDecider) ObserveEndpoints(_ time.Time, endpoints []core.Endpoint) {
+	b.readyEndpoints = lo.CountBy(endpoints, func(e core.Endpoint) bool {
 		return e.Service == b.service && e.Release == b.to && e.State == core.EndpointReady
 	})
 }
 
 // ObserveLateness is not needed: no share grows before calls at the present one were reported.
-func (b *Brief) ObserveLateness(time.Duration) {}
+func (b *BriefMoveDecider) ObserveLateness(time.Duration) {}
 
 // Decide returns the next step if one is due; evidence has the cumulative counts of this move.
-func (b *Brief) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
+func (b *BriefMoveDecider) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
 	if IsFinal(move.State) {
 		return core.MoveStep{}, false
 	}
-	counted := b.expect(now, b.warmedUp(now, move, b.sum(evidence)))
-	if b.began.IsZero() || b.stage != move.Step {
-		b.began, b.stage, b.before = now, move.Step, counted
+	counted := b.addExpected(now, b.excludeWarmUp(now, move, b.sumByRoute(evidence)))
+	if b.stepSeenAt.IsZero() || b.step != move.Step {
+		b.stepSeenAt, b.step, b.countedAtStep = now, move.Step, counted
 	}
 	if move.State == core.MoveProposed {
 		return b.begin(now, move)
 	}
-	timeUp := !now.Before(b.at(move, briefDecideUntil))
+	timeUp := !now.Before(b.timeAt(move, briefDecideUntilRatio))
 	text := describeBrief(move, counted)
-	if cause, found := b.worse(counted, briefAlarm); found {
+	if cause, found := b.worse(counted, briefFalseAlarmProbability); found {
 		return step(now, move, eventFail, 0, cause, text)
 	}
-	if cause, doubtful := b.worse(counted, briefDoubt); doubtful {
+	if cause, doubtful := b.worse(counted, briefDoubtProbability); doubtful {
 		if timeUp {
 			return step(now, move, eventFail, 0, "in doubt at its time: "+cause, text)
 		}
 		return core.MoveStep{}, false
 	}
 	larger, due := b.grow(now, move, counted, text)
-	if due && now.Before(move.Request.Deadline) && !(timeUp && move.Share < briefFifth) {
+	if due && now.Before(move.Request.Deadline) && !(timeUp && move.Share < briefFifthPerMille) {
 		return larger, true
 	}
 	if timeUp {
@@ -141,11 +141,11 @@
 	return core.MoveStep{}, false
 }
 
-func (b *Brief) begin(now time.Time, move core.Move) (core.MoveStep, bool) {
+func (b *BriefMoveDecider) begin(now time.Time, move core.Move) (core.MoveStep, bool) {
 	switch {
 	case !now.Before(move.Request.Deadline):
 		return step(now, move, eventTimeUp, 0, "no backend server of the new release was ready in time", "no evidence")
-	case b.ready == 0 || now.Before(move.StartedAt.Add(briefWait)):
+	case b.readyEndpoints == 0 || now.Before(move.StartedAt.Add(briefAnnounceDelay)):
 		return core.MoveStep{}, false
 	}
 	share := briefShare(move)
@@ -156,20 +156,20 @@
 	if move.Request.MaxRiskShare > 0 {
 		return move.Request.MaxRiskShare
 	}
-	return briefRisk
+	return briefRiskPerMille
 }
 
 // grow raises the share by time, once enough calls at the present one were reported. A move that is late skips no share.
-func (b *Brief) grow(now time.Time, move core.Move, counted map[core.RouteName]briefPair, text string) (core.MoveStep, bool) {
-	until, next := briefFifthUntil, core.FullShare
-	if move.Share < briefFifth {
-		until, next = briefRiskUntil, briefFifth
+func (b *BriefMoveDecider) grow(now time.Time, move core.Move, counted map[core.RouteName]briefPair, text string) (core.MoveStep, bool) {
+	until, next := briefFifthUntilRatio, core.FullShare
+	if move.Share < briefFifthPerMille {
+		until, next = briefRiskUntilRatio, briefFifthPerMille
 	}
-	if now.Before(b.at(move, until)) || totalOf(b.since(counted)).new.calls < briefCalls || b.ready == 0 {
+	if now.Before(b.timeAt(move, until)) || totalOf(b.sinceStep(counted)).new.calls < briefMinCalls || b.readyEndpoints == 0 {
 		return core.MoveStep{}, false
 	}
 	if next == core.FullShare {
-		if !keepsUp(counted) {
+		if !latencyNoninferior(counted) {
 			return core.MoveStep{}, false
 		}
 		return step(now, move, eventFinish, next, "no fault was found", text)
@@ -178,13 +178,13 @@
 }
 
 // at is when a part of the move's time has passed.
-func (*Brief) at(move core.Move, part float64) time.Time {
+func (*BriefMoveDecider) timeAt(move core.Move, part float64) time.Time {
 	total := move.Request.Deadline.Sub(move.StartedAt)
 	return move.StartedAt.Add(time.Duration(float64(total) * part))
 }
 
 // sum adds up the counts by route.
-func (b *Brief) sum(evidence []core.EvidenceCount) map[core.RouteName]briefPair {
+func (b *BriefMoveDecider) sumByRoute(evidence []core.EvidenceCount) map[core.RouteName]briefPair {
 	counted := make(map[core.RouteName]briefPair)
 	for _, c := range evidence {
 		if c.Service != b.service {
@@ -195,7 +195,7 @@
 		*side = side.plus(briefCount{
 			calls:      c.Answered(),
 			failures:   c.Failures + c.Crashes,
-			turnedAway: less(c.Calls, c.Answered()),
+			turnedAway: saturatingSub(c.Calls, c.Answered()),
 			latency:    c.Latency,
 		})
 		counted[c.Route] = pair
@@ -203,70 +203,70 @@
 	return counted
 }
 
-// warmedUp leaves the first latencies of the new release out.
-func (b *Brief) warmedUp(now time.Time, move core.Move, counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
-	warming := move.Share < briefFifth && now.Before(move.SteppedAt.Add(briefWarmUp))
+// excludeWarmUp leaves the first latencies of the new release out.
+func (b *BriefMoveDecider) excludeWarmUp(now time.Time, move core.Move, counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
+	warming := move.Share < briefFifthPerMille && now.Before(move.SteppedAt.Add(briefWarmUpDuration))
 	for route, pair := range counted {
 		if warming {
-			b.first[route] = pair.new.latency
+			b.warmUpLatencies[route] = pair.new.latency
 		}
-		pair.new.latency = pair.new.latency.less(b.first[route])
+		pair.new.latency = pair.new.latency.sub(b.warmUpLatencies[route])
 		counted[route] = pair
 	}
 	return counted
 }
 
-// briefPast is what had been counted at a decision.
-type briefPast struct {
+// briefSnapshot is what had been counted at a decision.
+type briefSnapshot struct {
 	at      time.Time
 	counted map[core.RouteName]briefPair
 }
 
 // expect adds to the expectations what was counted since the latest decision.
-func (b *Brief) expect(now time.Time, counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
-	for len(b.history) > 1 && now.Sub(b.history[1].at) >= briefHistory {
+func (b *BriefMoveDecider) addExpected(now time.Time, counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
+	for len(b.history) > 1 && now.Sub(b.history[1].at) >= briefRateWindow {
 		b.history = b.history[1:]
 	}
 	if len(b.history) > 0 {
 		oldest, latest := b.history[0].counted, b.history[len(b.history)-1].counted
 		for route, pair := range counted {
-			counted[route] = pair.expecting(oldest[route], latest[route])
+			counted[route] = pair.withExpected(oldest[route], latest[route])
 		}
 	}
-	b.history = append(b.history, briefPast{
+	b.history = append(b.history, briefSnapshot{
 		at:      now,
 		counted: counted,
 	})
 	return counted
 }
 
-func (p briefPair) expecting(oldest, latest briefPair) briefPair {
-	window := p.old.less(oldest.old)
-	added := func(now, before uint64) float64 { return float64(less(now, before)) }
+func (p briefPair) withExpected(oldest, latest briefPair) briefPair {
+	window := p.old.sub(oldest.old)
+	added := func(now, before uint64) float64 { return float64(saturatingSub(now, before)) }
 	p.expectedFailures = latest.expectedFailures +
-		added(p.new.calls, latest.new.calls)*blended(window.failures, window.calls, p.old.failures, p.old.calls)
+		added(p.new.calls, latest.new.calls)*weightedRate(window.failures, window.calls, p.old.failures, p.old.calls)
 	p.expectedTurnedAway = latest.expectedTurnedAway +
-		added(p.new.offered(), latest.new.offered())*blended(window.turnedAway, window.offered(), p.old.turnedAway, p.old.offered())
+		added(p.new.offered(), latest.new.offered())*weightedRate(window.turnedAway, window.offered(), p.old.turnedAway, p.old.offered())
 	timed := added(p.new.latency.total(), latest.new.latency.total())
 	for bucket := range p.expectedSlow {
 		p.expectedSlow[bucket] = latest.expectedSlow[bucket] +
-			timed*blended(window.latency.above(bucket), window.calls, p.old.latency.above(bucket), p.old.calls)
+			timed*weightedRate(window.latency.above(bucket), window.calls, p.old.latency.above(bucket), p.old.calls)
 	}
 	return p
 }
 
-// blended is the rate of a window, in which the rate of all calls counts as much as briefWeight calls.
-func blended(bad, calls, allBad, allCalls uint64) float64 {
-	return (float64(bad) + briefWeight*rateOf(allBad, allCalls)) / (float64(calls) + briefWeight)
+// blended is the rate of a window, in which the rate of all calls counts as much as briefRateWeightCalls calls.
+func weightedRate(bad, calls, allBad, allCalls uint64) float64 {
+	return (float64(bad) + briefRateWeightCalls*rateOf(allBad, allCalls)) / (float64(calls) + briefRateWeightCalls)
 }
 
 // since returns what was counted since the latest step.
-func (b *Brief) since(counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
+func (b *BriefMoveDecider) sinceStep(counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
 	return lo.MapValues(counted, func(pair briefPair, route core.RouteName) briefPair {
-		before := b.before[route]
+		before := b.countedAtStep[route]
 		recent := briefPair{
-			old:                pair.old.less(before.old),
-			new:                pair.new.less(before.new),
+			old:                pair.old.sub(before.old),
+			new:                pair.new.sub(before.new),
 			expectedFailures:   pair.expectedFailures - before.expectedFailures,
 			expectedTurnedAway: pair.expectedTurnedAway - before.expectedTurnedAway,
 		}
@@ -277,20 +277,20 @@
 	})
 }
 
-func (c briefCount) less(before briefCount) briefCount {
-	c.calls = less(c.calls, before.calls)
-	c.failures = less(c.failures, before.failures)
-	c.turnedAway = less(c.turnedAway, before.turnedAway)
-	c.latency = c.latency.less(before.latency)
+func (c briefCount) sub(before briefCount) briefCount {
+	c.calls = saturatingSub(c.calls, before.calls)
+	c.failures = saturatingSub(c.failures, before.failures)
+	c.turnedAway = saturatingSub(c.turnedAway, before.turnedAway)
+	c.latency = c.latency.sub(before.latency)
 	return c
 }
 
 // offered counts the calls that were answered, failed or turned away.
 func (c briefCount) offered() uint64 { return c.calls + c.turnedAway }
 
-func (l latencies) less(before latencies) latencies {
+func (l latencies) sub(before latencies) latencies {
 	for i := range l {
-		l[i] = less(l[i], before[i])
+		l[i] = saturatingSub(l[i], before[i])
 	}
 	return l
 }
@@ -320,8 +320,8 @@
 }
 
 // worse names the first route and measure by which the new release is worse, in a fixed order.
-func (b *Brief) worse(counted map[core.RouteName]briefPair, alarm float64) (string, bool) {
-	recent := b.since(counted)
+func (b *BriefMoveDecider) worse(counted map[core.RouteName]briefPair, alarm float64) (string, bool) {
+	recent := b.sinceStep(counted)
 	routes := lo.Keys(counted)
 	slices.Sort(routes)
 	for _, route := range routes {
@@ -339,13 +339,13 @@
 	return "", false
 }
 
-// keepsUp reports whether a release that is slow for briefSlowMore of its calls would have shown more slow answers, or turned more
+// latencyNoninferior reports whether a release that is slow for briefDetectedSlowRate of its calls would have shown more slow answers, or turned more
 // calls away, than there were. Few calls, or many slow ones of the old release beside them, show nothing: then it is no reason to
 // trust a release that no fault of it was found. An old release that hardly answers is no measure.
-func keepsUp(counted map[core.RouteName]briefPair) bool {
+func latencyNoninferior(counted map[core.RouteName]briefPair) bool {
 	calls, slow, expected, compared := uint64(0), uint64(0), 0.0, false
 	for _, pair := range counted {
-		boundary, known := pair.old.closeBoundary()
+		boundary, known := pair.old.noninferiorBoundary()
 		if !known {
 			continue
 		}
@@ -357,43 +357,43 @@
 	if !compared {
 		return true
 	}
-	return calls > 0 && atMost(slow, calls, expected/float64(calls)+briefSlowMore) <= briefMissed
+	return calls > 0 && binomialCDF(slow, calls, expected/float64(calls)+briefDetectedSlowRate) <= briefMissProbability
 }
 
 func (p briefPair) worse(usual briefCount, alarm float64) (string, bool) {
 	if p.failuresWorse(alarm) {
 		return "failures", true
 	}
-	boundary, known := usual.boundary()
+	boundary, known := usual.slowBoundary()
 	if !known {
 		return "", false
 	}
 	timed, slow, expected := p.new.latency.total(), p.new.latency.above(boundary), p.expectedSlow[boundary]
-	if unlikely(slow, timed, briefSlow+expected/float64(max(timed, 1)), alarm) {
+	if exceedsRate(slow, timed, briefToleratedSlowRate+expected/float64(max(timed, 1)), alarm) {
 		return "slow answers", true
 	}
 	// A release that is a little worse in both ways is bad too. Calls that fail slowly count twice for both releases.
 	calls := p.new.calls
-	if unlikely(min(slow+p.new.failures, calls), calls, briefSlow+(expected+p.expectedFailures)/float64(max(calls, 1)), alarm) {
+	if exceedsRate(min(slow+p.new.failures, calls), calls, briefToleratedSlowRate+(expected+p.expectedFailures)/float64(max(calls, 1)), alarm) {
 		return "failures and slow answers", true
 	}
 	return "", false
 }
 
 func (p briefPair) failuresWorse(alarm float64) bool {
-	return unlikely(p.new.failures, p.new.calls, briefFailures+p.expectedFailures/float64(max(p.new.calls, 1)), alarm)
+	return exceedsRate(p.new.failures, p.new.calls, briefToleratedFailureRate+p.expectedFailures/float64(max(p.new.calls, 1)), alarm)
 }
 
 // boundary returns the bucket above which an answer is slow by nearly all of the old release's answers.
-func (c briefCount) boundary() (int, bool) {
-	return c.boundaryAt(slowQuantile)
+func (c briefCount) slowBoundary() (int, bool) {
+	return c.boundaryAt(slowCallsRatio)
 }
 
-// closeBoundary returns the one that all but briefFewSlow of the old release's answers keep, but none so high that an answer that
+// noninferiorBoundary returns the one that all but briefNoninferiorSlowRatio of the old release's answers keep, but none so high that an answer that
 // takes eight times the median is not slow.
-func (c briefCount) closeBoundary() (int, bool) {
-	boundary, known := c.boundaryAt(briefFewSlow)
-	return min(boundary, c.latency.bucketAt(0.5)+2), known
+func (c briefCount) noninferiorBoundary() (int, bool) {
+	boundary, known := c.boundaryAt(briefNoninferiorSlowRatio)
+	return min(boundary, c.latency.upperBucket(0.5)+2), known
 }
 
 // boundaryAt returns the bucket above which at most a part of the answers is, and above which an answer takes at least twice as
@@ -402,11 +402,11 @@
 	if c.calls < windowMinCalls {
 		return 0, false
 	}
-	return max(c.latency.bucketAt(part), c.latency.bucketAt(0.5)+1), true
+	return max(c.latency.upperBucket(part), c.latency.upperBucket(0.5)+1), true
 }
 
-// bucketAt returns the lowest bucket above which at most a part of the answers is.
-func (l latencies) bucketAt(part float64) int {
+// upperBucket returns the lowest bucket above which at most a part of the answers is.
+func (l latencies) upperBucket(part float64) int {
 	rest, most := uint64(0), part*float64(l.total())
 	for i := core.LatencyBuckets - 1; i > 0; i-- {
 		rest += l[i]
@@ -423,8 +423,8 @@
 }
 
 // unlikely reports whether so many bad calls have a probability below alarm at a rate (one-sided binomial test).
-func unlikely(bad, calls uint64, rate, alarm float64) bool {
-	if bad < briefMinBad || rate >= 1 || float64(bad) <= rate*float64(calls) {
+func exceedsRate(bad, calls uint64, rate, alarm float64) bool {
+	if bad < briefMinBadCalls || rate >= 1 || float64(bad) <= rate*float64(calls) {
 		return false
 	}
 	tail := 0.0
@@ -437,8 +437,8 @@
 	return true
 }
 
-// atMost is the probability of at most so many slow calls at a rate (one-sided binomial test).
-func atMost(slow, calls uint64, rate float64) float64 {
+// binomialCDF is the probability of at most so many slow calls at a rate (one-sided binomial test).
+func binomialCDF(slow, calls uint64, rate float64) float64 {
 	if rate >= 1 {
 		return 0
 	}
@@ -462,7 +462,7 @@
 	slices.Sort(routes)
 	for _, route := range routes {
 		pair := counted[route]
-		if boundary, known := pair.old.boundary(); known && len(text) < maxBriefText {
+		if boundary, known := pair.old.slowBoundary(); known && len(text) < maxBriefEvidenceBytes {
 			text += fmt.Sprintf("; route %s: %d of %d took over %d ms, %d of %d before; %d and %d turned away", route,
 				pair.new.latency.above(boundary), pair.new.latency.total(), 1<<boundary, pair.old.latency.above(boundary), pair.old.calls,
 				pair.new.turnedAway, pair.old.turnedAway)
@@ -471,5 +471,5 @@
 	return text
 }
 
-// maxBriefText bounds the evidence in a step, in bytes.
-const maxBriefText = 1024
+// maxBriefEvidenceBytes bounds the evidence in a step, in bytes.
+const maxBriefEvidenceBytes = 1024
--- a/core/rollout/brief_test.go
+++ b/core/rollout/brief_move_decider_test.go
@@ -38,7 +38,7 @@
 		StartedAt: start,
 		SteppedAt: start,
 	}
-	judge := rollout.NewBrief(move, "v2")
+	decider := rollout.NewBriefMoveDecider(move, "v2")
 	var reported []core.EvidenceCount
 	for at := time.Duration(0); at < 15*time.Second && !rollout.IsFinal(move.State); at += 100 * time.Millisecond {
 		r.calls(at, move)
@@ -47,8 +47,8 @@
 		}
 		now, earlier := start.Add(at), reported
 		reported = r.counted()
-		judge.ObserveEndpoints(now, []core.Endpoint{{Service: "s", Release: "v2", State: core.EndpointReady}})
-		if step, due := judge.Decide(now, move, lo.Ternary(r.late, earlier, reported)); due {
+		decider.ObserveEndpoints(now, []core.Endpoint{{Service: "s", Release: "v2", State: core.EndpointReady}})
+		if step, due := decider.Decide(now, move, lo.Ternary(r.late, earlier, reported)); due {
 			move.State, move.Step, move.Share, move.SteppedAt, move.Cause = step.State, step.Step, step.Share, now, step.Cause
 		}
 	}
@@ -103,7 +103,7 @@
 // short; a bad one must meet at most a tenth of the calls and 50 more.
 func TestBriefMoves(t *testing.T) {
 	c := qt.New(t)
-	taken := 0
+	notDone := 0
 	for _, test := range []struct {
 		name    string
 		release briefRelease
@@ -122,7 +122,7 @@
 			move, newCalls, allCalls := replayBrief(seed, test.release, 13)
 			comment := qt.Commentf("%s, seed %d: %s (%s), %d of %d calls", test.name, seed, move.State, move.Cause, newCalls, allCalls)
 			if test.good {
-				taken += lo.Ternary(move.State == core.MoveDone, 0, 1)
+				notDone += lo.Ternary(move.State == core.MoveDone, 0, 1)
 				continue
 			}
 			c.Assert(move.State == core.MoveTakenBack || move.State == core.MoveExpired, qt.IsTrue, comment) // both restore the old release
@@ -130,12 +130,12 @@
 			c.Assert(newCalls <= 14*130/10+50, qt.IsTrue, comment)
 		}
 	}
-	c.Assert(taken <= 8, qt.IsTrue, qt.Commentf("%d of 400 good releases were not done", taken))
+	c.Assert(notDone <= 8, qt.IsTrue, qt.Commentf("%d of 400 good releases were not done", notDone))
 }
 
 // Guards against a release whose fault shows too late to be found and which has met more than its part of the calls before
 // the last step, at a rate at which the allowance of single calls does not matter.
-func TestBriefMoveKeepsItsExposure(t *testing.T) {
+func TestBriefMoveLimitsCallsAtRisk(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
 		move, newCalls, _ := replayBrief(seed, briefRelease{}, 72)
@@ -233,7 +233,7 @@
 }
 
 // Guards against a move that is taken back because the old release, which no longer answers, gives nothing to compare with.
-func TestBriefMoveAwayFromASilentRelease(t *testing.T) {
+func TestBriefMoveFromAReleaseThatAnswersNothing(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		replay := latencyReplay{answers: []float64{1}, oldAway: 1, perTick: 7}
@@ -251,10 +251,10 @@
 		State:     core.MoveProposed,
 		StartedAt: start,
 	}
-	judge := rollout.NewBrief(move, "v2")
-	judge.ObserveEndpoints(start, []core.Endpoint{{Service: "s", Release: "v2", State: core.EndpointReady}})
+	decider := rollout.NewBriefMoveDecider(move, "v2")
+	decider.ObserveEndpoints(start, []core.Endpoint{{Service: "s", Release: "v2", State: core.EndpointReady}})
 	for at := start; !rollout.IsFinal(move.State); at = at.Add(200 * time.Millisecond) {
-		if step, due := judge.Decide(at, move, nil); due {
+		if step, due := decider.Decide(at, move, nil); due {
 			move.State, move.Step, move.Share, move.SteppedAt = step.State, step.Step, step.Share, at
 		}
 	}
--- a/core/rollout/trial.go
+++ b/core/rollout/canary.go
@@ -10,7 +10,7 @@
 	"parsleyport/core"
 )
 
-// TrialEndpoints returns those endpoints of a release on trial that get its calls: as many as carry its share at the load that
+// CanaryEndpoints returns those endpoints of a release on trial that get its calls: as many as carry its share at the load that
 // the endpoints of the other releases have. A small share over all endpoints would leave each of them nearly idle, and a fault
 // that shows only under load would first show when all traffic has moved.
 //
@@ -18,18 +18,18 @@
 // it replaces, and gets 60 per mille of the calls. Spread evenly, each has a seventeenth of its later load.
 //
 // All nodes come to the same choice from the same endpoints. A release with fewer endpoints than its share needs uses them all.
-func TrialEndpoints(release core.Release, endpoints []core.Endpoint, others int, share core.PerMille) []core.Endpoint {
+func CanaryEndpoints(release core.Release, endpoints []core.Endpoint, others int, share core.PerMille) []core.Endpoint {
 	wanted := max(1, int((uint64(others)*uint64(share)+uint64(core.FullShare)/2)/uint64(core.FullShare)))
 	if wanted >= len(endpoints) {
 		return endpoints
 	}
 	ordered := slices.Clone(endpoints)
 	slices.SortFunc(ordered, func(a, b core.Endpoint) int {
-		return cmp.Or(cmp.Compare(trialOrder(release, a), trialOrder(release, b)), cmp.Compare(a.Node, b.Node))
+		return cmp.Or(cmp.Compare(canaryOrder(release, a), canaryOrder(release, b)), cmp.Compare(a.Node, b.Node))
 	})
 	return lo.Slice(ordered, 0, wanted)
 }
 
-func trialOrder(release core.Release, endpoint core.Endpoint) uint64 {
+func canaryOrder(release core.Release, endpoint core.Endpoint) uint64 {
 	return xxhash.Sum64String(string(release) + "\x00" + string(endpoint.Node))
 }
--- a/core/rollout/chart.go
+++ b/core/rollout/chart.go
@@ -10,9 +10,9 @@
 )
 
 //go:embed move-chart.jsonc
-var moveChart []byte
+var moveChartSource []byte
 
-var chart = statechart.MustLoad(moveChart)
+var chart = statechart.MustLoad(moveChartSource)
 
 const (
 	eventBegin  statechart.Event = "begin"
@@ -34,7 +34,7 @@
 }
 
 // Allowed reports whether the chart has a transition between two states; the catalog checks steps with it.
-func Allowed(from, to core.MoveState) bool {
+func IsTransition(from, to core.MoveState) bool {
 	for _, event := range chart.Events(statechart.State(from)) {
 		if next, err := chart.Next(statechart.State(from), event); err == nil && next == statechart.State(to) {
 			return true
--- a/core/rollout/evidence.go
+++ b/core/rollout/counter_deltas.go
@@ -6,37 +6,37 @@
 	"parsleyport/core"
 )
 
-type run struct {
+type nodeRun struct {
 	node        core.NodeID
 	incarnation core.Incarnation
 }
 
 type counterKey struct {
-	run
+	nodeRun
 	route   core.RouteName
 	release core.Release
 }
 
 // merge turns cumulative counts into differences. Counts from before the move are a baseline.
-type merge struct {
+type counterDeltas struct {
 	last map[counterKey]core.EvidenceCount
-	runs map[run]bool
+	runs map[nodeRun]bool
 	// fresh means that the new release had no counts while the move was proposed, so all its counts belong to the move.
-	fresh bool
+	newReleaseUnseen bool
 }
 
-func newMerge() *merge {
-	return &merge{
+func newCounterDeltas() *counterDeltas {
+	return &counterDeltas{
 		last: make(map[counterKey]core.EvidenceCount),
-		runs: make(map[run]bool),
+		runs: make(map[nodeRun]bool),
 	}
 }
 
 // advance returns what count adds to the newest one of its node run, route and release; repeated and older counts add
 // nothing. A first count is a baseline unless it must have begun within the move.
-func (m *merge) advance(count core.EvidenceCount, isNew, baseline bool, startedAt time.Time) (core.EvidenceCount, bool) {
+func (m *counterDeltas) add(count core.EvidenceCount, isNew, baseline bool, startedAt time.Time) (core.EvidenceCount, bool) {
 	key := counterKey{
-		run: run{
+		nodeRun: nodeRun{
 			node:        count.Node,
 			incarnation: count.Incarnation,
 		},
@@ -48,11 +48,11 @@
 		return core.EvidenceCount{}, false
 	}
 	m.last[key] = count
-	knownRun := m.runs[key.run]
+	knownRun := m.runs[key.nodeRun]
 	if !known {
-		m.runs[key.run] = true
+		m.runs[key.nodeRun] = true
 		withinMove := count.Incarnation > core.Incarnation(max(0, startedAt.UnixNano()))
-		if !withinMove && (baseline || !knownRun && !(isNew && m.fresh)) {
+		if !withinMove && (baseline || !knownRun && !(isNew && m.newReleaseUnseen)) {
 			return core.EvidenceCount{}, false
 		}
 	}
@@ -60,16 +60,16 @@
 }
 
 func difference(count, last core.EvidenceCount) core.EvidenceCount {
-	count.Calls = less(count.Calls, last.Calls)
-	count.Failures = less(count.Failures, last.Failures)
-	count.Crashes = less(count.Crashes, last.Crashes)
+	count.Calls = saturatingSub(count.Calls, last.Calls)
+	count.Failures = saturatingSub(count.Failures, last.Failures)
+	count.Crashes = saturatingSub(count.Crashes, last.Crashes)
 	for i := range count.Latency {
-		count.Latency[i] = less(count.Latency[i], last.Latency[i])
+		count.Latency[i] = saturatingSub(count.Latency[i], last.Latency[i])
 	}
 	return count
 }
 
-func less(a, b uint64) uint64 {
+func saturatingSub(a, b uint64) uint64 {
 	if a < b {
 		return 0
 	}
--- a/core/rollout/fleet.go
+++ b/core/rollout/fleet.go
@@ -8,37 +8,37 @@
 
 // fleet is what the endpoints tell about a move.
 type fleet struct {
-	dataCentres map[core.NodeID]core.DataCentre
-	readySince  map[run]time.Time // of both releases
-	isNew       map[run]bool
-	readyOld    map[core.DataCentre]int
-	readyNew    map[core.DataCentre]int
-	slotsOld    int
-	slotsNew    int
-	observedAt  time.Time
-	warmed      time.Duration // total time in which slow start held the move
-	muted       time.Duration // total time in which latency told nothing
-	coldUntil   time.Time     // when the answers of cold backend servers have been reported
+	dataCentres          map[core.NodeID]core.DataCentre
+	readySince           map[nodeRun]time.Time // of both releases
+	isNew                map[nodeRun]bool
+	readyOld             map[core.DataCentre]int
+	readyNew             map[core.DataCentre]int
+	slotsOld             int
+	slotsNew             int
+	observedAt           time.Time
+	slowStartHold        time.Duration // total time in which slow start held the move
+	latencyUnusable      time.Duration // total time in which latency told nothing
+	latencyUnusableUntil time.Time     // when the answers of cold backend servers have been reported
 }
 
 func (f *fleet) observe(now time.Time, endpoints []core.Endpoint, service core.ServiceName, from, to core.Release) {
-	if f.warming(now) {
-		f.warmed += now.Sub(f.observedAt)
+	if f.inSlowStart(now) {
+		f.slowStartHold += now.Sub(f.observedAt)
 	}
-	if !f.latencyTells(now) {
-		f.muted += now.Sub(f.observedAt)
+	if !f.latencyUsable(now) {
+		f.latencyUnusable += now.Sub(f.observedAt)
 	}
 	previous := f.readySince
 	*f = fleet{
-		dataCentres: make(map[core.NodeID]core.DataCentre, len(endpoints)),
-		readySince:  make(map[run]time.Time),
-		isNew:       make(map[run]bool),
-		readyOld:    make(map[core.DataCentre]int),
-		readyNew:    make(map[core.DataCentre]int),
-		observedAt:  now,
-		warmed:      f.warmed,
-		muted:       f.muted,
-		coldUntil:   f.coldUntil,
+		dataCentres:          make(map[core.NodeID]core.DataCentre, len(endpoints)),
+		readySince:           make(map[nodeRun]time.Time),
+		isNew:                make(map[nodeRun]bool),
+		readyOld:             make(map[core.DataCentre]int),
+		readyNew:             make(map[core.DataCentre]int),
+		observedAt:           now,
+		slowStartHold:        f.slowStartHold,
+		latencyUnusable:      f.latencyUnusable,
+		latencyUnusableUntil: f.latencyUnusableUntil,
 	}
 	for _, e := range endpoints {
 		f.dataCentres[e.Node] = e.DataCentre
@@ -55,7 +55,7 @@
 		default:
 			continue
 		}
-		key := run{
+		key := nodeRun{
 			node:        e.Node,
 			incarnation: e.Incarnation,
 		}
@@ -65,8 +65,8 @@
 			f.readySince[key] = since
 		}
 	}
-	if since := now.Add(-slowStart); 10*max(f.coldSince(true, since), f.coldSince(false, since)) >= 1 {
-		f.coldUntil = now.Add(evidenceDelay + time.Second)
+	if since := now.Add(-slowStartDuration); 10*max(f.coldRatio(true, since), f.coldRatio(false, since)) >= 1 {
+		f.latencyUnusableUntil = now.Add(evidenceDelay + time.Second)
 	}
 }
 
@@ -89,23 +89,23 @@
 }
 
 // warming reports whether the share must not grow since a third of the new release's backend servers are in slow start.
-func (f *fleet) warming(now time.Time) bool {
-	return f.warmed < maxWarmup && 3*f.coldSince(true, now.Add(-slowStart)) >= 1
+func (f *fleet) inSlowStart(now time.Time) bool {
+	return f.slowStartHold < maxSlowStartHold && 3*f.coldRatio(true, now.Add(-slowStartDuration)) >= 1
 }
 
 // exhausted reports whether backend servers were cold for so long that the move goes on without a verdict on latency.
-func (f *fleet) exhausted() bool {
-	return f.muted >= maxWarmup
+func (f *fleet) latencyAbandoned() bool {
+	return f.latencyUnusable >= maxSlowStartHold
 }
 
-// latencyTells reports whether latency compares the releases. If a tenth of either one's backend servers are cold, they
+// latencyUsable reports whether latency compares the releases. If a tenth of either one's backend servers are cold, they
 // are slow by themselves, and their answers are still reported a while later, even if they have left.
-func (f *fleet) latencyTells(now time.Time) bool {
-	return !now.Before(f.coldUntil)
+func (f *fleet) latencyUsable(now time.Time) bool {
+	return !now.Before(f.latencyUnusableUntil)
 }
 
-// coldSince returns the part of a release's ready backend servers that became ready after a point in time.
-func (f *fleet) coldSince(isNew bool, since time.Time) float64 {
+// coldRatio returns the part of a release's ready backend servers that became ready after a point in time.
+func (f *fleet) coldRatio(isNew bool, since time.Time) float64 {
 	cold, all := 0.0, 0.0
 	for key, ready := range f.readySince {
 		if f.isNew[key] != isNew {
@@ -120,7 +120,7 @@
 }
 
 // capacity is the share that the new release's ready slots can carry if the old release's slots carry all traffic.
-func (f *fleet) capacity() core.PerMille {
+func (f *fleet) capacityPerMille() core.PerMille {
 	if f.observedAt.IsZero() || f.slotsNew >= f.slotsOld {
 		return core.FullShare
 	}
--- a/core/rollout/group.go
+++ b/core/rollout/group.go
@@ -19,9 +19,9 @@
 func newGroup(name string, steady bool) *group {
 	return &group{
 		name:     name,
-		failures: newComparison(failureDelta, restartDelta, failureFloor, steady),
-		slow:     newComparison(slowDelta, slowDelta, slowFloor, false),
-		crashes:  newComparison(crashDelta, crashDelta, crashFloor, steady),
+		failures: newComparison(failureRateDelta, cusumFailureRateDelta, minFailureRate, steady),
+		slow:     newComparison(slowRateDelta, slowRateDelta, minSlowRate, false),
+		crashes:  newComparison(crashRateDelta, crashRateDelta, minCrashRate, steady),
 	}
 }
 
@@ -31,7 +31,7 @@
 
 // sample is what one data centre's nodes counted of one route since the previous decision.
 type sample struct {
-	failures, slow, crashes pair
+	failures, slow, crashes releaseCounts
 }
 
 func (g *group) add(now time.Time, dataCentre core.DataCentre, s sample, latencyTells bool) {
@@ -48,9 +48,9 @@
 	}
 }
 
-func (g *group) clearStage(now time.Time) {
+func (g *group) startStep(now time.Time) {
 	for _, c := range g.comparisons() {
-		c.clearStage(now)
+		c.startStep(now)
 	}
 }
 
@@ -60,9 +60,9 @@
 	return g.failures.passes() && (g.slow.passes() || !latencyTells)
 }
 
-// passesStage reports whether the evidence since the last step accepts the new release.
-func (g *group) passesStage(latencyTells bool) bool {
-	return g.failures.passesStage() && (g.slow.passesStage() || !latencyTells)
+// passesStep reports whether the evidence since the last step accepts the new release.
+func (g *group) passesStep(latencyTells bool) bool {
+	return g.failures.passesStep() && (g.slow.passesStep() || !latencyTells)
 }
 
 // callsToPass is the expected number of calls of the new release until the group passes.
@@ -71,7 +71,7 @@
 }
 
 func (g *group) calls() float64 {
-	return g.failures.total.before.calls + g.failures.total.after.calls
+	return g.failures.total.old.calls + g.failures.total.new.calls
 }
 
 // verdict names the first measure in which the new release is worse, with the counts since the last step.
@@ -92,14 +92,14 @@
 }
 
 func (c *comparison) text(what string) string {
-	p := c.stage
-	if p.after.calls == 0 {
+	p := c.sinceStep
+	if p.new.calls == 0 {
 		p = c.total
 	}
-	return fmt.Sprintf("%s: new release %s, old release %s", what, p.after.text(), p.before.text())
+	return fmt.Sprintf("%s: new release %s, old release %s", what, p.new.text(), p.old.text())
 }
 
-func (t tally) text() string {
+func (t callCount) text() string {
 	if t.calls == 0 {
 		return "no calls"
 	}
--- a/core/rollout/pace_test.go
+++ b/core/rollout/pace_test.go
@@ -12,10 +12,10 @@
 )
 
 // Guards against a share above the limit before the evidence passes, and against a share that grows without evidence.
-func TestShareAtRiskIsHonouredUntilTheEvidencePasses(t *testing.T) {
+func TestRiskShareIsNotExceededBeforeEvidencePasses(t *testing.T) {
 	c := qt.New(t)
-	limited := func(calls, newCrash float64) *course {
-		r := newCourse(c, 5*time.Minute, steady(load{calls: calls, oldFail: 0.001, newFail: 0.001, newCrash: newCrash}))
+	limited := func(calls, newCrash float64) *simulation {
+		r := newSimulation(c, 5*time.Minute, constantLoads(load{calls: calls, oldFail: 0.001, newFail: 0.001, newCrash: newCrash}))
 		r.move.Request.MaxRiskShare = 30
 		return r
 	}
@@ -39,22 +39,22 @@
 // that is done although a route with enough traffic has no verdict.
 func TestLittleTrafficAndExpiry(t *testing.T) {
 	c := qt.New(t)
-	r := newCourse(c, 5*time.Minute, steady(load{calls: 0.5})).run(nil)
+	r := newSimulation(c, 5*time.Minute, constantLoads(load{calls: 0.5})).run(nil)
 	c.Assert(r.move.State, qt.Equals, core.MoveDone)
 	c.Assert(r.move.Cause, qt.Equals, "evidence thin")
 
 	// A share that grows by time waits for reports that are late.
-	r = newCourse(c, 90*time.Second, steady(load{calls: 0.5}))
-	r.judge.ObserveLateness(10 * time.Second)
+	r = newSimulation(c, 90*time.Second, constantLoads(load{calls: 0.5}))
+	r.decider.ObserveLateness(10 * time.Second)
 	r.run(nil)
 	for i, step := range r.steps[1:] {
 		c.Assert(!rollout.IsFinal(step.State) && step.At.Sub(r.steps[i].At) < 13*time.Second, qt.IsFalse, qt.Commentf("%v", r.steps))
 	}
 
-	r = newCourse(c, 5*time.Minute, steady(load{calls: 0.01, newFail: 1})).run(nil)
+	r = newSimulation(c, 5*time.Minute, constantLoads(load{calls: 0.01, newFail: 1})).run(nil)
 	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single failed call must not be blamed: %+v", r.move))
 
-	r = newCourse(c, 5*time.Minute, nil)
+	r = newSimulation(c, 5*time.Minute, nil)
 	r.loads = func(second int) map[core.RouteName]load {
 		l := load{calls: 20}
 		if second == 100 {
@@ -66,7 +66,7 @@
 	c.Assert(r.rates["readv2crashes"] >= 1 && r.rates["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("%v", r.rates))
 	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single crash must not be blamed: %+v", r.move))
 
-	r = newCourse(c, 10*time.Minute, steady(load{calls: 500, oldFail: 0.002, newFail: 0.002}))
+	r = newSimulation(c, 10*time.Minute, constantLoads(load{calls: 500, oldFail: 0.002, newFail: 0.002}))
 	r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		return slices.DeleteFunc(evidence, func(count core.EvidenceCount) bool { return count.Release == "v2" })
 	}
@@ -76,7 +76,7 @@
 
 	// The same with too little traffic for a verdict, and with no reports at all from some time on.
 	for _, lost := range []string{"v2", "all"} {
-		r = newCourse(c, 5*time.Minute, steady(load{calls: 30}))
+		r = newSimulation(c, 5*time.Minute, constantLoads(load{calls: 30}))
 		r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 			return slices.DeleteFunc(evidence, func(count core.EvidenceCount) bool {
 				return r.second > 150 && (lost == "all" || count.Release == "v2")
@@ -109,7 +109,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newCourse(c, 20*time.Second, steady(load{calls: test.calls, newFail: test.newFail}))
+			r := newSimulation(c, 20*time.Second, constantLoads(load{calls: test.calls, newFail: test.newFail}))
 			r.decisions = 5
 			r.endpoints = func(int) []core.Endpoint {
 				return append(backends("v1", "a", 1, 3, core.EndpointReady), backends("v2", "a", 4, 3, core.EndpointReady)...)
@@ -117,7 +117,7 @@
 			var late [][]core.EvidenceCount
 			r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 				if r.second == test.leader {
-					r.judge = rollout.NewJudge(r.move, "v1", "v2")
+					r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
 				}
 				late = append(late, evidence)
 				return late[max(0, len(late)-1-test.delay)]
@@ -140,7 +140,7 @@
 func TestSlowStartAndCapacity(t *testing.T) {
 	c := qt.New(t)
 	const readyAt = 85 // just before the first step is due
-	r := newCourse(c, 10*time.Minute, func(second int) map[core.RouteName]load {
+	r := newSimulation(c, 10*time.Minute, func(second int) map[core.RouteName]load {
 		l := load{calls: 200, oldSlow: 0.02, newSlow: 0.02}
 		if second >= readyAt && second < readyAt+10 {
 			l.newSlow = 1
--- a/core/rollout/judge.go
+++ b/core/rollout/sequential_decider.go
@@ -14,31 +14,31 @@
 // Judge decides the steps of one move. A judge that is rebuilt from the replicated move after a leader change keeps
 // the state, the share and the deadline; the counts that it sees first become its baseline, so the evidence from
 // before the change is lost, except that of node runs that began within the move. It is not safe for concurrent use.
-type Judge struct {
-	service       core.ServiceName
-	from, to      core.Release
-	began         time.Time // of the first decision
-	baselineUntil time.Time
-	step          uint64
-	passedBefore  bool      // under an earlier leader, as the replicated share shows
-	rateSince     time.Time // from which the rate of calls is measured
-	rateBase      float64   // calls until then
-	merge         *merge
-	routes        map[core.RouteName]*group
-	latency       map[core.RouteName]*[core.LatencyBuckets]float64 // of the old release
-	pooled        *group                                           // the routes with little traffic
-	all           *group
-	fleet         fleet
-	evidenceLate  time.Duration // beyond evidenceTime
+type SequentialDecider struct {
+	service                  core.ServiceName
+	from, to                 core.Release
+	firstDecisionAt          time.Time // of the first decision
+	baselineUntil            time.Time
+	step                     uint64
+	passedUnderEarlierLeader bool      // under an earlier leader, as the replicated share shows
+	rateMeasuredFrom         time.Time // from which the rate of calls is measured
+	rateBaseCalls            float64   // calls until then
+	deltas                   *counterDeltas
+	routes                   map[core.RouteName]*group
+	latency                  map[core.RouteName]*[core.LatencyBuckets]float64 // of the old release
+	pooled                   *group                                           // the routes with little traffic
+	all                      *group
+	fleet                    fleet
+	evidenceDelay            time.Duration // beyond evidenceArrivalTime
 }
 
-// NewJudge returns a judge for one move between two releases.
-func NewJudge(move core.Move, from, to core.Release) *Judge {
-	return &Judge{
+// NewSequentialDecider returns a judge for one move between two releases.
+func NewSequentialDecider(move core.Move, from, to core.Release) *SequentialDecider {
+	return &SequentialDecider{
 		service: move.Request.Service,
 		from:    from,
 		to:      to,
-		merge:   newMerge(),
+		deltas:  newCounterDeltas(),
 		routes:  make(map[core.RouteName]*group),
 		latency: make(map[core.RouteName]*[core.LatencyBuckets]float64),
 		pooled:  newGroup("routes with little traffic", false),
@@ -48,24 +48,24 @@
 
 // ObserveEndpoints tells the judge which endpoints exist, of this service and any other; it is optional. The judge
 // learns from it where nodes run, which backend servers are cold and how much capacity the new release has.
-func (j *Judge) ObserveEndpoints(now time.Time, endpoints []core.Endpoint) {
+func (j *SequentialDecider) ObserveEndpoints(now time.Time, endpoints []core.Endpoint) {
 	j.fleet.observe(now, endpoints, j.service, j.from, j.to)
 }
 
 // ObserveLateness tells the judge how much longer than usual the evidence is on its way; it is optional. What arrives within that
 // time after a step is left out as well, and the share does not grow by time alone before its evidence can have arrived.
-func (j *Judge) ObserveLateness(late time.Duration) {
-	j.evidenceLate = late
+func (j *SequentialDecider) ObserveLateness(late time.Duration) {
+	j.evidenceDelay = late
 }
 
 // Decide counts the evidence and returns the next step if one is due; evidence may repeat counts. Until the move
 // shows the step, Decide proposes a step with the same number again.
-func (j *Judge) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
+func (j *SequentialDecider) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
 	if IsFinal(move.State) {
 		return core.MoveStep{}, false
 	}
-	j.enter(now, move)
-	j.count(now, move, evidence)
+	j.trackStep(now, move)
+	j.addEvidence(now, move, evidence)
 	if move.State == core.MoveProposed {
 		return j.begin(now, move)
 	}
@@ -74,40 +74,40 @@
 		return step(now, move, eventFail, 0, cause, j.describe(now, move)+"; "+text)
 	}
 	if timeUp {
-		return step(now, move, eventTimeUp, 0, j.expiry(now, move), j.describe(now, move))
+		return step(now, move, eventTimeUp, 0, j.expiryCause(now, move), j.describe(now, move))
 	}
-	return j.pace(now, move)
+	return j.grow(now, move)
 }
 
-func (j *Judge) enter(now time.Time, move core.Move) {
-	if j.began.IsZero() {
-		j.began = now
-		j.baselineUntil = now.Add(baselineTime)
-		j.merge.fresh = move.State == core.MoveProposed
+func (j *SequentialDecider) trackStep(now time.Time, move core.Move) {
+	if j.firstDecisionAt.IsZero() {
+		j.firstDecisionAt = now
+		j.baselineUntil = now.Add(baselineDuration)
+		j.deltas.newReleaseUnseen = move.State == core.MoveProposed
 		j.step = move.Step
-		j.passedBefore = move.Share > risk(move)
+		j.passedUnderEarlierLeader = move.Share > riskShare(move)
 	}
 	if j.step != move.Step {
 		j.step = move.Step
 		for _, g := range j.groups() {
-			g.clearStage(now)
+			g.startStep(now)
 		}
 	}
 }
 
-func (j *Judge) begin(now time.Time, move core.Move) (core.MoveStep, bool) {
+func (j *SequentialDecider) begin(now time.Time, move core.Move) (core.MoveStep, bool) {
 	if !now.Before(move.Request.Deadline) {
 		return step(now, move, eventTimeUp, 0, "the time was reached before the move began", "no evidence")
 	}
 	if now.Before(j.baselineUntil) {
 		return core.MoveStep{}, false
 	}
-	share := min(probeShare, risk(move))
+	share := min(probePerMille, riskShare(move))
 	return step(now, move, eventBegin, share, "", fmt.Sprintf("probing with %d per mille", share))
 }
 
 // groups returns all groups in a fixed order, the single routes first.
-func (j *Judge) groups() []*group {
+func (j *SequentialDecider) groups() []*group {
 	names := lo.Keys(j.routes)
 	slices.Sort(names)
 	groups := make([]*group, 0, len(names)+2)
@@ -117,14 +117,14 @@
 	return append(groups, j.pooled, j.all)
 }
 
-func (j *Judge) worse(atDeadline bool) (cause, evidence string, found bool) {
+func (j *SequentialDecider) worse(atDeadline bool) (cause, evidence string, found bool) {
 	return j.verdict(func(c *comparison) bool {
 		return c.worse(len(j.groups())*len(j.all.comparisons())) || atDeadline && c.worseAtDeadline()
 	})
 }
 
 // verdict names the first group and measure in which the new release is worse.
-func (j *Judge) verdict(worse func(*comparison) bool) (cause, evidence string, found bool) {
+func (j *SequentialDecider) verdict(worse func(*comparison) bool) (cause, evidence string, found bool) {
 	for _, g := range j.groups() {
 		if cause, evidence, found = g.verdict(worse); found {
 			return cause, evidence, true
@@ -138,27 +138,27 @@
 	return release == from || from == core.OtherReleases && release != to
 }
 
-type place struct {
+type sampleKey struct {
 	route      core.RouteName
 	dataCentre core.DataCentre
 }
 
-func (j *Judge) count(now time.Time, move core.Move, evidence []core.EvidenceCount) {
-	samples := make(map[place]*sample)
-	var order []place
+func (j *SequentialDecider) addEvidence(now time.Time, move core.Move, evidence []core.EvidenceCount) {
+	samples := make(map[sampleKey]*sample)
+	var order []sampleKey
 	baseline := now.Before(j.baselineUntil)
 	for _, c := range evidence {
 		if c.Service != j.service || !isOld(c.Release, j.from, j.to) && c.Release != j.to {
 			continue
 		}
 		if baseline && c.Release == j.to && move.State == core.MoveProposed && c.Calls > 0 {
-			j.merge.fresh = false
+			j.deltas.newReleaseUnseen = false
 		}
-		added, counted := j.merge.advance(c, c.Release == j.to, baseline, move.StartedAt)
-		if !counted || j.late(now, move, c.Release) {
+		added, counted := j.deltas.add(c, c.Release == j.to, baseline, move.StartedAt)
+		if !counted || j.mayPrecedeMove(now, move, c.Release) {
 			continue
 		}
-		at := place{
+		at := sampleKey{
 			route:      c.Route,
 			dataCentre: lo.CoalesceOrEmpty(c.DataCentre, j.fleet.dataCentreOf(c.Node)),
 		}
@@ -171,40 +171,40 @@
 	for _, at := range order {
 		j.addSample(now, move, at, *samples[at])
 	}
-	if j.rateSince.IsZero() && move.State != core.MoveProposed && !now.Before(j.shareSince(move).Add(evidenceTime)) {
-		j.rateSince, j.rateBase = now, j.all.calls()
+	if j.rateMeasuredFrom.IsZero() && move.State != core.MoveProposed && !now.Before(j.shareSince(move).Add(evidenceArrivalTime)) {
+		j.rateMeasuredFrom, j.rateBaseCalls = now, j.all.calls()
 	}
-	early := now.Before(move.SteppedAt.Add(evidenceDelay + j.evidenceLate))
+	early := now.Before(move.SteppedAt.Add(evidenceDelay + j.evidenceDelay))
 	for _, g := range j.groups() {
 		g.closeWindows(now)
 		if early {
-			g.clearStage(now)
+			g.startStep(now)
 		}
 	}
 }
 
 // late reports whether a count may hold calls from before the move. Nodes report a service every second only while its
 // move has a share, so the first reports after the first step still hold such calls.
-func (j *Judge) late(now time.Time, move core.Move, release core.Release) bool {
+func (j *SequentialDecider) mayPrecedeMove(now time.Time, move core.Move, release core.Release) bool {
 	if move.State == core.MoveProposed {
 		return release == j.to
 	}
-	return move.State == core.MoveProbing && now.Before(move.SteppedAt.Add(evidenceTime)) && !(release == j.to && j.merge.fresh)
+	return move.State == core.MoveProbing && now.Before(move.SteppedAt.Add(evidenceArrivalTime)) && !(release == j.to && j.deltas.newReleaseUnseen)
 }
 
 // addTo adds a difference to a sample; the boundary of slow calls is set by the calls of the old release before it.
-func (j *Judge) addTo(s *sample, added core.EvidenceCount) {
-	side := func(p *pair) *tally {
+func (j *SequentialDecider) addTo(s *sample, added core.EvidenceCount) {
+	side := func(p *releaseCounts) *callCount {
 		if added.Release != j.to {
-			return &p.before
+			return &p.old
 		}
-		return &p.after
+		return &p.new
 	}
 	calls := float64(added.Calls)
-	side(&s.failures).add(tally{calls: calls, bad: float64(added.Failures)})
-	side(&s.crashes).add(tally{calls: calls, bad: float64(added.Crashes)})
-	if boundary, known := j.boundary(added.Route); known {
-		side(&s.slow).add(tally{calls: float64(added.Answered()), bad: above(added.Latency, boundary)})
+	side(&s.failures).add(callCount{calls: calls, bad: float64(added.Failures)})
+	side(&s.crashes).add(callCount{calls: calls, bad: float64(added.Crashes)})
+	if boundary, known := j.slowBoundary(added.Route); known {
+		side(&s.slow).add(callCount{calls: float64(added.Answered()), bad: callsAbove(added.Latency, boundary)})
 	}
 	if added.Release == j.to {
 		return
@@ -219,8 +219,8 @@
 	}
 }
 
-// boundary returns the lowest bucket that leaves at most slowQuantile of the old release's calls above it.
-func (j *Judge) boundary(route core.RouteName) (int, bool) {
+// boundary returns the lowest bucket that leaves at most slowCallsRatio of the old release's calls above it.
+func (j *SequentialDecider) slowBoundary(route core.RouteName) (int, bool) {
 	histogram := j.latency[route]
 	if histogram == nil {
 		return 0, false
@@ -232,18 +232,18 @@
 	rest := 0.0
 	for i := core.LatencyBuckets - 1; i > 0; i-- {
 		rest += histogram[i]
-		if rest > slowQuantile*calls {
+		if rest > slowCallsRatio*calls {
 			return i, true
 		}
 	}
 	return 0, true
 }
 
-func above(latency [core.LatencyBuckets]uint64, boundary int) float64 {
+func callsAbove(latency [core.LatencyBuckets]uint64, boundary int) float64 {
 	return float64(lo.Sum(latency[boundary+1:]))
 }
 
-func (j *Judge) addSample(now time.Time, move core.Move, at place, s sample) {
+func (j *SequentialDecider) addSample(now time.Time, move core.Move, at sampleKey, s sample) {
 	if !j.fleet.comparable(at.dataCentre) {
 		return
 	}
@@ -257,22 +257,22 @@
 		groups = append(groups, j.pooled)
 	}
 	for _, g := range groups {
-		g.add(now, at.dataCentre, s, j.fleet.latencyTells(now))
+		g.add(now, at.dataCentre, s, j.fleet.latencyUsable(now))
 	}
 }
 
 // describe states the share and the evidence since the last step for an operator.
-func (j *Judge) describe(now time.Time, move core.Move) string {
-	judged, unjudged, little := j.judged(now, move)
+func (j *SequentialDecider) describe(now time.Time, move core.Move) string {
+	judged, unjudged, little := j.classifyRoutes(now, move)
 	parts := []string{
 		fmt.Sprintf("%d per mille for %s", move.Share, now.Sub(move.SteppedAt).Round(time.Second)),
 		j.all.failures.text("failed"),
 		j.all.slow.text("slow"),
 	}
-	if j.all.crashes.total.after.bad+j.all.crashes.total.before.bad > 0 {
+	if j.all.crashes.total.new.bad+j.all.crashes.total.old.bad > 0 {
 		parts = append(parts, j.all.crashes.text("crashed"))
 	}
-	if j.fleet.exhausted() {
+	if j.fleet.latencyAbandoned() {
 		parts = append(parts, "latency judged only while no backend server was cold")
 	}
 	for _, list := range []struct {
--- a/core/rollout/judge_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -26,9 +26,9 @@
 }
 
 // course drives a judge second by second with exact rates instead of random ones.
-type course struct {
+type simulation struct {
 	*qt.C
-	judge     *rollout.Judge
+	decider   *rollout.SequentialDecider
 	move      core.Move
 	second    int
 	loads     func(second int) map[core.RouteName]load
@@ -42,8 +42,8 @@
 	badCalls  float64 // of the new release since faultFrom
 }
 
-func newCourse(c *qt.C, deadline time.Duration, loads func(second int) map[core.RouteName]load) *course {
-	r := &course{
+func newSimulation(c *qt.C, deadline time.Duration, loads func(second int) map[core.RouteName]load) *simulation {
+	r := &simulation{
 		C:     c,
 		loads: loads,
 		rates: make(map[string]float64),
@@ -55,16 +55,16 @@
 			Request:   core.MoveRequest{Service: "s", Deadline: start.Add(deadline)},
 		},
 	}
-	r.judge = rollout.NewJudge(r.move, "v1", "v2")
+	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
 	return r
 }
 
-func steady(l load) func(int) map[core.RouteName]load {
+func constantLoads(l load) func(int) map[core.RouteName]load {
 	return func(int) map[core.RouteName]load { return map[core.RouteName]load{"read": l} }
 }
 
 // evidence adds one second of calls to the cumulative counts of node n1.
-func (r *course) evidence() []core.EvidenceCount {
+func (r *simulation) evidence() []core.EvidenceCount {
 	var counts []core.EvidenceCount
 	share := float64(r.move.Share) / 1000
 	loads := r.loads(r.second)
@@ -110,13 +110,13 @@
 }
 
 // run goes on until the move is closed or a condition holds, and checks each step as the catalog does.
-func (r *course) run(until func() bool) *course {
+func (r *simulation) run(until func() bool) *simulation {
 	for !rollout.IsFinal(r.move.State) && (until == nil || !until()) {
 		r.second++
 		now := start.Add(time.Duration(r.second) * time.Second)
 		r.Assert(now.After(r.move.Request.Deadline.Add(time.Second)), qt.IsFalse, qt.Commentf("still open after the deadline"))
 		if r.endpoints != nil {
-			r.judge.ObserveEndpoints(now, r.endpoints(r.second))
+			r.decider.ObserveEndpoints(now, r.endpoints(r.second))
 		}
 		evidence := r.evidence()
 		if r.deliver != nil {
@@ -129,23 +129,23 @@
 	return r
 }
 
-func (r *course) decide(now time.Time, evidence []core.EvidenceCount) {
-	step, due := r.judge.Decide(now, r.move, evidence)
+func (r *simulation) decide(now time.Time, evidence []core.EvidenceCount) {
+	step, due := r.decider.Decide(now, r.move, evidence)
 	if !due {
 		return
 	}
 	r.Assert(step.Step, qt.Equals, r.move.Step+1)
-	r.Assert(rollout.Allowed(r.move.State, step.State), qt.IsTrue)
+	r.Assert(rollout.IsTransition(r.move.State, step.State), qt.IsTrue)
 	r.steps = append(r.steps, step)
 	r.move.Step, r.move.State, r.move.Share, r.move.SteppedAt = step.Step, step.State, step.Share, step.At
 	r.move.Cause, r.move.Evidence = step.Cause, step.Evidence
 }
 
-func (r *course) share() core.PerMille { return r.move.Share }
+func (r *simulation) share() core.PerMille { return r.move.Share }
 
 // Guards against a fault that is missed or found late: each kind of fault alone, from the beginning or after a long
 // good past that must not anchor the test.
-func TestJudgeTakesBadReleasesBack(t *testing.T) {
+func TestSequentialDeciderTakesBackBadReleases(t *testing.T) {
 	good := load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02}
 	with := func(change func(*load)) load {
 		bad := good
@@ -160,10 +160,10 @@
 		minutes   time.Duration // until the deadline; 10 if not given
 		cause     string
 	}{
-		"at once":  {loads: steady(failing), cause: `.*"read": calls failed`},
-		"flaky":    {loads: steady(flaky), cause: `.*: calls failed`},
-		"slow":     {loads: steady(with(func(l *load) { l.newSlow = 0.5 })), cause: `.*: calls slow`},
-		"crashing": {loads: steady(with(func(l *load) { l.newCrash = 0.01 })), cause: `.*: calls crashed`},
+		"at once":  {loads: constantLoads(failing), cause: `.*"read": calls failed`},
+		"flaky":    {loads: constantLoads(flaky), cause: `.*: calls failed`},
+		"slow":     {loads: constantLoads(with(func(l *load) { l.newSlow = 0.5 })), cause: `.*: calls slow`},
+		"crashing": {loads: constantLoads(with(func(l *load) { l.newCrash = 0.01 })), cause: `.*: calls crashed`},
 		"late": {faultFrom: 300, cause: `.*: calls failed`, loads: func(second int) map[core.RouteName]load {
 			return map[core.RouteName]load{"read": []load{good, flaky}[min(1, second/300)]}
 		}},
@@ -183,7 +183,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newCourse(c, max(test.minutes, 10)*time.Minute, test.loads)
+			r := newSimulation(c, max(test.minutes, 10)*time.Minute, test.loads)
 			r.faultFrom = test.faultFrom
 			r.run(nil)
 			c.Assert(r.move.State, qt.Equals, core.MoveTakenBack, qt.Commentf("%+v", r.move))
@@ -196,7 +196,7 @@
 }
 
 // Guards against blame for what both releases show, for what was counted before the move and for too few calls.
-func TestJudgeFinishesGoodReleasesInTime(t *testing.T) {
+func TestSequentialDeciderFinishesGoodReleasesInTime(t *testing.T) {
 	good := load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02}
 	burst := func(l load) func(int) map[core.RouteName]load {
 		return func(second int) map[core.RouteName]load {
@@ -207,16 +207,16 @@
 		}
 	}
 	for name, loads := range map[string]func(int) map[core.RouteName]load{
-		"calm":              steady(good),
+		"calm":              constantLoads(good),
 		"shared slowness":   burst(load{calls: 200, oldSlow: 0.8, newSlow: 0.8}),
 		"shared failures":   burst(load{calls: 200, oldFail: 0.3, newFail: 0.3}),
-		"shared crashes":    steady(load{calls: 200, oldCrash: 0.001, newCrash: 0.001}),
-		"failing as before": steady(load{calls: 200, oldFail: 0.03, newFail: 0.03}),
-		"old release worse": steady(load{calls: 200, oldFail: 0.05}),
+		"shared crashes":    constantLoads(load{calls: 200, oldCrash: 0.001, newCrash: 0.001}),
+		"failing as before": constantLoads(load{calls: 200, oldFail: 0.03, newFail: 0.03}),
+		"old release worse": constantLoads(load{calls: 200, oldFail: 0.05}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newCourse(c, 10*time.Minute, loads).run(nil)
+			r := newSimulation(c, 10*time.Minute, loads).run(nil)
 			c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("%+v", r.move))
 			c.Assert(r.move.Cause, qt.Equals, "judged on all routes")
 			c.Assert(r.move.Share, qt.Equals, core.FullShare)
@@ -228,10 +228,10 @@
 // counts anew.
 func TestRepeatedOlderAndRestartedCounts(t *testing.T) {
 	c := qt.New(t)
-	loads := steady(load{calls: 200, oldFail: 0.001, newFail: 0.004, oldSlow: 0.02, newSlow: 0.02})
-	plain := newCourse(c, 10*time.Minute, loads).run(nil)
+	loads := constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.004, oldSlow: 0.02, newSlow: 0.02})
+	plain := newSimulation(c, 10*time.Minute, loads).run(nil)
 
-	repeated := newCourse(c, 10*time.Minute, loads)
+	repeated := newSimulation(c, 10*time.Minute, loads)
 	var kept []core.EvidenceCount
 	repeated.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		all := slices.Concat(kept, evidence, evidence, kept)
@@ -242,9 +242,9 @@
 	}
 	c.Assert(repeated.run(nil).steps, qt.DeepEquals, plain.steps)
 
-	loads = steady(load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02})
-	plain = newCourse(c, 10*time.Minute, loads).run(nil)
-	restarted := newCourse(c, 10*time.Minute, loads)
+	loads = constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02})
+	plain = newSimulation(c, 10*time.Minute, loads).run(nil)
+	restarted := newSimulation(c, 10*time.Minute, loads)
 	incarnation, before := core.Incarnation(1), []core.EvidenceCount(nil)
 	restarted.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		for i := range evidence {
@@ -260,7 +260,7 @@
 	c.Assert(restarted.move.State, qt.Equals, core.MoveDone)
 	c.Assert(len(restarted.steps), qt.Equals, len(plain.steps))
 
-	failing := newCourse(c, 10*time.Minute, func(second int) map[core.RouteName]load {
+	failing := newSimulation(c, 10*time.Minute, func(second int) map[core.RouteName]load {
 		return map[core.RouteName]load{"read": {calls: 200, newFail: []float64{0, 0.2}[min(1, second/301)]}}
 	})
 	failing.faultFrom = 301
@@ -281,12 +281,12 @@
 // Guards against blame for failures of the same release in an earlier move.
 func TestCountsFromBeforeTheMoveAreABaseline(t *testing.T) {
 	c := qt.New(t)
-	r := newCourse(c, 10*time.Minute, steady(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
+	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
 	for _, key := range []string{"calls", "failures", "slow"} {
 		r.rates["readv2"+key] = 5000
 	}
 	r.run(func() bool { return r.second == 120 })
-	r.judge = rollout.NewJudge(r.move, "v1", "v2")
+	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
 	c.Assert(r.run(nil).move.State, qt.Equals, core.MoveDone, qt.Commentf("%+v", r.move))
 
 	// After a leader change, the first report of a node that started within the move is no baseline.
@@ -294,7 +294,7 @@
 	count := core.EvidenceCount{Node: "n2", Incarnation: core.Incarnation(start.UnixNano() + 1), Service: "s", Route: "read", Release: "v1", Calls: 500}
 	failing := count
 	failing.Release, failing.Calls, failing.Failures = "v2", 50, 50
-	step, due := rollout.NewJudge(move, "v1", "v2").Decide(start.Add(time.Minute), move, []core.EvidenceCount{count, failing})
+	step, due := rollout.NewSequentialDecider(move, "v1", "v2").Decide(start.Add(time.Minute), move, []core.EvidenceCount{count, failing})
 	c.Assert(due && step.State == core.MoveTakenBack, qt.IsTrue, qt.Commentf("%+v", step))
 }
 
@@ -302,7 +302,7 @@
 // share, so the first reports after the first step hold older calls.
 func TestLateReportsFromBeforeTheMove(t *testing.T) {
 	c := qt.New(t)
-	r := newCourse(c, 10*time.Minute, steady(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
+	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
 	r.rates["readv2calls"] = 1000
 	var before []core.EvidenceCount
 	r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
@@ -324,7 +324,7 @@
 	c := qt.New(t)
 	for _, fault := range []float64{0.001, 0.3} {
 		changed := false
-		r := newCourse(c, 10*time.Minute, func(int) map[core.RouteName]load {
+		r := newSimulation(c, 10*time.Minute, func(int) map[core.RouteName]load {
 			l := load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02}
 			if changed {
 				l.newFail = fault
@@ -333,7 +333,7 @@
 		})
 		r.run(func() bool { return r.share() >= 60 })
 		changed, share := true, r.share()
-		r.judge = rollout.NewJudge(r.move, "v1", "v2")
+		r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
 		began := r.second
 		r.run(func() bool { return r.share() != share })
 		if fault > 0.1 {
@@ -362,9 +362,9 @@
 }
 
 // Guards against blame for a cold backend server that has left before its answers are reported.
-func TestAnswersOfAColdBackendServerThatHasLeft(t *testing.T) {
+func TestColdBackendServerThatHasLeft(t *testing.T) {
 	c := qt.New(t)
-	r := newCourse(c, 10*time.Minute, func(second int) map[core.RouteName]load {
+	r := newSimulation(c, 10*time.Minute, func(second int) map[core.RouteName]load {
 		l := load{calls: 200, oldSlow: 0.02, newSlow: 0.02}
 		if second > 200 && second <= 206 {
 			l.newSlow = 1
@@ -385,7 +385,7 @@
 func TestDataCentreWithOneReleaseIsNotCompared(t *testing.T) {
 	c := qt.New(t)
 	run := func(known bool) core.MoveState {
-		r := newCourse(c, 10*time.Minute, func(int) map[core.RouteName]load {
+		r := newSimulation(c, 10*time.Minute, func(int) map[core.RouteName]load {
 			return map[core.RouteName]load{"read": {calls: 200, newFail: 0.2}}
 		})
 		r.endpoints = func(int) []core.Endpoint {
@@ -405,8 +405,8 @@
 // Guards against a step that the chart does not have and against an abort of a closed move.
 func TestChartAndAbort(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(rollout.Allowed(core.MoveProposed, core.MoveDone), qt.IsFalse)
-	c.Assert(rollout.Allowed(core.MoveGrowing, core.MoveProbing), qt.IsFalse)
+	c.Assert(rollout.IsTransition(core.MoveProposed, core.MoveDone), qt.IsFalse)
+	c.Assert(rollout.IsTransition(core.MoveGrowing, core.MoveProbing), qt.IsFalse)
 	move := core.Move{State: core.MoveGrowing, Step: 4, Share: 80}
 	step, ok := rollout.Abort(start, move, "amina")
 	c.Assert(ok && step.State == core.MoveTakenBack && step.Step == 5 && step.Share == 0 && step.Cause == "operator", qt.IsTrue)
@@ -415,7 +415,7 @@
 		move.State = closed
 		_, ok = rollout.Abort(start, move, "amina")
 		c.Assert(ok, qt.IsFalse)
-		_, due := rollout.NewJudge(move, "v1", "v2").Decide(start, move, nil)
+		_, due := rollout.NewSequentialDecider(move, "v1", "v2").Decide(start, move, nil)
 		c.Assert(due, qt.IsFalse)
 	}
 }
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -37,7 +37,7 @@
 	taking := lo.CountBy(others, func(e core.Endpoint) bool {
 		return slices.ContainsFunc(shares, func(each share) bool { return each.has(e) })
 	})
-	return rollout.TrialEndpoints(h.release, own, taking, h.perMille)
+	return rollout.CanaryEndpoints(h.release, own, taking, h.perMille)
 }
 
 // choose picks a release by weight and an endpoint of it. If the release has no endpoint, another one may take its place
--- a/io/control/moves.go
+++ b/io/control/moves.go
@@ -100,9 +100,9 @@
 		return nil
 	}
 	if rollout.IsBrief(move, m.briefAtMost) {
-		return rollout.NewBrief(move, to.Release)
+		return rollout.NewBriefMoveDecider(move, to.Release)
 	}
-	return rollout.NewJudge(move, from.Release, to.Release)
+	return rollout.NewSequentialDecider(move, from.Release, to.Release)
 }
 
 func (m *mover) propose(ctx context.Context, step core.MoveStep) {
--- a/io/node/moves.go
+++ b/io/node/moves.go
@@ -18,7 +18,7 @@
 // evidence counts the calls of this node and lets the guard see them.
 type evidence struct {
 	recorder *rollout.Recorder
-	guard    *rollout.Guard
+	guard    *rollout.CircuitBreaker
 	tripped  func(core.ServiceName, core.RouteName, core.Release)
 }
 
@@ -41,7 +41,7 @@
 }
 
 // watchMoves keeps the guard up to date with the open moves of the configuration in force.
-func watchMoves(ctx context.Context, source record.Source, guard *rollout.Guard) {
+func watchMoves(ctx context.Context, source record.Source, guard *rollout.CircuitBreaker) {
 	watched := make(map[core.ServiceName]bool)
 	for {
 		changed := source.Changed()
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -52,7 +52,7 @@
 	incarnation core.Incarnation
 	log         zerolog.Logger
 	metrics     *metrics.Set
-	guard       *rollout.Guard
+	guard       *rollout.CircuitBreaker
 	recorder    *rollout.Recorder
 	suspects    *suspects
 	peerServer  atomic.Pointer[nodepeer.Server]
@@ -101,7 +101,7 @@
 		incarnation: incarnation,
 		log:         log.With().Str("node", string(s.ID)).Logger(),
 		metrics:     metrics.NewSet(),
-		guard:       rollout.NewGuard(),
+		guard:       rollout.NewCircuitBreaker(),
 		recorder:    rollout.NewRecorder(s.ID, incarnation),
 		suspects:    newSuspects(),
 
