--- a/core/callreplay/clock.go
+++ b/core/callreplay/event_queue.go
@@ -6,40 +6,40 @@
 )
 
 // schedule is a queue of actions ordered by time, then by the order in which they were added.
-type schedule struct {
+type eventQueue struct {
 	now   time.Time
 	items actionHeap
 	added uint64
 }
 
-type action struct {
+type scheduledAction struct {
 	at    time.Time
 	order uint64
 	run   func()
 }
 
-func (s *schedule) at(when time.Time, run func()) {
+func (s *eventQueue) at(when time.Time, run func()) {
 	s.added++
-	heap.Push(&s.items, action{
+	heap.Push(&s.items, scheduledAction{
 		at:    when,
 		order: s.added,
 		run:   run,
 	})
 }
 
-func (s *schedule) after(wait time.Duration, run func()) {
+func (s *eventQueue) after(wait time.Duration, run func()) {
 	s.at(s.now.Add(wait), run)
 }
 
-func (s *schedule) runAll() {
+func (s *eventQueue) runAll() {
 	for len(s.items) > 0 {
-		next := heap.Pop(&s.items).(action)
+		next := heap.Pop(&s.items).(scheduledAction)
 		s.now = next.at
 		next.run()
 	}
 }
 
-type actionHeap []action
+type actionHeap []scheduledAction
 
 func (h actionHeap) Len() int { return len(h) }
 
@@ -52,7 +52,7 @@
 
 func (h actionHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *actionHeap) Push(item any) { *h = append(*h, item.(action)) }
+func (h *actionHeap) Push(item any) { *h = append(*h, item.(scheduledAction)) }
 
 func (h *actionHeap) Pop() any {
 	old := *h
--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -57,7 +57,7 @@
 }
 
 // result collects what happens to one call over its attempts.
-type result struct {
+type runState struct {
 	runs  int
 	ended bool
 }
@@ -68,7 +68,7 @@
 	hedge     bool
 	started   bool
 	startedAt time.Time // of the run
-	result    *result
+	result    *runState
 	measures  *Measures
 	reply     func(reply)
 
@@ -88,10 +88,10 @@
 	known    []core.Endpoint
 }
 
-type replay struct {
+type simulation struct {
 	options  Options
 	trace    Trace
-	clock    *schedule
+	queue    *eventQueue
 	entries  []*entryNode
 	servers  map[core.NodeID]*server
 	latency  *hdrhistogram.Histogram
@@ -108,17 +108,17 @@
 // Run replays a trace.
 func Run(trace Trace, options Options) Measures {
 	start, policy, seed := time.Unix(0, 0), options.Policy, options.Seed
-	r := &replay{
+	r := &simulation{
 		options:  options,
 		trace:    trace,
-		clock:    &schedule{now: start},
+		queue:    &eventQueue{now: start},
 		servers:  make(map[core.NodeID]*server),
 		latency:  hdrhistogram.New(1, maxLatencyUS, 3),
 		measures: Measures{Policy: policy},
 	}
 	random := rand.New(rand.NewPCG(seed, seed+1))
 	for _, spec := range trace.Endpoints {
-		r.servers[spec.Node] = newServer(spec, r.clock, random)
+		r.servers[spec.Node] = newServer(spec, r.queue, random)
 	}
 	for i, spec := range trace.Entries {
 		r.entries = append(r.entries, &entryNode{
@@ -129,94 +129,94 @@
 				Seed:       seed + uint64(i),
 			}),
 			budget: retry.NewBudget(retry.DefaultBudget),
-			known:  r.announced(),
+			known:  r.currentEndpoints(),
 		})
 	}
 	r.scheduleTrace(start)
-	r.clock.runAll()
+	r.queue.runAll()
 	r.measures.P50US = r.latency.ValueAtQuantile(50)
 	r.measures.P99US = r.latency.ValueAtQuantile(99)
 	return r.measures
 }
 
-func (r *replay) scheduleTrace(start time.Time) {
+func (r *simulation) scheduleTrace(start time.Time) {
 	for _, event := range r.trace.Events {
-		r.clock.at(start.Add(time.Duration(event.AtMS)*time.Millisecond), func() {
+		r.queue.at(start.Add(time.Duration(event.AtMS)*time.Millisecond), func() {
 			r.servers[event.Node].apply(event)
-			r.clock.after(time.Duration(r.trace.AnnounceMS)*time.Millisecond, r.distribute)
+			r.queue.after(time.Duration(r.trace.AnnounceMS)*time.Millisecond, r.announceEndpoints)
 		})
 	}
 	for _, call := range r.trace.Calls {
-		r.clock.at(start.Add(call.At), func() { r.begin(call) })
+		r.queue.at(start.Add(call.At), func() { r.begin(call) })
 	}
 }
 
-func (r *replay) announced() []core.Endpoint {
+func (r *simulation) currentEndpoints() []core.Endpoint {
 	return lo.Map(r.trace.Endpoints, func(spec EndpointSpec, _ int) core.Endpoint { return r.servers[spec.Node].endpoint() })
 }
 
-func (r *replay) distribute() {
-	endpoints := r.announced()
+func (r *simulation) announceEndpoints() {
+	endpoints := r.currentEndpoints()
 	for _, entry := range r.entries {
 		entry.known = endpoints
 	}
 }
 
-func (r *replay) begin(call Call) {
+func (r *simulation) begin(call Call) {
 	entry := r.entries[call.Entry]
-	entry.budget.Call(r.clock.now)
+	entry.budget.Call(r.queue.now)
 	c := &callState{
-		replay:   r,
-		entry:    entry,
-		call:     call,
-		began:    r.clock.now,
-		deadline: r.clock.now.Add(time.Duration(r.trace.TimeoutMS) * time.Millisecond),
-		attempts: retry.NewAttempts(defaultAttempts, defaultAttempts),
+		simulation: r,
+		entry:      entry,
+		call:       call,
+		began:      r.queue.now,
+		deadline:   r.queue.now.Add(time.Duration(r.trace.TimeoutMS) * time.Millisecond),
+		attempts:   retry.NewAttempts(defaultAttempts, defaultAttempts),
 	}
 	r.measures.Calls++
-	r.clock.at(c.deadline, func() { c.end(&r.measures.Late) })
-	c.attempt()
+	r.queue.at(c.deadline, func() { c.end(&r.measures.Late) })
+	c.tryOnce()
 }
 
 // callState is one call at its entry node.
 type callState struct {
-	replay   *replay
-	entry    *entryNode
-	call     Call
-	began    time.Time
-	deadline time.Time
-	attempts retry.Attempts
-	tried    []core.NodeID
-	open     []*attempt
-	failed   bool // an attempt was answered with a failure
-	result   result
+	simulation   *simulation
+	entry        *entryNode
+	call         Call
+	began        time.Time
+	deadline     time.Time
+	attempts     retry.Attempts
+	tried        []core.NodeID
+	openAttempts []*attempt
+	failed       bool // an attempt was answered with a failure
+	result       runState
 }
 
-func (c *callState) attempt() {
-	if !c.place(false) {
-		c.end(&c.replay.measures.Refused)
+func (c *callState) tryOnce() {
+	if !c.startAttempt(false) {
+		c.end(&c.simulation.measures.Refused)
 		return
 	}
-	delay, known := c.entry.hedging.Delay(c.replay.clock.now)
-	if known && c.call.Idempotent && !c.replay.options.NoHedging {
-		c.replay.clock.after(delay, c.hedge)
+	delay, known := c.entry.hedging.Delay(c.simulation.queue.now)
+	if known && c.call.Idempotent && !c.simulation.options.NoHedging {
+		c.simulation.queue.after(delay, c.hedge)
 	}
 }
 
 // hedge makes a second attempt if the first one of the call still runs.
 func (c *callState) hedge() {
-	now := c.replay.clock.now
+	now := c.simulation.queue.now
 	allowed := func() bool { return c.entry.hedging.Allowed(now) && c.entry.budget.TakeHedge(now) }
 	if c.result.ended || len(c.tried) > 1 || !c.attempts.Another(retry.Repeat, allowed) {
 		return
 	}
-	if c.place(true) {
-		c.replay.measures.Hedges++
+	if c.startAttempt(true) {
+		c.simulation.measures.Hedges++
 	}
 }
 
-func (c *callState) place(hedge bool) bool {
-	now := c.replay.clock.now
+func (c *callState) startAttempt(hedge bool) bool {
+	now := c.simulation.queue.now
 	chosen, ok := c.entry.balancer.Pick(now, core.PickRequest{
 		Service: "replayed",
 		Tried:   c.tried,
@@ -232,25 +232,25 @@
 		deadline: c.deadline,
 		hedge:    hedge,
 		result:   &c.result,
-		measures: &c.replay.measures,
+		measures: &c.simulation.measures,
 		began:    now,
 		to:       chosen,
-		oneWay:   c.replay.oneWay(c.entry.spec.DataCentre, chosen.DataCentre),
+		oneWay:   c.simulation.oneWay(c.entry.spec.DataCentre, chosen.DataCentre),
 	}
 	a.reply = func(r reply) {
-		c.replay.clock.after(a.oneWay, func() { c.replied(a, r) })
+		c.simulation.queue.after(a.oneWay, func() { c.receiveReply(a, r) })
 	}
-	c.open = append(c.open, a)
-	c.replay.clock.after(a.oneWay, func() { c.replay.servers[chosen.Node].arrive(a) })
+	c.openAttempts = append(c.openAttempts, a)
+	c.simulation.queue.after(a.oneWay, func() { c.simulation.servers[chosen.Node].arrive(a) })
 	return true
 }
 
-func (c *callState) replied(a *attempt, r reply) {
-	if !lo.Contains(c.open, a) {
+func (c *callState) receiveReply(a *attempt, r reply) {
+	if !lo.Contains(c.openAttempts, a) {
 		return // it was cancelled
 	}
-	now := c.replay.clock.now
-	c.open = lo.Without(c.open, a)
+	now := c.simulation.queue.now
+	c.openAttempts = lo.Without(c.openAttempts, a)
 	c.entry.balancer.Done(now, core.PickResult{
 		Endpoint: a.to,
 		Outcome:  r.outcome,
@@ -264,7 +264,7 @@
 	case r.outcome == core.OutcomeAnswered:
 		c.entry.hedging.Answered(now, now.Sub(a.began))
 	}
-	if len(c.open) > 0 && (r.outcome != core.OutcomeAnswered || r.failed) {
+	if len(c.openAttempts) > 0 && (r.outcome != core.OutcomeAnswered || r.failed) {
 		return // the other attempt decides
 	}
 	class := retry.Classify(r.outcome, r.cause, c.call.Idempotent)
@@ -273,10 +273,10 @@
 	}
 	c.failed = c.failed || r.outcome == core.OutcomeAnswered && r.failed
 	if c.attempts.Another(class, func() bool { return c.entry.budget.Take(now) }) {
-		c.attempt()
+		c.tryOnce()
 		return
 	}
-	m := &c.replay.measures
+	m := &c.simulation.measures
 	switch {
 	case r.outcome != core.OutcomeAnswered && c.failed:
 		c.end(&m.Failed) // the caller gets the earlier answer
@@ -299,34 +299,34 @@
 	c.result.ended = true
 	*counter++
 	c.cancel()
-	m := &c.replay.measures
+	m := &c.simulation.measures
 	if c.result.runs > 1 && !c.call.Idempotent {
 		m.RunTwice++
 	}
-	took := c.replay.clock.now.Sub(c.began).Microseconds()
-	_ = c.replay.latency.RecordValue(min(max(took, 1), maxLatencyUS))
+	took := c.simulation.queue.now.Sub(c.began).Microseconds()
+	_ = c.simulation.latency.RecordValue(min(max(took, 1), maxLatencyUS))
 }
 
 // cancel ends the attempts that have not been answered.
 func (c *callState) cancel() {
-	now := c.replay.clock.now
-	for _, a := range c.open {
+	now := c.simulation.queue.now
+	for _, a := range c.openAttempts {
 		c.entry.balancer.Done(now, core.PickResult{
 			Endpoint: a.to,
 			Outcome:  core.OutcomeUnknown,
 			Unneeded: true,
 			Latency:  now.Sub(a.began),
 		})
-		c.replay.clock.after(a.oneWay, func() {
+		c.simulation.queue.after(a.oneWay, func() {
 			if a.server != nil {
 				a.server.cancel(a)
 			}
 		})
 	}
-	c.open = nil
+	c.openAttempts = nil
 }
 
-func (r *replay) oneWay(from, to core.DataCentre) time.Duration {
+func (r *simulation) oneWay(from, to core.DataCentre) time.Duration {
 	if from == to {
 		return time.Duration(r.trace.LocalUS) * time.Microsecond
 	}
--- a/core/callreplay/server.go
+++ b/core/callreplay/server.go
@@ -11,13 +11,13 @@
 	"parsleyport/core/retry"
 )
 
-// coldFactor is how much longer the runs of a cold backend server take.
-const coldFactor = 4
+// coldRunFactor is how much longer the runs of a cold backend server take.
+const coldRunFactor = 4
 
 // server is a backend server with the limiter of its node.
 type server struct {
 	spec    EndpointSpec
-	clock   *schedule
+	queue   *eventQueue
 	random  *rand.Rand
 	limiter *limiter.Limiter
 	pending map[limiter.Ticket]*attempt
@@ -34,10 +34,10 @@
 	incarnation  core.Incarnation
 }
 
-func newServer(spec EndpointSpec, clock *schedule, random *rand.Rand) *server {
+func newServer(spec EndpointSpec, clock *eventQueue, random *rand.Rand) *server {
 	return &server{
 		spec:         spec,
-		clock:        clock,
+		queue:        clock,
 		random:       random,
 		limiter:      limiter.New(spec.Slots),
 		pending:      make(map[limiter.Ticket]*attempt),
@@ -79,7 +79,7 @@
 	case EventStart:
 		s.up, s.leaving = true, false
 		s.incarnation++
-		s.coldUntil = s.clock.now.Add(time.Duration(event.Value) * time.Millisecond)
+		s.coldUntil = s.queue.now.Add(time.Duration(event.Value) * time.Millisecond)
 	}
 }
 
@@ -108,17 +108,17 @@
 		a.reply(reply{outcome: core.OutcomeNotRun, cause: core.CauseLeaving})
 		return
 	}
-	ticket, change := s.limiter.Arrive(s.clock.now, limiter.Request{
+	ticket, change := s.limiter.Arrive(s.queue.now, limiter.Request{
 		Tenant:   a.call.Tenant,
 		Deadline: a.deadline,
 		NoWait:   a.hedge,
 	})
 	a.server, a.ticket = s, ticket
 	s.pending[ticket] = a
-	s.follow(change)
+	s.applyChange(change)
 }
 
-func (s *server) follow(change limiter.Change) {
+func (s *server) applyChange(change limiter.Change) {
 	for _, shed := range change.Shed {
 		if a, exists := s.pending[shed.Ticket]; exists {
 			delete(s.pending, shed.Ticket)
@@ -134,16 +134,16 @@
 	a := s.pending[ticket]
 	a.started = true
 	if s.limiter.Running() > s.slots {
-		s.clock.after(0, func() { s.finish(s.run, ticket, 0, s.shed()) })
+		s.queue.after(0, func() { s.finish(s.run, ticket, 0, s.overloadReply()) })
 		return
 	}
 	a.result.runs++
 	a.measures.Runs++
-	a.startedAt = s.clock.now
+	a.startedAt = s.queue.now
 	took := time.Duration(s.spec.WorkUS*s.slowPerMille/1000) * time.Microsecond
 	took = time.Duration(float64(took) * (0.5 + s.random.ExpFloat64()/2))
-	if s.clock.now.Before(s.coldUntil) {
-		took *= coldFactor
+	if s.queue.now.Before(s.coldUntil) {
+		took *= coldRunFactor
 	}
 	failed := s.random.Int64N(1000) < s.failPerMille
 	end := reply{outcome: core.OutcomeAnswered, failed: failed}
@@ -152,11 +152,11 @@
 		end.status = s.failStatus
 	}
 	run := s.run
-	s.clock.after(took, func() { s.finish(run, ticket, took, end) })
+	s.queue.after(took, func() { s.finish(run, ticket, took, end) })
 }
 
 // shed is what a backend server says to a call beyond its slots, which are fewer than announced.
-func (s *server) shed() reply {
+func (s *server) overloadReply() reply {
 	if s.shedStatus == 0 {
 		return reply{outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused}
 	}
@@ -185,10 +185,10 @@
 	}
 	delete(s.pending, ticket)
 	if !a.startedAt.IsZero() {
-		a.measures.BusyMS += float64(s.clock.now.Sub(a.startedAt)) / float64(time.Millisecond)
+		a.measures.BusyMS += float64(s.queue.now.Sub(a.startedAt)) / float64(time.Millisecond)
 	}
 	a.reply(r)
-	s.follow(s.limiter.Finish(s.clock.now, ticket, limiter.Result{
+	s.applyChange(s.limiter.Finish(s.queue.now, ticket, limiter.Result{
 		Latency:    took,
 		Overloaded: r.cause == core.CauseBackendRefused || retry.Overloaded(r.status),
 		Failed:     r.failed,
--- a/core/replay/generate.go
+++ b/core/replay/generate.go
@@ -16,9 +16,9 @@
 
 // The users.
 const (
-	UserPamoja    User = "pamoja"
-	UserVavlaget  User = "vavlaget"
-	arrivalsEvery      = 20 // seconds between two arrivals lines
+	UserPamoja              User = "pamoja"
+	UserVavlaget            User = "vavlaget"
+	arrivalsIntervalSeconds      = 20 // seconds between two arrivals lines
 )
 
 // Users lists all users.
@@ -36,7 +36,7 @@
 	"good-rushed", "bad-rushed",
 }
 
-type size struct {
+type deploymentSize struct {
 	dataCentres, slots int
 	services           []serviceSize
 }
@@ -51,7 +51,7 @@
 
 // sizes has the data centres, upstreams and slots of design 1.2. Rates and latencies are assumptions that use up to
 // half of the slots.
-var sizes = map[User]size{
+var deploymentSizes = map[User]deploymentSize{
 	UserPamoja: {
 		dataCentres: 4, slots: 9,
 		services: []serviceSize{
@@ -70,15 +70,15 @@
 
 type generator struct {
 	*rand.Rand
-	trace *Trace
-	rate  float64
-	parts []float64 // of the routes in the rate
+	trace       *Trace
+	rate        float64
+	routeRatios []float64 // of the routes in the rate
 }
 
 // Generate returns the trace that a seed gives for a user and a scenario; an unknown scenario is a calm one.
 func Generate(seed uint64, user User, scenario Scenario) *Trace {
 	random := rand.New(rand.NewPCG(seed, uint64(len(scenario))<<8|uint64(len(user))))
-	s := sizes[user]
+	s := deploymentSizes[user]
 	service := s.services[random.IntN(len(s.services))]
 	g := &generator{
 		Rand: random,
@@ -98,7 +98,7 @@
 			RepeatedPerMille: 50,
 			Outcome:          Outcome{State: core.MoveDone},
 		}},
-		rate: service.rate * uniform(random, 0.5, 1.2),
+		rate: service.rate * uniformBetween(random, 0.5, 1.2),
 	}
 	g.routes(service)
 	g.scenario(scenario)
@@ -109,12 +109,12 @@
 	return g.trace
 }
 
-func uniform(random *rand.Rand, low, high float64) float64 {
+func uniformBetween(random *rand.Rand, low, high float64) float64 {
 	return low + (high-low)*random.Float64()
 }
 
 func (g *generator) between(low, high float64) float64 {
-	return uniform(g.Rand, low, high)
+	return uniformBetween(g.Rand, low, high)
 }
 
 func (g *generator) routes(service serviceSize) {
@@ -125,7 +125,7 @@
 			part = rest * g.between(0.55, 0.85)
 		}
 		rest -= part
-		g.parts = append(g.parts, part)
+		g.routeRatios = append(g.routeRatios, part)
 		g.trace.Routes = append(g.trace.Routes, RouteLoad{
 			Name:             name,
 			LatencyMS:        math.Round(service.latencyMS * g.between(0.7, 1.3)),
@@ -152,10 +152,10 @@
 // arrivals writes the calls per second, which drift slowly around the mean.
 func (g *generator) arrivals() {
 	drift := 1.0
-	for at := -g.trace.WarmSeconds; at < g.trace.DeadlineSeconds; at += arrivalsEvery {
+	for at := -g.trace.WarmSeconds; at < g.trace.DeadlineSeconds; at += arrivalsIntervalSeconds {
 		drift = min(1.3, max(0.7, drift*g.between(0.93, 1.08)))
 		var rates []any
-		for _, part := range g.parts {
+		for _, part := range g.routeRatios {
 			rates = append(rates, math.Round(100*g.rate*part*drift)/100)
 		}
 		g.event(float64(at), "arrivals", rates...)
@@ -163,7 +163,7 @@
 }
 
 // at is a point in time as a part of the time until the deadline.
-func (g *generator) at(low, high float64) float64 {
+func (g *generator) timeBetween(low, high float64) float64 {
 	return g.between(low, high) * float64(g.trace.DeadlineSeconds)
 }
 
@@ -193,16 +193,16 @@
 		g.sharedSlow()
 	case "good-shared-failures":
 		for range 2 {
-			start := g.at(0.05, 0.8)
+			start := g.timeBetween(0.05, 0.8)
 			g.event(start, "shared", g.between(0.05, 0.4), 1.5, 0)
 			g.event(start+g.between(5, 30), "shared", 0, 1, 0)
 		}
 	case "good-leader-loss":
 		for range 2 {
-			g.event(g.at(0.05, 0.8), "leader-loss", 2+g.IntN(6))
+			g.event(g.timeBetween(0.05, 0.8), "leader-loss", 2+g.IntN(6))
 		}
 	case "good-centre-overloaded":
-		centre, start := g.IntN(g.trace.DataCentres), g.at(0.05, 0.6)
+		centre, start := g.IntN(g.trace.DataCentres), g.timeBetween(0.05, 0.6)
 		g.event(start, "centre", centre, g.between(0.05, 0.3), g.between(2, 5))
 		g.event(start+g.between(30, 90), "centre", centre, 0, 1)
 	case "good-crash-both":
@@ -213,7 +213,7 @@
 		}
 	case "good-restarts":
 		for range 8 {
-			g.event(g.at(0, 0.9), "restart", g.IntN(2*g.trace.Instances))
+			g.event(g.timeBetween(0, 0.9), "restart", g.IntN(2*g.trace.Instances))
 		}
 	case "good-risk-limit":
 		g.trace.MaxRiskPerMille = core.PerMille(30 + 10*g.IntN(5))
@@ -229,7 +229,7 @@
 	case "bad-at-once":
 		g.fault(-30, "*", 0, g.between(0.2, 1), 1, 0)
 	case "bad-late":
-		g.fault(g.at(0.15, 0.75), "*", 0, g.between(0.1, 0.6), 1, 0)
+		g.fault(g.timeBetween(0.15, 0.75), "*", 0, g.between(0.1, 0.6), 1, 0)
 	case "bad-load-only":
 		g.fault(-30, "*", g.rate*g.between(0.1, 0.4), g.between(0.1, 0.4), g.between(1, 3), 0)
 	case "bad-one-route":
@@ -242,11 +242,11 @@
 	case "bad-crash":
 		g.fault(-30, "*", 0, 0, 1, g.between(0.003, 0.02))
 	case "bad-late-flaky":
-		g.fault(g.at(0.15, 0.75), "*", 0, g.between(0.02, 0.05), 1, 0)
+		g.fault(g.timeBetween(0.15, 0.75), "*", 0, g.between(0.02, 0.05), 1, 0)
 	case "bad-late-slow":
-		g.fault(g.at(0.15, 0.75), "*", 0, 0, g.between(2, 5), 0)
+		g.fault(g.timeBetween(0.15, 0.75), "*", 0, 0, g.between(2, 5), 0)
 	case "bad-leader-loss":
-		at := g.at(0.15, 0.7)
+		at := g.timeBetween(0.15, 0.7)
 		g.fault(at, "*", 0, g.between(0.1, 0.5), 1, 0)
 		g.event(at-2, "leader-loss", 2+g.IntN(4))
 	case "bad-low-traffic":
@@ -273,7 +273,7 @@
 
 func (g *generator) sharedSlow() {
 	for range 2 {
-		start := g.at(0, 0.8)
+		start := g.timeBetween(0, 0.8)
 		g.event(start, "shared", 0, g.between(2, 6), 0)
 		g.event(start+g.between(10, 60), "shared", 0, 1, 0)
 	}
@@ -281,7 +281,7 @@
 
 func (g *generator) churn() {
 	for range 2 * g.trace.Instances {
-		release, i, start := [2]string{"old", "new"}[g.IntN(2)], g.IntN(g.trace.Instances), g.at(0, 0.8)
+		release, i, start := [2]string{"old", "new"}[g.IntN(2)], g.IntN(g.trace.Instances), g.timeBetween(0, 0.8)
 		g.event(start, "leaving", release, i)
 		g.event(start+g.between(5, 20), "ready", release, i)
 	}
--- a/core/replay/replay.go
+++ b/core/replay/replay.go
@@ -20,19 +20,19 @@
 const ErrOutcome = errors.ConstError("outcome differs from the stated one")
 
 // tail is how long a replay goes on after the move has ended, so that calls under way to the new release are counted.
-const tail = 5 * time.Second
+const drainDuration = 5 * time.Second
 
 // Measures is what one rule did with one trace. Calls are counted from the acceptance of the move until shortly after
 // its end.
 type Measures struct {
-	Move       core.Move
-	Calls      int
-	NewCalls   int           // of the new release
-	BadCalls   int           // of the new release, on all routes, since its fault first showed
-	FaultyCall int           // that met the fault itself
-	FaultAt    time.Time     // of the first call that met the fault; zero if none did
-	TakeBack   time.Duration // from FaultAt until the move was taken back; zero if it was not
-	Steps      []core.MoveStep
+	Move            core.Move
+	Calls           int
+	NewCalls        int           // of the new release
+	CallsAfterFault int           // of the new release, on all routes, since its fault first showed
+	FaultyCalls     int           // that met the fault itself
+	FaultAt         time.Time     // of the first call that met the fault; zero if none did
+	TakeBackDelay   time.Duration // from FaultAt until the move was taken back; zero if it was not
+	Steps           []core.MoveStep
 }
 
 func (m *Measures) call(now time.Time, isNew, faulty bool) {
@@ -45,19 +45,19 @@
 	}
 	m.NewCalls++
 	if faulty {
-		m.FaultyCall++
+		m.FaultyCalls++
 		if m.FaultAt.IsZero() {
 			m.FaultAt = now
 		}
 	}
 	if !m.FaultAt.IsZero() {
-		m.BadCalls++
+		m.CallsAfterFault++
 	}
 }
 
-// BadShare is the share of the calls during the move that reached the new release after its fault had shown.
-func (m *Measures) BadShare() float64 {
-	return float64(m.BadCalls) / float64(max(1, m.Calls))
+// CallsAfterFaultRatio is the share of the calls during the move that reached the new release after its fault had shown.
+func (m *Measures) CallsAfterFaultRatio() float64 {
+	return float64(m.CallsAfterFault) / float64(max(1, m.Calls))
 }
 
 // Matches reports whether the move ended as the trace states.
@@ -68,11 +68,11 @@
 // Replay drives one rule with a trace; an error means that the rule proposed a step that the catalog would refuse.
 func Replay(trace *Trace, rule RuleName) (*Measures, error) {
 	m := &Measures{Move: newMove(trace)}
-	w := newWorld(trace, m)
+	w := newSimulation(trace, m)
 	events := trace.Events
 	judge := newRule(rule, m.Move, trace.From, trace.To)
 	var leaderless, ended time.Time
-	for ended.IsZero() || w.now.Before(ended.Add(tail)) {
+	for ended.IsZero() || w.now.Before(ended.Add(drainDuration)) {
 		for len(events) > 0 && !w.now.Before(epoch.Add(time.Duration(events[0].At*float64(time.Second)))) {
 			if events[0].Kind == "leader-loss" {
 				leaderless = w.now.Add(time.Duration(events[0].number(0)) * time.Second)
@@ -81,8 +81,8 @@
 			w.apply(events[0])
 			events = events[1:]
 		}
-		w.run()
-		evidence := w.arrived()
+		w.runTick()
+		evidence := w.takeArrivedEvidence()
 		if w.now.Before(epoch) || w.now.Before(leaderless) || !ended.IsZero() {
 			continue
 		}
@@ -103,7 +103,7 @@
 		}
 	}
 	if m.Move.State == core.MoveTakenBack && !m.FaultAt.IsZero() {
-		m.TakeBack = m.Move.SteppedAt.Sub(m.FaultAt)
+		m.TakeBackDelay = m.Move.SteppedAt.Sub(m.FaultAt)
 	}
 	return m, nil
 }
@@ -203,9 +203,9 @@
 	}
 	fmt.Fprintf(w, "  %-16s %-10s %-13s after %4.0f s, %d calls, %.2f%% on the new release, %.2f%% after its fault showed",
 		rule, m.Move.State, result, m.Move.SteppedAt.Sub(epoch).Seconds(), m.Calls,
-		100*float64(m.NewCalls)/float64(max(1, m.Calls)), 100*m.BadShare())
-	if m.TakeBack > 0 {
-		fmt.Fprintf(w, ", taken back %.0f s after it", m.TakeBack.Seconds())
+		100*float64(m.NewCalls)/float64(max(1, m.Calls)), 100*m.CallsAfterFaultRatio())
+	if m.TakeBackDelay > 0 {
+		fmt.Fprintf(w, ", taken back %.0f s after it", m.TakeBackDelay.Seconds())
 	}
 	fmt.Fprintln(w)
 }
@@ -224,34 +224,34 @@
 
 // Score sums the measures of one rule over many traces.
 type Score struct {
-	Good, GoodDone  int
-	FalseTakeBack   int
-	Bad, BadBack    int
-	BadShares       []float64
-	TakeBackSeconds []float64
-	Stated          int // outcomes as the traces state
+	Good, GoodFinished    int
+	GoodTakenBack         int
+	Bad, BadTakenBack     int
+	CallsAfterFaultRatios []float64
+	TakeBackSeconds       []float64
+	Matched               int // outcomes as the traces state
 }
 
 // Add counts one replayed trace.
 func (s *Score) Add(trace *Trace, m *Measures) {
 	if m.Matches(trace.Outcome) {
-		s.Stated++
+		s.Matched++
 	}
 	if !trace.Outcome.Bad {
 		s.Good++
 		if m.Move.State == core.MoveDone {
-			s.GoodDone++
+			s.GoodFinished++
 		}
 		if m.Move.State == core.MoveTakenBack {
-			s.FalseTakeBack++
+			s.GoodTakenBack++
 		}
 		return
 	}
 	s.Bad++
-	s.BadShares = append(s.BadShares, m.BadShare())
+	s.CallsAfterFaultRatios = append(s.CallsAfterFaultRatios, m.CallsAfterFaultRatio())
 	if m.Move.State == core.MoveTakenBack {
-		s.BadBack++
-		s.TakeBackSeconds = append(s.TakeBackSeconds, m.TakeBack.Seconds())
+		s.BadTakenBack++
+		s.TakeBackSeconds = append(s.TakeBackSeconds, m.TakeBackDelay.Seconds())
 	}
 }
 
@@ -264,8 +264,8 @@
 // String prints the score on one line.
 func (s *Score) String() string {
 	return fmt.Sprintf("good done in time %d/%d, falsely taken back %d; bad taken back %d/%d, share of calls on bad median %.2f%% worst %.2f%%, under 2%% in %d/%d; fault to take-back median %.0f s worst %.0f s",
-		s.GoodDone, s.Good, s.FalseTakeBack, s.BadBack, s.Bad,
-		100*quantile(s.BadShares, 0.5), 100*quantile(s.BadShares, 1), countBelow(s.BadShares, 0.02), s.Bad,
+		s.GoodFinished, s.Good, s.GoodTakenBack, s.BadTakenBack, s.Bad,
+		100*quantile(s.CallsAfterFaultRatios, 0.5), 100*quantile(s.CallsAfterFaultRatios, 1), countBelow(s.CallsAfterFaultRatios, 0.02), s.Bad,
 		quantile(s.TakeBackSeconds, 0.5), quantile(s.TakeBackSeconds, 1))
 }
 
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -23,7 +23,7 @@
 )
 
 // kept lists the traces in testdata: each scenario for one user in turn, and those that are hardest to judge for both.
-func kept() []*replay.Trace {
+func storedTraces() []*replay.Trace {
 	var traces []*replay.Trace
 	for i, scenario := range replay.Scenarios {
 		for u, user := range replay.Users {
@@ -60,7 +60,7 @@
 // Guards against a change of the decision modules that misses the targets of design 1.5 in a kept trace.
 func TestKeptTraces(t *testing.T) {
 	if *writeTraces {
-		for _, trace := range kept() {
+		for _, trace := range storedTraces() {
 			var out bytes.Buffer
 			qt.Assert(t, trace.Write(&out), qt.IsNil)
 			qt.Assert(t, os.WriteFile(filepath.Join("testdata", trace.Name+".trace"), out.Bytes(), 0o600), qt.IsNil)
@@ -79,7 +79,7 @@
 			c.Assert(m.Matches(trace.Outcome), qt.IsTrue, qt.Commentf("%+v", m.Move))
 			c.Assert(m.Move.SteppedAt.After(m.Move.Request.Deadline), qt.IsFalse)
 			if trace.Outcome.Bad {
-				c.Assert(m.BadShare() < 0.02, qt.IsTrue, qt.Commentf("%d of %d calls", m.BadCalls, m.Calls))
+				c.Assert(m.CallsAfterFaultRatio() < 0.02, qt.IsTrue, qt.Commentf("%d of %d calls", m.CallsAfterFault, m.Calls))
 			}
 			for _, step := range m.Steps {
 				c.Assert(step.Evidence, qt.Not(qt.Equals), "", qt.Commentf("step %d", step.Step))
@@ -212,8 +212,8 @@
 			}
 			scores[k].Add(j.trace, j.measures)
 		}
-		if j.rule == replay.RuleSequential && (!j.measures.Matches(j.trace.Outcome) || j.trace.Outcome.Bad && j.measures.BadShare() >= 0.02) {
-			fmt.Printf("%-36s %-10s bad %.2f%% %s | %s\n", j.trace.Name, j.measures.Move.State, 100*j.measures.BadShare(), j.measures.Move.Cause, j.measures.Move.Evidence)
+		if j.rule == replay.RuleSequential && (!j.measures.Matches(j.trace.Outcome) || j.trace.Outcome.Bad && j.measures.CallsAfterFaultRatio() >= 0.02) {
+			fmt.Printf("%-36s %-10s bad %.2f%% %s | %s\n", j.trace.Name, j.measures.Move.State, 100*j.measures.CallsAfterFaultRatio(), j.measures.Move.Cause, j.measures.Move.Evidence)
 		}
 	}
 	for _, scenario := range append(replay.Scenarios, "") {
--- a/core/replay/rules.go
+++ b/core/replay/rules.go
@@ -30,24 +30,24 @@
 	if name == RuleSequential {
 		return rollout.NewSequentialDecider(move, from, to)
 	}
-	return &schedule{
+	return &scheduleRule{
 		service:   move.Request.Service,
 		from:      from,
 		to:        to,
 		threshold: name == RuleThreshold,
-		counts:    make(map[countKey]core.EvidenceCount),
+		counts:    make(map[counterKey]core.EvidenceCount),
 	}
 }
 
 // Values of the plain threshold, as an operator would set them on a dashboard.
 const (
-	thresholdCalls    = 20
-	thresholdFailures = 0.05
-	thresholdSlow     = 2.0 // factor of the mean latency
-	thresholdWindow   = 30 * time.Second
+	thresholdMinCalls      = 20
+	thresholdFailureRatio  = 0.05
+	thresholdLatencyFactor = 2.0 // factor of the mean latency
+	thresholdWindow        = 30 * time.Second
 )
 
-type countKey struct {
+type counterKey struct {
 	node        core.NodeID
 	incarnation core.Incarnation
 	route       core.RouteName
@@ -55,23 +55,23 @@
 }
 
 // schedule raises the share at fixed times; with a threshold, it takes back on a rate in a fixed window.
-type schedule struct {
-	service          core.ServiceName
-	from, to         core.Release
-	threshold        bool
-	counts           map[countKey]core.EvidenceCount
-	oldSum, newSum   sums
-	oldMark, newMark sums // at the start of the window
-	markedAt         time.Time
+type scheduleRule struct {
+	service                        core.ServiceName
+	from, to                       core.Release
+	threshold                      bool
+	counts                         map[counterKey]core.EvidenceCount
+	oldTotals, newTotals           totals
+	oldWindowStart, newWindowStart totals // at the start of the window
+	windowStartedAt                time.Time
 }
 
-type sums struct {
+type totals struct {
 	calls, failures, milliseconds float64
 }
 
-var scheduleShares = []core.PerMille{5, 10, 20, 50, 100, 250, 500}
+var schedulePerMille = []core.PerMille{5, 10, 20, 50, 100, 250, 500}
 
-func (s *schedule) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
+func (s *scheduleRule) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
 	s.count(evidence)
 	next := core.MoveStep{
 		MoveID: move.MoveID,
@@ -84,24 +84,24 @@
 		next.Cause = "threshold exceeded"
 		return next, move.State != core.MoveProposed
 	}
-	slot := move.Request.Deadline.Sub(move.StartedAt) / time.Duration(len(scheduleShares)+1)
+	slot := move.Request.Deadline.Sub(move.StartedAt) / time.Duration(len(schedulePerMille)+1)
 	switch {
 	case move.State == core.MoveProposed:
-		next.State, next.Share = core.MoveProbing, scheduleShares[0]
+		next.State, next.Share = core.MoveProbing, schedulePerMille[0]
 		return next, true
 	case now.Sub(move.StartedAt) < slot*time.Duration(move.Step):
 		return core.MoveStep{}, false
-	case int(move.Step) < len(scheduleShares):
-		next.Share = scheduleShares[move.Step]
+	case int(move.Step) < len(schedulePerMille):
+		next.Share = schedulePerMille[move.Step]
 	default:
 		next.State, next.Share, next.Cause = core.MoveDone, core.FullShare, "schedule"
 	}
 	return next, true
 }
 
-func (s *schedule) count(evidence []core.EvidenceCount) {
+func (s *scheduleRule) count(evidence []core.EvidenceCount) {
 	for _, c := range evidence {
-		key := countKey{
+		key := counterKey{
 			node:        c.Node,
 			incarnation: c.Incarnation,
 			route:       c.Route,
@@ -112,9 +112,9 @@
 			continue
 		}
 		s.counts[key] = c
-		sum := &s.oldSum
+		sum := &s.oldTotals
 		if c.Release == s.to {
-			sum = &s.newSum
+			sum = &s.newTotals
 		}
 		sum.calls += float64(c.Calls - last.Calls)
 		sum.failures += float64(c.Failures) - float64(last.Failures)
@@ -124,22 +124,22 @@
 	}
 }
 
-func (s *schedule) exceeded(now time.Time) bool {
-	if now.Sub(s.markedAt) >= thresholdWindow {
-		s.oldMark, s.newMark, s.markedAt = s.oldSum, s.newSum, now
+func (s *scheduleRule) exceeded(now time.Time) bool {
+	if now.Sub(s.windowStartedAt) >= thresholdWindow {
+		s.oldWindowStart, s.newWindowStart, s.windowStartedAt = s.oldTotals, s.newTotals, now
 	}
-	before, after := s.oldSum.minus(s.oldMark), s.newSum.minus(s.newMark)
-	if after.calls < thresholdCalls {
+	before, after := s.oldTotals.minus(s.oldWindowStart), s.newTotals.minus(s.newWindowStart)
+	if after.calls < thresholdMinCalls {
 		return false
 	}
-	if after.failures/after.calls > thresholdFailures {
+	if after.failures/after.calls > thresholdFailureRatio {
 		return true
 	}
-	return before.calls >= thresholdCalls && after.milliseconds/after.calls > thresholdSlow*before.milliseconds/before.calls
+	return before.calls >= thresholdMinCalls && after.milliseconds/after.calls > thresholdLatencyFactor*before.milliseconds/before.calls
 }
 
-func (s sums) minus(other sums) sums {
-	return sums{
+func (s totals) minus(other totals) totals {
+	return totals{
 		calls:        s.calls - other.calls,
 		failures:     s.failures - other.failures,
 		milliseconds: s.milliseconds - other.milliseconds,
--- a/core/replay/world.go
+++ b/core/replay/simulation.go
@@ -14,12 +14,12 @@
 const (
 	tick = time.Second
 	// spread is the sigma of the log-normal latency of one call.
-	spread        = 0.5
-	coldFactor    = 3.0 // latency of a cold backend server on top of that of a warm one
-	coldTime      = 10 * time.Second
-	coldWeight    = 0.1 // of a backend server at the beginning of its slow start
-	crashDownTime = 2 * time.Second
-	repeatAfter   = 5 * time.Second
+	latencySigma         = 0.5
+	coldLatencyFactor    = 3.0 // latency of a cold backend server on top of that of a warm one
+	slowStartDuration    = 10 * time.Second
+	minColdWeightRatio   = 0.1 // of a backend server at the beginning of its slow start
+	crashRestartDuration = 2 * time.Second
+	duplicateReportDelay = 5 * time.Second
 )
 
 // epoch is the time at which each replayed move is accepted.
@@ -29,7 +29,7 @@
 	fail, slow, crash float64
 }
 
-var noEffect = effect{slow: 1}
+var neutralEffect = effect{slow: 1}
 
 type backend struct {
 	release    core.Release
@@ -45,10 +45,10 @@
 	dataCentre  int
 	incarnation core.Incarnation
 	recorder    *rollout.Recorder
-	guard       *rollout.CircuitBreaker
+	breaker     *rollout.CircuitBreaker
 }
 
-type report struct {
+type evidenceReport struct {
 	arrives time.Time
 	counts  []core.EvidenceCount
 }
@@ -60,42 +60,42 @@
 }
 
 // world is the state of a replay outside the decision modules.
-type world struct {
-	trace     *Trace
-	random    *rand.Rand
-	now       time.Time
-	nodes     []*node
-	backends  map[core.Release][]*backend
-	arrivals  []float64
-	shared    effect
-	centres   []effect
-	faults    []fault
-	share     core.PerMille // in force on the nodes
-	next      core.PerMille // in force from the next tick on
-	revision  core.Revision
-	delay     time.Duration
-	reports   []report
-	lastCalls map[core.Release]int // of the previous tick
-	calls     map[core.Release]int // of this tick
-	measures  *Measures
+type simulation struct {
+	trace             *Trace
+	random            *rand.Rand
+	now               time.Time
+	nodes             []*node
+	backends          map[core.Release][]*backend
+	arrivals          []float64
+	sharedEffect      effect
+	dataCentreEffects []effect
+	faults            []fault
+	share             core.PerMille // in force on the nodes
+	nextShare         core.PerMille // in force from the next tick on
+	revision          core.Revision
+	evidenceDelay     time.Duration
+	reports           []evidenceReport
+	lastCalls         map[core.Release]int // of the previous tick
+	calls             map[core.Release]int // of this tick
+	measures          *Measures
 }
 
-func newWorld(trace *Trace, measures *Measures) *world {
-	w := &world{
-		trace:     trace,
-		random:    rand.New(rand.NewPCG(trace.Seed, 1)),
-		backends:  make(map[core.Release][]*backend),
-		arrivals:  make([]float64, len(trace.Routes)),
-		shared:    noEffect,
-		centres:   make([]effect, trace.DataCentres),
-		delay:     time.Duration(trace.EvidenceDelayMS) * time.Millisecond,
-		lastCalls: make(map[core.Release]int),
-		calls:     make(map[core.Release]int),
-		measures:  measures,
+func newSimulation(trace *Trace, measures *Measures) *simulation {
+	w := &simulation{
+		trace:             trace,
+		random:            rand.New(rand.NewPCG(trace.Seed, 1)),
+		backends:          make(map[core.Release][]*backend),
+		arrivals:          make([]float64, len(trace.Routes)),
+		sharedEffect:      neutralEffect,
+		dataCentreEffects: make([]effect, trace.DataCentres),
+		evidenceDelay:     time.Duration(trace.EvidenceDelayMS) * time.Millisecond,
+		lastCalls:         make(map[core.Release]int),
+		calls:             make(map[core.Release]int),
+		measures:          measures,
 	}
 	w.now = epoch.Add(-time.Duration(trace.WarmSeconds) * time.Second)
-	for i := range w.centres {
-		w.centres[i] = noEffect
+	for i := range w.dataCentreEffects {
+		w.dataCentreEffects[i] = neutralEffect
 	}
 	for _, release := range []core.Release{trace.From, trace.To} {
 		for i := range trace.Instances {
@@ -105,12 +105,12 @@
 	return w
 }
 
-func (w *world) addBackend(release core.Release, dataCentre int) {
+func (w *simulation) addBackend(release core.Release, dataCentre int) {
 	n := &node{
 		id:         core.NodeID(fmt.Sprintf("n%d", len(w.nodes))),
 		dataCentre: dataCentre,
 	}
-	w.start(n, w.now.Add(-time.Hour))
+	w.startNode(n, w.now.Add(-time.Hour))
 	w.backends[release] = append(w.backends[release], &backend{
 		release:    release,
 		dataCentre: dataCentre,
@@ -122,15 +122,15 @@
 }
 
 // start begins a run of a node, which has no counts and no decision of its guard.
-func (w *world) start(n *node, at time.Time) {
+func (w *simulation) startNode(n *node, at time.Time) {
 	n.incarnation = core.Incarnation(at.UnixNano())
 	n.recorder = rollout.NewRecorder(n.id, n.incarnation)
-	n.guard = rollout.NewCircuitBreaker()
-	n.guard.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
+	n.breaker = rollout.NewCircuitBreaker()
+	n.breaker.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
 }
 
 // apply changes the world by one event; leader losses are the caller's.
-func (w *world) apply(e Event) {
+func (w *simulation) apply(e Event) {
 	switch e.Kind {
 	case "arrivals":
 		for i := range w.arrivals {
@@ -155,38 +155,38 @@
 			load:  e.number(1),
 		})
 	case "shared":
-		w.shared = effect{
+		w.sharedEffect = effect{
 			fail:  e.number(0),
 			slow:  e.number(1),
 			crash: e.number(2),
 		}
 	case "centre":
-		w.centres[int(e.number(0))] = effect{
+		w.dataCentreEffects[int(e.number(0))] = effect{
 			fail: e.number(1),
 			slow: e.number(2),
 		}
 	case "restart":
-		w.start(w.nodes[int(e.number(0))], w.now)
+		w.startNode(w.nodes[int(e.number(0))], w.now)
 	case "delay":
-		w.delay = time.Duration(e.number(0)) * time.Millisecond
+		w.evidenceDelay = time.Duration(e.number(0)) * time.Millisecond
 	}
 }
 
 // setShare is a new revision of the configuration; it reaches the nodes within a tick.
-func (w *world) setShare(share core.PerMille) {
-	w.next = share
+func (w *simulation) setShare(share core.PerMille) {
+	w.nextShare = share
 	w.revision++
 }
 
-func (w *world) distribute() {
-	w.share = w.next
+func (w *simulation) distribute() {
+	w.share = w.nextShare
 	for _, n := range w.nodes {
-		n.guard.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
+		n.breaker.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
 	}
 }
 
 // run makes the calls of one tick and the evidence reports at its end.
-func (w *world) run() {
+func (w *simulation) runTick() {
 	clear(w.calls)
 	for route, rate := range w.arrivals {
 		for range w.poisson(rate) {
@@ -199,21 +199,21 @@
 	for _, n := range w.nodes {
 		counts := n.recorder.Counts()
 		sortCounts(counts)
-		arrives := w.now.Add(w.delay + time.Duration(w.random.IntN(300))*time.Millisecond)
-		w.reports = append(w.reports, report{
+		arrives := w.now.Add(w.evidenceDelay + time.Duration(w.random.IntN(300))*time.Millisecond)
+		w.reports = append(w.reports, evidenceReport{
 			arrives: arrives,
 			counts:  counts,
 		})
 		if w.random.IntN(1000) < w.trace.RepeatedPerMille {
-			w.reports = append(w.reports, report{
-				arrives: arrives.Add(repeatAfter),
+			w.reports = append(w.reports, evidenceReport{
+				arrives: arrives.Add(duplicateReportDelay),
 				counts:  counts,
 			})
 		}
 	}
 }
 
-func (w *world) poisson(rate float64) int {
+func (w *simulation) poisson(rate float64) int {
 	if rate > 50 {
 		return max(0, int(math.Round(rate+math.Sqrt(rate)*w.random.NormFloat64())))
 	}
@@ -224,9 +224,9 @@
 	return n
 }
 
-func (w *world) call(n *node, route int) {
+func (w *simulation) call(n *node, route int) {
 	release := w.trace.From
-	if core.PerMille(w.random.IntN(int(core.FullShare))) < n.guard.Share(w.trace.Service, w.trace.To, w.share) {
+	if core.PerMille(w.random.IntN(int(core.FullShare))) < n.breaker.Share(w.trace.Service, w.trace.To, w.share) {
 		release = w.trace.To
 	}
 	b := w.choose(release, n.dataCentre)
@@ -238,11 +238,11 @@
 	w.measures.call(w.now, release == w.trace.To, faulty)
 	name := w.trace.Routes[route].Name
 	n.recorder.Record(w.trace.Service, name, release, failed, crashed, latency)
-	n.guard.Observe(w.trace.Service, name, release, failed)
+	n.breaker.Observe(w.trace.Service, name, release, failed)
 }
 
 // choose picks a ready backend server, in the own data centre if there is one, with lower weights in slow start.
-func (w *world) choose(release core.Release, dataCentre int) *backend {
+func (w *simulation) choose(release core.Release, dataCentre int) *backend {
 	for _, local := range []bool{true, false} {
 		var chosen *backend
 		total := 0.0
@@ -250,7 +250,7 @@
 			if !b.ready || w.now.Before(b.downUntil) || local && b.dataCentre != dataCentre {
 				continue
 			}
-			weight := max(coldWeight, b.warmth(w.now))
+			weight := max(minColdWeightRatio, b.warmRatio(w.now))
 			total += weight
 			if w.random.Float64()*total < weight {
 				chosen = b
@@ -263,16 +263,16 @@
 	return nil
 }
 
-func (b *backend) warmth(now time.Time) float64 {
-	return min(1, float64(now.Sub(b.readyAt))/float64(coldTime))
+func (b *backend) warmRatio(now time.Time) float64 {
+	return min(1, float64(now.Sub(b.readyAt))/float64(slowStartDuration))
 }
 
-func (w *world) outcome(b *backend, route int) (failed, crashed bool, latency time.Duration, faulty bool) {
+func (w *simulation) outcome(b *backend, route int) (failed, crashed bool, latency time.Duration, faulty bool) {
 	r := w.trace.Routes[route]
 	total := effect{
-		fail:  r.FailuresPerMille/1000 + w.shared.fail + w.centres[b.dataCentre].fail,
-		slow:  w.shared.slow * w.centres[b.dataCentre].slow * w.loadFactor(b.release) * (1 + coldFactor*(1-b.warmth(w.now))),
-		crash: w.shared.crash,
+		fail:  r.FailuresPerMille/1000 + w.sharedEffect.fail + w.dataCentreEffects[b.dataCentre].fail,
+		slow:  w.sharedEffect.slow * w.dataCentreEffects[b.dataCentre].slow * w.loadFactor(b.release) * (1 + coldLatencyFactor*(1-b.warmRatio(w.now))),
+		crash: w.sharedEffect.crash,
 	}
 	for _, f := range w.faults {
 		if b.release != w.trace.To || f.route != "*" && f.route != string(r.Name) || float64(w.lastCalls[w.trace.To]) < f.load {
@@ -283,10 +283,10 @@
 		total.slow *= f.slow
 		total.crash += f.crash
 	}
-	milliseconds := r.LatencyMS * total.slow * math.Exp(spread*w.random.NormFloat64())
+	milliseconds := r.LatencyMS * total.slow * math.Exp(latencySigma*w.random.NormFloat64())
 	latency = time.Duration(min(milliseconds, 60_000) * float64(time.Millisecond))
 	if w.random.Float64() < total.crash {
-		b.downUntil = w.now.Add(crashDownTime)
+		b.downUntil = w.now.Add(crashRestartDuration)
 		b.readyAt = b.downUntil
 		return true, true, latency, faulty
 	}
@@ -294,7 +294,7 @@
 }
 
 // loadFactor is the growth of latency with the use of a release's slots.
-func (w *world) loadFactor(release core.Release) float64 {
+func (w *simulation) loadFactor(release core.Release) float64 {
 	slots := 0
 	for _, b := range w.backends[release] {
 		if b.ready {
@@ -307,7 +307,7 @@
 }
 
 // arrived removes and returns the evidence that has reached the leader.
-func (w *world) arrived() []core.EvidenceCount {
+func (w *simulation) takeArrivedEvidence() []core.EvidenceCount {
 	var evidence []core.EvidenceCount
 	rest := w.reports[:0]
 	for _, r := range w.reports {
@@ -321,7 +321,7 @@
 	return evidence
 }
 
-func (w *world) endpoints() []core.Endpoint {
+func (w *simulation) endpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
 	for _, release := range []core.Release{w.trace.From, w.trace.To} {
 		for _, b := range w.backends[release] {
--- a/core/replay/trace.go
+++ b/core/replay/trace.go
@@ -87,7 +87,7 @@
 }
 
 // argument counts of each kind; -1 stands for one for each route.
-var eventArgs = map[string]int{
+var eventArgCounts = map[string]int{
 	"arrivals": -1, "leaving": 2, "ready": 2, "fault": 5, "shared": 3, "centre": 3, "leader-loss": 1, "restart": 1, "delay": 1,
 }
 
@@ -201,15 +201,15 @@
 	if n := len(t.Events); n > 0 && t.Events[n-1].At > at {
 		return errors.Errorf("time %q is before that of the line above", fields[0])
 	}
-	if err := t.check(event); err != nil {
+	if err := t.checkEvent(event); err != nil {
 		return err
 	}
 	t.Events = append(t.Events, event)
 	return nil
 }
 
-func (t *Trace) check(e Event) error {
-	want, known := eventArgs[e.Kind]
+func (t *Trace) checkEvent(e Event) error {
+	want, known := eventArgCounts[e.Kind]
 	if !known {
 		return errors.Errorf("event %q is unknown", e.Kind)
 	}
