--- a/core/rollout/brief_move_decider.go
+++ b/core/rollout/brief_move_decider.go
@@ -12,83 +12,85 @@
 )
 
 const (
-	// briefRiskPerMille is the share for most of a brief move, if the request names none.
+	// briefRiskPerMille is the share during most of a brief move, if the request names none.
 	briefRiskPerMille core.PerMille = 60
-	// briefAnnounceDelay lets the nodes learn of the move before its first share.
+	// briefAnnounceDelay leaves the nodes time to learn of the move before its first share.
 	briefAnnounceDelay = 500 * time.Millisecond
-	// A brief move spends these parts of its time at the risk share and at a fifth; the rest is a margin for the last step. Faults
-	// that come late have to show before the last step, since no release is left after it. Until then the new release has met 85
-	// in 1,000 of the calls, so that one whose fault shows at the very end has still met less than a tenth of them.
+	// A brief move stays at the risk share, then at a fifth, until these parts of its time have passed; the rest is the margin of the
+	// last step. Late faults have to show before the last step, since the old release gets no more calls after it. Until then the new
+	// release has had 85 in 1,000 of the calls, so one that fails only at the very end has still had less than a tenth of them.
 	briefRiskUntilRatio  = 0.74
 	briefFifthUntilRatio = 0.94
 	briefFifthPerMille   = core.PerMille(200)
-	// briefDecideUntilRatio is the part of its time after which a move in doubt is taken back, so that this too is in force in time.
+	// briefDecideUntilRatio is the part of the time after which a doubtful move is taken back, so that this is in force by the deadline.
 	briefDecideUntilRatio = 0.96
-	// briefMinCalls of the new release have to be reported before each larger share.
+	// briefMinCalls is the number of calls of the new release that must have been reported before each larger share.
 	briefMinCalls = 12
-	// briefFalseAlarmProbability is the probability that one comparison takes a release back which is as good as the old one.
+	// briefFalseAlarmProbability is the probability that one comparison takes back a release that is as good as the old one.
 	briefFalseAlarmProbability = 1e-3
-	// briefDoubtProbability keeps a share from growing. A good release that is not done in time can be moved to again, while a bad one that
-	// is done has no other beside it.
+	// briefDoubtProbability is the false alarm probability of the tests that keep a share from growing. It is higher than that of the
+	// tests that take a release back: a good release that was not done in time can be moved to again, while a bad one that gets all
+	// calls has no other release beside it to compare with.
 	briefDoubtProbability = 0.01
-	// briefToleratedFailureRate and briefToleratedSlowRate are the rates of the new release that are not yet worse than the old one's: failures of single
-	// calls, and the slow answers of backend servers that have just started.
+	// briefToleratedFailureRate and briefToleratedSlowRate are added to the old release's rates before the comparison, for failures of
+	// single calls and for slow answers of backend servers that have just started.
 	briefToleratedFailureRate = 0.02
 	briefToleratedSlowRate    = 0.05
-	// briefDetectedSlowRate is the part of a slow release's calls that are slow beyond the old one's, and briefMissProbability the probability that
-	// such a release is done.
+	// A release is slow if at least briefDetectedSlowRate of its calls are slow in addition to the old release's rate.
+	// briefMissProbability is the probability that a move to such a release is done.
 	briefDetectedSlowRate = 0.15
 	briefMissProbability  = 0.2
-	// briefNoninferiorSlowRatio is the part of the old release's answers that may be above the boundary at which a new one shows that it keeps
-	// up. The fewer are, the fewer calls show it, but waiting moves the boundary that nearly all keep out of reach of slow answers.
+	// briefNoninferiorSlowRatio is the part of the old release's answers that may be slow in the non-inferiority test of latency. With a
+	// smaller part, fewer calls suffice for the test, but queueing in the old release raises the boundary above the slow answers.
 	briefNoninferiorSlowRatio = 0.12
-	// briefWarmUpDuration is for how long the latencies of a new release do not count: processes answer their first calls slowly. Reports
-	// arrive within half a second.
+	// briefWarmUpDuration is how long the latencies of a new release are left out, because processes answer their first calls slowly.
+	// Reports arrive within half a second.
 	briefWarmUpDuration = 1500 * time.Millisecond
-	// briefRateWindow of the old release's calls tells its rates of the moment, together with briefRateWeightCalls calls at its rates so far.
-	// Nodes report every 0.3 s.
+	// The old release's current rate is its rate over briefRateWindow, smoothed by briefRateWeightCalls calls at its rate since the move
+	// began. Nodes report every 0.3 s.
 	briefRateWindow      = 600 * time.Millisecond
 	briefRateWeightCalls = 5.0
-	// briefMinBadCalls keeps a few unlucky calls from taking a move back.
+	// briefMinBadCalls is the least number of bad calls that may take a move back, so that one or two unlucky calls do not.
 	briefMinBadCalls = 3
 )
 
-// Brief decides the steps of one move that is too short for a Judge. It compares the releases over the same time, by route and
-// in total, since the move began and since its latest step. It is not safe for concurrent use.
+// BriefMoveDecider decides the steps of one move that is too short for a SequentialDecider. It compares the releases over the same
+// time with binomial tests, by route and in total, since the move began and since its latest step. It is not safe for concurrent use.
 type BriefMoveDecider struct {
 	service         core.ServiceName
 	to              core.Release
-	readyEndpoints  int // backend servers of the new release that take calls
+	readyEndpoints  int // of the new release
 	step            uint64
 	stepSeenAt      time.Time
-	countedAtStep   map[core.RouteName]briefPair // counts at the latest step
-	history         []briefSnapshot              // of the latest decisions, oldest first
-	warmUpLatencies map[core.RouteName]latencies // of the new release's answers while it warmed up
+	countedAtStep   map[core.RouteName]briefPair // at the latest step
+	history         []briefSnapshot              // at the latest decisions, oldest first
+	warmUpLatencies map[core.RouteName]latencies // of the new release, to be left out
 }
 
 type latencies [core.LatencyBuckets]uint64
 
-// briefCount has what was counted of one release: calls that were answered or failed, and the latencies of those that came after
-// the release had warmed up.
+// briefCount holds the counts of one release: calls that were answered or failed, calls that were turned away, and the latencies
+// after the warm-up.
 type briefCount struct {
 	calls, failures, turnedAway uint64
 	latency                     latencies
 }
 
-// briefPair has what was counted of both releases. The expectations say how many calls of the new release would have been bad at
-// the old one's rates at the same time: when a fault of something else meets both, the new release may have most of its calls.
+// briefPair holds the counts of both releases, and how many calls of the new release would have been bad at the old release's rates
+// at the same time. The rates have to be those of the same time: most calls of the new release may fall into a time of faults that
+// affect both releases.
 type briefPair struct {
 	old, new                             briefCount
 	expectedFailures, expectedTurnedAway float64
 	expectedSlow                         [core.LatencyBuckets]float64 // above each bucket
 }
 
-// IsBrief reports whether a move has at most a time, so that a Brief decides it in place of a Judge.
+// IsBrief reports whether a move lasts at most atMost, so that a BriefMoveDecider decides it and not a SequentialDecider.
 func IsBrief(move core.Move, atMost time.Duration) bool {
 	return move.Request.Deadline.Sub(move.StartedAt) <= atMost
 }
 
-// NewBriefMoveDecider returns the decision for one brief move to a release.
+// NewBriefMoveDecider returns a decider for one brief move to a release.
 func NewBriefMoveDecider(move core.Move, to core.Release) *BriefMoveDecider {
 	return &BriefMoveDecider{
 		service:         move.Request.Service,
@@ -98,17 +100,17 @@
 	}
 }
 
-// ObserveEndpoints tells which endpoints exist.
+// ObserveEndpoints sets the current endpoints of all services. Without ready endpoints of the new release, no share grows.
 func (b *BriefMoveDecider) ObserveEndpoints(_ time.Time, endpoints []core.Endpoint) {
 	b.readyEndpoints = lo.CountBy(endpoints, func(e core.Endpoint) bool {
 		return e.Service == b.service && e.Release == b.to && e.State == core.EndpointReady
 	})
 }
 
-// ObserveLateness is not needed: no share grows before calls at the present one were reported.
+// ObserveLateness does nothing: no share grows before calls at the present share have been reported.
 func (b *BriefMoveDecider) ObserveLateness(time.Duration) {}
 
-// Decide returns the next step if one is due; evidence has the cumulative counts of this move.
+// Decide returns the next step if one is due. The evidence holds the cumulative counts of this move.
 func (b *BriefMoveDecider) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
 	if IsFinal(move.State) {
 		return core.MoveStep{}, false
@@ -159,7 +161,7 @@
 	return briefRiskPerMille
 }
 
-// grow raises the share by time, once enough calls at the present one were reported. A move that is late skips no share.
+// grow raises the share by time, once enough calls at the present share have been reported. A move that is late skips no share.
 func (b *BriefMoveDecider) grow(now time.Time, move core.Move, counted map[core.RouteName]briefPair, text string) (core.MoveStep, bool) {
 	until, next := briefFifthUntilRatio, core.FullShare
 	if move.Share < briefFifthPerMille {
@@ -177,13 +179,13 @@
 	return step(now, move, eventPass, next, "", text)
 }
 
-// at is when a part of the move's time has passed.
+// timeAt returns the time at which the given part of the move's time has passed.
 func (*BriefMoveDecider) timeAt(move core.Move, part float64) time.Time {
 	total := move.Request.Deadline.Sub(move.StartedAt)
 	return move.StartedAt.Add(time.Duration(float64(total) * part))
 }
 
-// sum adds up the counts by route.
+// sumByRoute adds up the counts of all nodes by route.
 func (b *BriefMoveDecider) sumByRoute(evidence []core.EvidenceCount) map[core.RouteName]briefPair {
 	counted := make(map[core.RouteName]briefPair)
 	for _, c := range evidence {
@@ -203,7 +205,7 @@
 	return counted
 }
 
-// excludeWarmUp leaves the first latencies of the new release out.
+// excludeWarmUp subtracts the latencies of the new release's warm-up.
 func (b *BriefMoveDecider) excludeWarmUp(now time.Time, move core.Move, counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
 	warming := move.Share < briefFifthPerMille && now.Before(move.SteppedAt.Add(briefWarmUpDuration))
 	for route, pair := range counted {
@@ -216,13 +218,13 @@
 	return counted
 }
 
-// briefSnapshot is what had been counted at a decision.
+// briefSnapshot holds the counts at a decision.
 type briefSnapshot struct {
 	at      time.Time
 	counted map[core.RouteName]briefPair
 }
 
-// expect adds to the expectations what was counted since the latest decision.
+// addExpected sets the expected counts, from those at the latest decision and the calls since then.
 func (b *BriefMoveDecider) addExpected(now time.Time, counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
 	for len(b.history) > 1 && now.Sub(b.history[1].at) >= briefRateWindow {
 		b.history = b.history[1:]
@@ -255,12 +257,12 @@
 	return p
 }
 
-// blended is the rate of a window, in which the rate of all calls counts as much as briefRateWeightCalls calls.
+// weightedRate returns the rate in a window, smoothed by briefRateWeightCalls calls at the rate of all calls.
 func weightedRate(bad, calls, allBad, allCalls uint64) float64 {
 	return (float64(bad) + briefRateWeightCalls*rateOf(allBad, allCalls)) / (float64(calls) + briefRateWeightCalls)
 }
 
-// since returns what was counted since the latest step.
+// sinceStep returns the counts since the latest step.
 func (b *BriefMoveDecider) sinceStep(counted map[core.RouteName]briefPair) map[core.RouteName]briefPair {
 	return lo.MapValues(counted, func(pair briefPair, route core.RouteName) briefPair {
 		before := b.countedAtStep[route]
@@ -285,7 +287,7 @@
 	return c
 }
 
-// offered counts the calls that were answered, failed or turned away.
+// offered returns the number of calls that were answered, failed or turned away.
 func (c briefCount) offered() uint64 { return c.calls + c.turnedAway }
 
 func (l latencies) sub(before latencies) latencies {
@@ -319,7 +321,7 @@
 	return c
 }
 
-// worse names the first route and measure by which the new release is worse, in a fixed order.
+// worse returns the first route and measure in which the new release is worse, in a fixed order.
 func (b *BriefMoveDecider) worse(counted map[core.RouteName]briefPair, alarm float64) (string, bool) {
 	recent := b.sinceStep(counted)
 	routes := lo.Keys(counted)
@@ -339,9 +341,9 @@
 	return "", false
 }
 
-// latencyNoninferior reports whether a release that is slow for briefDetectedSlowRate of its calls would have shown more slow answers, or turned more
-// calls away, than there were. Few calls, or many slow ones of the old release beside them, show nothing: then it is no reason to
-// trust a release that no fault of it was found. An old release that hardly answers is no measure.
+// latencyNoninferior reports whether a release that is slower for briefDetectedSlowRate of its calls would have had more slow answers
+// or calls turned away than were counted. The test fails with few calls, or if many of the old release's answers are slow too: that
+// no fault was found is no reason then to trust the new release. An old release that hardly answers is not compared with.
 func latencyNoninferior(counted map[core.RouteName]briefPair) bool {
 	calls, slow, expected, compared := uint64(0), uint64(0), 0.0, false
 	for _, pair := range counted {
@@ -372,7 +374,7 @@
 	if exceedsRate(slow, timed, briefToleratedSlowRate+expected/float64(max(timed, 1)), alarm) {
 		return "slow answers", true
 	}
-	// A release that is a little worse in both ways is bad too. Calls that fail slowly count twice for both releases.
+	// A release that is a little worse in both measures is bad too. Calls that fail slowly count twice for both releases.
 	calls := p.new.calls
 	if exceedsRate(min(slow+p.new.failures, calls), calls, briefToleratedSlowRate+(expected+p.expectedFailures)/float64(max(calls, 1)), alarm) {
 		return "failures and slow answers", true
@@ -384,19 +386,19 @@
 	return exceedsRate(p.new.failures, p.new.calls, briefToleratedFailureRate+p.expectedFailures/float64(max(p.new.calls, 1)), alarm)
 }
 
-// boundary returns the bucket above which an answer is slow by nearly all of the old release's answers.
+// slowBoundary returns the bucket above which an answer counts as slow, since nearly all answers of the old release are faster.
 func (c briefCount) slowBoundary() (int, bool) {
 	return c.boundaryAt(slowCallsRatio)
 }
 
-// noninferiorBoundary returns the one that all but briefNoninferiorSlowRatio of the old release's answers keep, but none so high that an answer that
-// takes eight times the median is not slow.
+// noninferiorBoundary returns the bucket above which at most briefNoninferiorSlowRatio of the old release's answers are. An
+// answer that takes eight times the median always counts as slow.
 func (c briefCount) noninferiorBoundary() (int, bool) {
 	boundary, known := c.boundaryAt(briefNoninferiorSlowRatio)
 	return min(boundary, c.latency.upperBucket(0.5)+2), known
 }
 
-// boundaryAt returns the bucket above which at most a part of the answers is, and above which an answer takes at least twice as
+// boundaryAt returns the lowest bucket above which at most the given part of the answers is and every answer takes at least twice as
 // long as the median.
 func (c briefCount) boundaryAt(part float64) (int, bool) {
 	if c.calls < windowMinCalls {
@@ -405,7 +407,7 @@
 	return max(c.latency.upperBucket(part), c.latency.upperBucket(0.5)+1), true
 }
 
-// upperBucket returns the lowest bucket above which at most a part of the answers is.
+// upperBucket returns the lowest bucket above which at most the given part of the answers is.
 func (l latencies) upperBucket(part float64) int {
 	rest, most := uint64(0), part*float64(l.total())
 	for i := core.LatencyBuckets - 1; i > 0; i-- {
@@ -417,12 +419,12 @@
 	return 0
 }
 
-// rateOf rates no calls as flawless.
+// rateOf returns the part of the calls that were bad, zero if there were none.
 func rateOf(bad, calls uint64) float64 {
 	return float64(bad) / float64(max(calls, 1))
 }
 
-// unlikely reports whether so many bad calls have a probability below alarm at a rate (one-sided binomial test).
+// exceedsRate reports whether so many bad calls have a probability below alarm at the given rate (one-sided binomial test).
 func exceedsRate(bad, calls uint64, rate, alarm float64) bool {
 	if bad < briefMinBadCalls || rate >= 1 || float64(bad) <= rate*float64(calls) {
 		return false
@@ -437,7 +439,7 @@
 	return true
 }
 
-// binomialCDF is the probability of at most so many slow calls at a rate (one-sided binomial test).
+// binomialCDF returns the probability of at most so many slow calls at the given rate.
 func binomialCDF(slow, calls uint64, rate float64) float64 {
 	if rate >= 1 {
 		return 0
@@ -471,5 +473,5 @@
 	return text
 }
 
-// maxBriefEvidenceBytes bounds the evidence in a step, in bytes.
+// maxBriefEvidenceBytes bounds the evidence text of a step, except for the part about its last route.
 const maxBriefEvidenceBytes = 1024
--- a/core/rollout/brief_move_decider_test.go
+++ b/core/rollout/brief_move_decider_test.go
@@ -12,13 +12,13 @@
 	"parsleyport/core/rollout"
 )
 
-// briefRelease says how the calls of a new release end.
+// briefRelease describes how the calls of a new release end.
 type briefRelease struct {
-	failing float64 // part of the calls that fail
-	slow    float64 // part of the calls that take eight times as long
-	from    core.PerMille
-	after   time.Duration
-	both    float64 // part of the calls of both releases that fail from then on
+	failing float64       // part of the calls that fail
+	slow    float64       // part of the calls that take eight times as long
+	from    core.PerMille // the fault shows from this share on
+	after   time.Duration // the fault shows from this time on
+	both    float64       // part of the calls of both releases that fail from then on
 }
 
 // briefReplay replays a move of 14 s in steps of a tenth of a second.
@@ -26,7 +26,7 @@
 	calls   func(at time.Duration, move core.Move) // counts the calls of one step
 	counted func() []core.EvidenceCount
 	every   time.Duration // between two decisions
-	late    bool          // a decision sees what had been counted at the one before
+	late    bool          // a decision sees the counts of the previous one
 }
 
 func (r briefReplay) run() core.Move {
@@ -61,7 +61,7 @@
 		&core.EvidenceCount{Service: "s", Route: "r", Release: "v2", Move: "m1"}
 }
 
-// replayBrief replays a move with some calls in each tenth of a second, of which the reports are late by half a second.
+// replayBrief replays a move with perTick calls in each tenth of a second, and reports that are late by half a second.
 func replayBrief(seed uint64, release briefRelease, perTick int) (move core.Move, newCalls, allCalls int) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	before, after := countsOf()
@@ -99,8 +99,8 @@
 	return move, newCalls, allCalls
 }
 
-// Guards against good releases that are taken back, and against bad ones of each kind that are done by time because the move is
-// short; a bad one must meet at most a tenth of the calls and 50 more.
+// Guards against good releases that are taken back, and against bad releases of each kind that get all traffic because the move is
+// short. A bad release may get at most a tenth of the calls and 50 more.
 func TestBriefMoves(t *testing.T) {
 	c := qt.New(t)
 	notDone := 0
@@ -133,8 +133,8 @@
 	c.Assert(notDone <= 8, qt.IsTrue, qt.Commentf("%d of 400 good releases were not done", notDone))
 }
 
-// Guards against a release whose fault shows too late to be found and which has met more than its part of the calls before
-// the last step, at a rate at which the allowance of single calls does not matter.
+// Guards against a release that has had too many calls before its last step, when its fault shows too late to be found. The rate
+// of calls is so high that the allowance of 50 calls makes no difference.
 func TestBriefMoveLimitsCallsAtRisk(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
@@ -144,11 +144,11 @@
 	}
 }
 
-// Guards against a slow release that is done because the old one's answers wait under load: few of the slow answers take longer
-// than nearly all of the old ones, but many take longer than most of them.
+// Guards against a slow release that gets all traffic because the old release's answers are queued under load: few of its slow
+// answers take longer than nearly all answers of the old release, but many take longer than most of them.
 func TestBriefMoveFindsSlownessUnderLoad(t *testing.T) {
 	c := qt.New(t)
-	// Buckets of 128 ms to 2 s. A third of the new release's answers takes eight times as long, and none of them waits.
+	// Buckets of 128 ms to 2 s. A third of the new release's answers takes eight times as long, and none of them is queued.
 	old := []float64{0.45, 0.35, 0.13, 0.068, 0.002}
 	slow := []float64{0.42, 0.21, 0.05, 0.20, 0.12}
 	seldom := []float64{0.37, 0.26, 0.09, 0.16, 0.12}
@@ -162,7 +162,7 @@
 		"seldom slow, few calls": {latencyReplay: latencyReplay{old: old, answers: seldom, perTick: 3}, most: 20},
 		"good":                   {latencyReplay: latencyReplay{old: old, answers: old, perTick: 7}, good: true},
 		"good, few calls":        {latencyReplay: latencyReplay{old: old, answers: old, perTick: 3}, good: true, most: 30},
-		// Backend servers without room turn calls away, and of a slow release most of those that would have been slow.
+		// Backend servers without free slots turn calls away. A slow release turns away most of the calls that would have been slow.
 		"slow, turned away":        {latencyReplay: latencyReplay{old: old, oldAway: 0.02, answers: old, away: 0.25, perTick: 7}, most: 4},
 		"slow, both turned away":   {latencyReplay: latencyReplay{old: old, oldAway: 0.2, answers: slow, away: 0.4, perTick: 7}, most: 4},
 		"good, both turned away":   {latencyReplay: latencyReplay{old: old, oldAway: 0.1, answers: old, away: 0.1, perTick: 7}, good: true},
@@ -185,8 +185,8 @@
 	}
 }
 
-// latencyReplay has the parts of both releases' answers in each bucket from 128 ms on, and the parts of their calls that are
-// turned away. The first answers of the new release, for as long as it is cold, are in the slowest bucket.
+// latencyReplay replays a move with given parts of both releases' answers in each bucket from 128 ms on, and given parts of their
+// calls that are turned away. While the new release is cold, all its answers are in the slowest bucket.
 type latencyReplay struct {
 	old, answers  []float64
 	oldAway, away float64
@@ -194,7 +194,7 @@
 	cold          time.Duration
 }
 
-// run replays a move and returns its last state.
+// run replays a move and returns its final state.
 func (r latencyReplay) run(seed uint64) core.MoveState {
 	random := rand.New(rand.NewPCG(seed, 3))
 	draw := func(parts []float64) int {
@@ -232,7 +232,7 @@
 	}.run().State
 }
 
-// Guards against a move that is taken back because the old release, which no longer answers, gives nothing to compare with.
+// Guards against a move that is taken back because the old release answers nothing, so that there is nothing to compare with.
 func TestBriefMoveFromAReleaseThatAnswersNothing(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
@@ -241,7 +241,7 @@
 	}
 }
 
-// Guards against a move that is done although nothing was reported of the new release.
+// Guards against a move that is done although no calls of the new release have been reported.
 func TestBriefMoveWithoutEvidenceExpires(t *testing.T) {
 	c := qt.New(t)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -262,7 +262,7 @@
 	c.Assert(move.Share, qt.Equals, core.PerMille(0))
 }
 
-// Guards against a larger share at risk than the target allows where nobody has asked for brief moves.
+// Guards against the larger risk share of brief moves where the settings do not allow brief moves.
 func TestMovesAreBriefOnlyWhereAllowed(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1_700_000_000, 0)
--- a/core/rollout/canary.go
+++ b/core/rollout/canary.go
@@ -10,14 +10,14 @@
 	"parsleyport/core"
 )
 
-// CanaryEndpoints returns those endpoints of a release on trial that get its calls: as many as carry its share at the load that
-// the endpoints of the other releases have. A small share over all endpoints would leave each of them nearly idle, and a fault
-// that shows only under load would first show when all traffic has moved.
+// CanaryEndpoints returns the endpoints of a new release that get its calls: as many as carry its share at the load of the other
+// releases' endpoints. A small share spread over all endpoints would leave each of them nearly idle, and a fault that shows only
+// under load would show after all traffic has moved.
 //
-// Load pattern: a release fails half of its calls when its backend servers are busy; it has as many of them as the release that
+// For example, a release fails half of its calls when its backend servers are busy; it has as many of them as the release that
 // it replaces, and gets 60 per mille of the calls. Spread evenly, each has a seventeenth of its later load.
 //
-// All nodes come to the same choice from the same endpoints. A release with fewer endpoints than its share needs uses them all.
+// All nodes make the same choice from the same endpoints. A release with fewer endpoints than its share needs uses them all.
 func CanaryEndpoints(release core.Release, endpoints []core.Endpoint, others int, share core.PerMille) []core.Endpoint {
 	wanted := max(1, int((uint64(others)*uint64(share)+uint64(core.FullShare)/2)/uint64(core.FullShare)))
 	if wanted >= len(endpoints) {
--- a/core/rollout/canary_test.go
+++ b/core/rollout/canary_test.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// Guards against a fault under load that a small share does not show: the endpoints on trial have about the load of the others.
-// Replays calls at a rate that keeps 60 of 100 slots of the old release busy.
+// Guards against a fault under load that a small share does not show: each canary endpoint has about the load of an endpoint of the
+// other releases.
 func TestCanaryEndpointsHaveTheLoadOfTheOthers(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{6, 10, 44} {
@@ -38,8 +38,8 @@
 	c.Assert(rollout.CanaryEndpoints("v2", nil, 40, 450), qt.HasLen, 0)
 }
 
-// Guards against nodes that disagree about the endpoints on trial, which spreads the calls again, and against a trial that
-// starts anew when another endpoint comes or goes.
+// Guards against nodes that choose different canary endpoints, which would spread the calls again, and against a choice that changes
+// completely when another endpoint joins or leaves.
 func TestNodesAgreeOnCanaryEndpoints(t *testing.T) {
 	c := qt.New(t)
 	fleet := endpoints(44)
--- a/core/rollout/chart.go
+++ b/core/rollout/chart.go
@@ -23,17 +23,17 @@
 	eventTimeUp statechart.Event = "time-up"
 )
 
-// InitialState returns the state of a move that was just accepted.
+// InitialState returns the state of a newly accepted move.
 func InitialState() core.MoveState {
 	return core.MoveState(chart.Initial())
 }
 
-// IsFinal reports whether a move in the given state is no longer open.
+// IsFinal reports whether a state is final, so that a move in it is closed.
 func IsFinal(state core.MoveState) bool {
 	return chart.IsFinal(statechart.State(state))
 }
 
-// Allowed reports whether the chart has a transition between two states; the catalog checks steps with it.
+// IsTransition reports whether the chart has a transition from one state to another. The catalog checks proposed steps with it.
 func IsTransition(from, to core.MoveState) bool {
 	for _, event := range chart.Events(statechart.State(from)) {
 		if next, err := chart.Next(statechart.State(from), event); err == nil && next == statechart.State(to) {
@@ -43,7 +43,8 @@
 	return false
 }
 
-// Abort returns the step that takes an open move back on an operator's request, or false if it is closed.
+// Abort returns the step that ends an open move on an operator's request and restores the original weights, or false if the move
+// is closed.
 func Abort(now time.Time, move core.Move, operator core.Operator) (core.MoveStep, bool) {
 	return step(now, move, eventAbort, 0, "operator", fmt.Sprintf("aborted by %s at %d per mille", operator, move.Share))
 }
--- a/core/rollout/circuit_breaker.go
+++ b/core/rollout/circuit_breaker.go
@@ -9,11 +9,11 @@
 // breakerFailures is the number of consecutive failures after which a node stops sending calls to a new release.
 const breakerFailures = 5
 
-// maxBreakerRoutes bounds the routes that a guard follows for one service.
+// maxBreakerRoutes bounds the routes that a circuit breaker tracks for one service.
 const maxBreakerRoutes = 1024
 
-// Guard is the part of a move that a node decides alone: it may set its own share of a new release to zero, and never
-// raises a share. It is safe for concurrent use.
+// CircuitBreaker stops a node's own calls to a new release that fails on it, without waiting for the control instances. It only sets
+// the node's share of the new release to zero, and never raises a share. It is safe for concurrent use.
 type CircuitBreaker struct {
 	mutex    sync.Mutex
 	services map[core.ServiceName]*breakerState
@@ -23,29 +23,28 @@
 	revision core.Revision
 	from, to core.Release
 	tripped  bool
-	route    core.RouteName // that tripped the guard
+	route    core.RouteName // on which the breaker tripped
 	routes   map[core.RouteName]*failureStreak
 }
 
 type failureStreak struct {
 	failures     int
-	oldSucceeded bool // the old release's latest call since the streak began succeeded
+	oldSucceeded bool // the latest call of the old release since the streak began
 }
 
-// NewCircuitBreaker returns a guard that watches no service.
+// NewCircuitBreaker returns a circuit breaker that watches no service.
 func NewCircuitBreaker() *CircuitBreaker {
 	return &CircuitBreaker{services: make(map[core.ServiceName]*breakerState)}
 }
 
-// Watch names the releases of an open move; a newer revision clears an earlier decision, an equal or older one
-// changes nothing.
-func (g *CircuitBreaker) Watch(service core.ServiceName, from, to core.Release, revision core.Revision) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if known := g.services[service]; known != nil && revision <= known.revision {
+// Watch sets the releases of a service's open move. A newer revision resets a tripped breaker; an equal or older one has no effect.
+func (b *CircuitBreaker) Watch(service core.ServiceName, from, to core.Release, revision core.Revision) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if known := b.services[service]; known != nil && revision <= known.revision {
 		return
 	}
-	g.services[service] = &breakerState{
+	b.services[service] = &breakerState{
 		revision: revision,
 		from:     from,
 		to:       to,
@@ -53,18 +52,18 @@
 	}
 }
 
-// Forget ends the watch over a service that has no open move.
-func (g *CircuitBreaker) Forget(service core.ServiceName) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	delete(g.services, service)
+// Forget stops watching a service that has no open move.
+func (b *CircuitBreaker) Forget(service core.ServiceName) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	delete(b.services, service)
 }
 
-// Observe counts one finished call and reports whether it made the guard set the new release's share to zero.
-func (g *CircuitBreaker) Observe(service core.ServiceName, route core.RouteName, release core.Release, failed bool) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	watched := g.services[service]
+// Observe counts one finished call and reports whether it tripped the breaker, which sets the new release's share to zero.
+func (b *CircuitBreaker) Observe(service core.ServiceName, route core.RouteName, release core.Release, failed bool) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	watched := b.services[service]
 	if watched == nil || watched.tripped || !isOld(release, watched.from, watched.to) && release != watched.to {
 		return false
 	}
@@ -97,21 +96,21 @@
 	return s
 }
 
-// Share returns the share that this node gives a release: the configured one, or zero if the guard has tripped.
-func (g *CircuitBreaker) Share(service core.ServiceName, release core.Release, configured core.PerMille) core.PerMille {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if watched := g.services[service]; watched != nil && watched.tripped && watched.to == release {
+// Share returns the share of a release on this node: the configured one, or zero if the breaker has tripped for the release.
+func (b *CircuitBreaker) Share(service core.ServiceName, release core.Release, configured core.PerMille) core.PerMille {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if watched := b.services[service]; watched != nil && watched.tripped && watched.to == release {
 		return 0
 	}
 	return configured
 }
 
-// Tripped returns the route on which the guard of a service has tripped and the revision that it holds for.
-func (g *CircuitBreaker) Tripped(service core.ServiceName) (core.RouteName, core.Revision, bool) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	watched := g.services[service]
+// Tripped returns the route on which the breaker of a service tripped and the revision for which it did, or false if it has not.
+func (b *CircuitBreaker) Tripped(service core.ServiceName) (core.RouteName, core.Revision, bool) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	watched := b.services[service]
 	if watched == nil || !watched.tripped {
 		return "", 0, false
 	}
--- a/core/rollout/circuit_breaker_test.go
+++ b/core/rollout/circuit_breaker_test.go
@@ -9,8 +9,8 @@
 	"parsleyport/core/rollout"
 )
 
-// Guards against a node that keeps sending calls to a release that fails each of them, or that blames the new release
-// for failures that both releases show.
+// Guards against a node that keeps sending calls to a release that fails all of them, and against a circuit breaker that trips for
+// failures that both releases show.
 func TestCircuitBreakerSetsOnlyTheNewReleaseToZero(t *testing.T) {
 	c := qt.New(t)
 	breaker := rollout.NewCircuitBreaker()
--- a/core/rollout/comparison.go
+++ b/core/rollout/comparison.go
@@ -7,7 +7,7 @@
 	"parsleyport/core"
 )
 
-// tally counts calls of one release and those among them that failed, were slow or crashed.
+// callCount counts calls of one release and how many of them were bad: failed, slow or crashed.
 type callCount struct {
 	calls, bad float64
 }
@@ -17,13 +17,13 @@
 	t.bad += other.bad
 }
 
-func (t callCount) rate(floor float64) float64 {
-	return math.Max(floor, (t.bad+floor*minRateWeightCalls)/(t.calls+minRateWeightCalls))
+func (t callCount) rate(minRate float64) float64 {
+	return math.Max(minRate, (t.bad+minRate*minRateWeightCalls)/(t.calls+minRateWeightCalls))
 }
 
-// pair counts both releases over the same time.
+// releaseCounts counts the calls of both releases over the same time.
 type releaseCounts struct {
-	old, new callCount // the old and the new release
+	old, new callCount
 }
 
 func (p *releaseCounts) add(other releaseCounts) {
@@ -31,35 +31,35 @@
 	p.new.add(other.new)
 }
 
-// window is the open window of one data centre.
+// window collects calls of one data centre until there are enough of them to compare.
 type window struct {
 	releaseCounts
 	dataCentre core.DataCentre
 	since      time.Time
 }
 
-// comparison tests one measure (failures, slow calls, crashes) of the new release against the old one.
+// comparison tests one measure (failures, slow calls or crashes) of the new release against the old one.
 type comparison struct {
 	delta, cusumDelta, minRate       float64
-	stableRate                       bool      // the usual rate tells something about the rate in a window
+	stableRate                       bool      // the rate since the move began predicts the rate in a window
 	sequentialLLR                    float64   // log likelihood ratio since the move began
-	cusumLLR                         float64   // the same, restarted at zero
-	openWindows                      []*window // at most one of each data centre
-	acceptanceLLR, stepAcceptanceLLR float64   // log likelihood ratios of the accepting test
-	accepted                         bool      // the accepting test has passed once
+	cusumLLR                         float64   // cumulative sum of the log likelihood ratios, kept at or above zero
+	openWindows                      []*window // at most one for each data centre
+	acceptanceLLR, stepAcceptanceLLR float64   // log likelihood ratios of the acceptance test, of the move and of the step
+	accepted                         bool      // the acceptance test has passed once
 	total, sinceStep                 releaseCounts
 }
 
-func newComparison(delta, restart, floor float64, steady bool) *comparison {
+func newComparison(delta, cusumDelta, minRate float64, stableRate bool) *comparison {
 	return &comparison{
 		delta:      delta,
-		cusumDelta: restart,
-		minRate:    floor,
-		stableRate: steady,
+		cusumDelta: cusumDelta,
+		minRate:    minRate,
+		stableRate: stableRate,
 	}
 }
 
-// add counts differences of one data centre.
+// add adds calls of one data centre to its open window.
 func (c *comparison) add(now time.Time, dataCentre core.DataCentre, p releaseCounts) {
 	c.total.add(p)
 	c.sinceStep.add(p)
@@ -76,7 +76,7 @@
 	})
 }
 
-// closeWindows adds the windows that are complete to the tests; all of them if the share has changed.
+// closeWindows feeds the complete windows to the tests, or all of them if the share has changed.
 func (c *comparison) closeWindows(now time.Time, all bool) {
 	var open []*window
 	for _, w := range c.openWindows {
@@ -84,12 +84,12 @@
 			open = append(open, w)
 			continue
 		}
-		sequential, restarting := c.logLikelihoodRatios(w.releaseCounts)
-		accepting := c.acceptanceRatio(w.releaseCounts)
-		c.acceptanceLLR = math.Min(c.acceptanceLLR+accepting, maxAcceptanceLLR)
-		c.stepAcceptanceLLR = math.Min(c.stepAcceptanceLLR+accepting, maxAcceptanceLLR)
+		sequential, cusum := c.logLikelihoodRatios(w.releaseCounts)
+		acceptance := c.acceptanceRatio(w.releaseCounts)
+		c.acceptanceLLR = math.Min(c.acceptanceLLR+acceptance, maxAcceptanceLLR)
+		c.stepAcceptanceLLR = math.Min(c.stepAcceptanceLLR+acceptance, maxAcceptanceLLR)
 		c.sequentialLLR += sequential
-		c.cusumLLR = math.Max(0, c.cusumLLR+restarting)
+		c.cusumLLR = math.Max(0, c.cusumLLR+cusum)
 	}
 	c.openWindows = open
 }
@@ -100,29 +100,29 @@
 	return smaller >= windowCalls || smaller >= windowMinCalls && age >= windowMinCallsAge || age >= windowMaxAge
 }
 
-func (c *comparison) logLikelihoodRatios(p releaseCounts) (sequential, restarting float64) {
+func (c *comparison) logLikelihoodRatios(p releaseCounts) (sequential, cusum float64) {
 	rate := c.total.old.rate(c.minRate)
-	usual := gammaPrior{}
+	prior := gammaPrior{}
 	if c.stableRate {
-		usual = gammaPrior{
+		prior = gammaPrior{
 			failures: priorFailures,
 			calls:    priorFailures / rate,
 		}
 	}
-	return logLikelihoodRatio(p, (rate+c.delta)/rate, usual), logLikelihoodRatio(p, (rate+c.cusumDelta)/rate, usual)
+	return logLikelihoodRatio(p, (rate+c.delta)/rate, prior), logLikelihoodRatio(p, (rate+c.cusumDelta)/rate, prior)
 }
 
-// rates is a gamma distribution of the failure rate that both releases have in a window if they are alike: failures
-// that are expected and the calls that they are expected in.
+// gammaPrior is a gamma distribution of the failure rate that both releases have in a window if they are equally good. Its
+// parameters are the expected failures and the calls in which they are expected.
 type gammaPrior struct {
 	failures, calls float64
 }
 
-// logLikelihoodRatio is the log likelihood ratio of "the new release fails factor times as often" to "both fail alike". The rate
-// that both have in the window is near the steady one, or, seldom, anything. In the first case a failure of the new
-// release weighs much even while the old one has few calls; in the second the two are compared with each other only,
-// so that a burst which meets both cancels out.
-func logLikelihoodRatio(p releaseCounts, factor float64, usual gammaPrior) float64 {
+// logLikelihoodRatio returns the log likelihood ratio of "the new release fails factor times as often" to "both fail equally often".
+// The rate that both have in the window is a mixture: near the stable rate or, with a low probability, anything. In the first case a
+// failure of the new release counts for much even if the old one has few calls. In the second the releases are only compared with
+// each other, so that a burst of failures that affects both cancels out.
+func logLikelihoodRatio(p releaseCounts, factor float64, prior gammaPrior) float64 {
 	if p.old.calls == 0 || p.new.calls == 0 {
 		return 0
 	}
@@ -130,18 +130,18 @@
 		failures: burstPriorFailures,
 		calls:    burstPriorCalls,
 	}
-	if usual.calls == 0 {
-		usual = burst
+	if prior.calls == 0 {
+		prior = burst
 	}
 	logLikelihood := func(factor float64) float64 {
-		a := math.Log(1-burstProbability) + usual.logMarginal(p, factor)
+		a := math.Log(1-burstProbability) + prior.logMarginal(p, factor)
 		b := math.Log(burstProbability) + burst.logMarginal(p, factor)
 		return max(a, b) + math.Log1p(math.Exp(-math.Abs(a-b)))
 	}
 	return p.new.bad*math.Log(factor) + logLikelihood(factor) - logLikelihood(1)
 }
 
-// logMarginal is the log probability of the failures in a window, but for a term that does not depend on r.
+// logMarginal returns the log probability of the failures in a window, without the term that does not depend on r.
 func (r gammaPrior) logMarginal(p releaseCounts, factor float64) float64 {
 	failures := p.old.bad + p.new.bad
 	before, _ := math.Lgamma(r.failures)
@@ -149,40 +149,40 @@
 	return r.failures*math.Log(r.calls) - before + after - (r.failures+failures)*math.Log(r.calls+p.old.calls+factor*p.new.calls)
 }
 
-// worse reports whether the new release is worse, with the open windows counted as they stand. The false alarm rates
-// are those of a whole move and are divided among its tests.
+// worse reports whether the new release is worse, with the open windows included as they are. The false alarm probabilities
+// hold for a whole move and are divided among its tests.
 func (c *comparison) worse(tests int) bool {
-	sequential, restarting := c.currentLLRs()
-	return sequential >= alarmThreshold(falseAlarmProbability, tests) || restarting >= alarmThreshold(cusumFalseAlarmProbability, tests)
+	sequential, cusum := c.currentLLRs()
+	return sequential >= alarmThreshold(falseAlarmProbability, tests) || cusum >= alarmThreshold(cusumFalseAlarmProbability, tests)
 }
 
-// worseAtDeadline is worse for a move that cannot be done anymore: it names the more likely reason.
+// worseAtDeadline is like worse, with a lower threshold: the move has to end anyway, and only its cause is at stake.
 func (c *comparison) worseAtDeadline() bool {
-	sequential, restarting := c.currentLLRs()
-	return max(sequential, restarting) >= alarmThreshold(deadlineFalseAlarmProbability, 1)
+	sequential, cusum := c.currentLLRs()
+	return max(sequential, cusum) >= alarmThreshold(deadlineFalseAlarmProbability, 1)
 }
 
-// current returns the tests with the open windows as they stand, or zero for too few failures.
-func (c *comparison) currentLLRs() (sequential, restarting float64) {
+// currentLLRs returns the log likelihood ratios with the open windows included, or zero if too few calls were bad.
+func (c *comparison) currentLLRs() (sequential, cusum float64) {
 	if c.total.new.bad < minBadCalls {
 		return 0, 0
 	}
-	sequential, restarting = c.sequentialLLR, c.cusumLLR
+	sequential, cusum = c.sequentialLLR, c.cusumLLR
 	for _, w := range c.openWindows {
 		s, r := c.logLikelihoodRatios(w.releaseCounts)
 		sequential += s
-		restarting += r
+		cusum += r
 	}
-	return sequential, restarting
+	return sequential, cusum
 }
 
 func alarmThreshold(rate float64, tests int) float64 {
 	return math.Log((1 - missProbability) / rate * float64(tests))
 }
 
-// acceptanceRatio is the log likelihood ratio of "the new release is worse by delta" to "it is as good as the old one". It
-// takes the old release's rate from the same window, so that a burst that meets both releases does not count against
-// the new one, and leans on the rate of the whole move where the window has few calls.
+// acceptanceRatio returns the log likelihood ratio of "the new release is worse by delta" to "it is as good as the old one". It takes
+// the old release's rate from the same window, so that a burst that affects both releases does not count against the new one. In
+// windows with few calls, the rate since the move began has more weight.
 func (c *comparison) acceptanceRatio(p releaseCounts) float64 {
 	rate := (p.old.bad + c.total.old.rate(c.minRate)*windowCalls) / (p.old.calls + windowCalls)
 	rate = math.Min(math.Max(rate, c.minRate), 0.98-c.delta)
@@ -191,7 +191,7 @@
 	return p.new.bad*math.Log(worse/rate) + good*math.Log((1-worse)/(1-rate))
 }
 
-// accepts reports whether a ratio, with the open windows as they stand, accepts the new release.
+// accepts reports whether a log likelihood ratio accepts the new release, with the open windows included as they are.
 func (c *comparison) accepts(ratio float64) bool {
 	for _, w := range c.openWindows {
 		ratio += c.acceptanceRatio(w.releaseCounts)
@@ -199,7 +199,7 @@
 	return ratio <= math.Log(missProbability/(1-falseAlarmProbability))
 }
 
-// passes reports whether the accepting test has passed within the move; what comes later is for the restarting test.
+// passes reports whether the acceptance test has passed since the move began. It stays passed: the CUSUM test finds later faults.
 func (c *comparison) passes() bool {
 	c.accepted = c.accepted || c.accepts(c.acceptanceLLR)
 	return c.accepted
@@ -210,14 +210,14 @@
 	return c.accepts(c.stepAcceptanceLLR)
 }
 
-// startStep begins the evidence of a step.
+// startStep discards the evidence of the previous step.
 func (c *comparison) startStep(now time.Time) {
 	c.closeWindows(now, true)
 	c.sinceStep = releaseCounts{}
 	c.stepAcceptanceLLR = 0
 }
 
-// callsToPass is the expected number of calls after which the test passes a new release that is as good as the old one.
+// callsToPass returns the expected number of calls after which the test accepts a new release that is as good as the old one.
 func (c *comparison) callsToPass() float64 {
 	rate := c.total.old.rate(c.minRate)
 	worse := math.Min(rate+c.delta, 0.99)
--- a/core/rollout/counter_deltas.go
+++ b/core/rollout/counter_deltas.go
@@ -17,11 +17,11 @@
 	release core.Release
 }
 
-// merge turns cumulative counts into differences. Counts from before the move are a baseline.
+// counterDeltas turns cumulative counts into differences. Counts from before the move serve as the baseline.
 type counterDeltas struct {
 	last map[counterKey]core.EvidenceCount
 	runs map[nodeRun]bool
-	// fresh means that the new release had no counts while the move was proposed, so all its counts belong to the move.
+	// newReleaseUnseen means that the new release had no counts while the move was proposed, so all its counts belong to the move.
 	newReleaseUnseen bool
 }
 
@@ -32,9 +32,9 @@
 	}
 }
 
-// advance returns what count adds to the newest one of its node run, route and release; repeated and older counts add
-// nothing. A first count is a baseline unless it must have begun within the move.
-func (m *counterDeltas) add(count core.EvidenceCount, isNew, baseline bool, startedAt time.Time) (core.EvidenceCount, bool) {
+// add returns the difference between count and the latest count of its node run, route and release, or false for a repeated or
+// older count. The first count of a key is a baseline, unless its calls must have been made within the move.
+func (d *counterDeltas) add(count core.EvidenceCount, isNew, baseline bool, startedAt time.Time) (core.EvidenceCount, bool) {
 	key := counterKey{
 		nodeRun: nodeRun{
 			node:        count.Node,
@@ -43,16 +43,16 @@
 		route:   count.Route,
 		release: count.Release,
 	}
-	last, known := m.last[key]
+	last, known := d.last[key]
 	if known && count.Calls <= last.Calls {
 		return core.EvidenceCount{}, false
 	}
-	m.last[key] = count
-	knownRun := m.runs[key.nodeRun]
+	d.last[key] = count
+	knownRun := d.runs[key.nodeRun]
 	if !known {
-		m.runs[key.nodeRun] = true
+		d.runs[key.nodeRun] = true
 		withinMove := count.Incarnation > core.Incarnation(max(0, startedAt.UnixNano()))
-		if !withinMove && (baseline || !knownRun && !(isNew && m.newReleaseUnseen)) {
+		if !withinMove && (baseline || !knownRun && !(isNew && d.newReleaseUnseen)) {
 			return core.EvidenceCount{}, false
 		}
 	}
--- a/core/rollout/doc.go
+++ b/core/rollout/doc.go
@@ -1,2 +1,3 @@
-// Package rollout decides the steps of moves of traffic between releases, without sockets, clocks or goroutines.
+// Package rollout decides the steps by which traffic moves from one release to another. It compares the evidence about both releases
+// with sequential tests, and is a pure computation: it opens no sockets, reads no clocks and starts no goroutines.
 package rollout
--- a/core/rollout/fleet.go
+++ b/core/rollout/fleet.go
@@ -6,7 +6,7 @@
 	"parsleyport/core"
 )
 
-// fleet is what the endpoints tell about a move.
+// fleet holds what a move needs to know of the endpoints.
 type fleet struct {
 	dataCentres          map[core.NodeID]core.DataCentre
 	readySince           map[nodeRun]time.Time // of both releases
@@ -16,9 +16,9 @@
 	slotsOld             int
 	slotsNew             int
 	observedAt           time.Time
-	slowStartHold        time.Duration // total time in which slow start held the move
-	latencyUnusable      time.Duration // total time in which latency told nothing
-	latencyUnusableUntil time.Time     // when the answers of cold backend servers have been reported
+	slowStartHold        time.Duration // total time for which slow start held the move
+	latencyUnusable      time.Duration // total time for which latencies were not compared
+	latencyUnusableUntil time.Time     // when all answers of cold backend servers have been reported
 }
 
 func (f *fleet) observe(now time.Time, endpoints []core.Endpoint, service core.ServiceName, from, to core.Release) {
@@ -66,7 +66,7 @@
 		}
 	}
 	if since := now.Add(-slowStartDuration); 10*max(f.coldRatio(true, since), f.coldRatio(false, since)) >= 1 {
-		f.latencyUnusableUntil = now.Add(evidenceDelay + time.Second)
+		f.latencyUnusableUntil = now.Add(staleEvidenceDuration + time.Second)
 	}
 }
 
@@ -74,8 +74,8 @@
 	return f.dataCentres[node]
 }
 
-// comparable reports whether calls that enter in a data centre show a difference between the releases. Where only one
-// of them runs, the data centre itself would be compared. If they share none, all evidence has to do.
+// comparable reports whether the calls that enter in a data centre can be used to compare the releases. Where only one of them
+// runs, a difference may be one between data centres. If the releases share no data centre, all evidence is used.
 func (f *fleet) comparable(dataCentre core.DataCentre) bool {
 	if f.readyOld[dataCentre] > 0 && f.readyNew[dataCentre] > 0 {
 		return true
@@ -88,23 +88,23 @@
 	return true
 }
 
-// warming reports whether the share must not grow since a third of the new release's backend servers are in slow start.
+// inSlowStart reports whether the share must not grow because a third of the new release's backend servers are in slow start.
 func (f *fleet) inSlowStart(now time.Time) bool {
 	return f.slowStartHold < maxSlowStartHold && 3*f.coldRatio(true, now.Add(-slowStartDuration)) >= 1
 }
 
-// exhausted reports whether backend servers were cold for so long that the move goes on without a verdict on latency.
+// latencyAbandoned reports whether backend servers were cold for so long that the move proceeds without a verdict on latency.
 func (f *fleet) latencyAbandoned() bool {
 	return f.latencyUnusable >= maxSlowStartHold
 }
 
-// latencyUsable reports whether latency compares the releases. If a tenth of either one's backend servers are cold, they
-// are slow by themselves, and their answers are still reported a while later, even if they have left.
+// latencyUsable reports whether latencies can be compared. They cannot while a tenth of either release's backend servers is cold,
+// nor until the answers of these have been reported, even if the backend servers have left by then.
 func (f *fleet) latencyUsable(now time.Time) bool {
 	return !now.Before(f.latencyUnusableUntil)
 }
 
-// coldRatio returns the part of a release's ready backend servers that became ready after a point in time.
+// coldRatio returns the part of a release's ready backend servers that became ready after since.
 func (f *fleet) coldRatio(isNew bool, since time.Time) float64 {
 	cold, all := 0.0, 0.0
 	for key, ready := range f.readySince {
@@ -119,7 +119,7 @@
 	return cold / max(1, all)
 }
 
-// capacity is the share that the new release's ready slots can carry if the old release's slots carry all traffic.
+// capacityPerMille returns the share that the new release's ready slots can carry, if the old release's slots carry all traffic.
 func (f *fleet) capacityPerMille() core.PerMille {
 	if f.observedAt.IsZero() || f.slotsNew >= f.slotsOld {
 		return core.FullShare
--- a/core/rollout/group.go
+++ b/core/rollout/group.go
@@ -7,7 +7,7 @@
 	"parsleyport/core"
 )
 
-// group is the evidence of one route, of the routes with little traffic together, or of all routes.
+// group holds the evidence about one route, about the routes with little traffic together, or about all routes.
 type group struct {
 	name     string
 	failures *comparison
@@ -15,13 +15,13 @@
 	crashes  *comparison
 }
 
-// newGroup returns an empty group; steady is false if the routes in it change.
-func newGroup(name string, steady bool) *group {
+// newGroup returns an empty group; stableRate is false if the set of routes in it changes over time.
+func newGroup(name string, stableRate bool) *group {
 	return &group{
 		name:     name,
-		failures: newComparison(failureRateDelta, cusumFailureRateDelta, minFailureRate, steady),
+		failures: newComparison(failureRateDelta, cusumFailureRateDelta, minFailureRate, stableRate),
 		slow:     newComparison(slowRateDelta, slowRateDelta, minSlowRate, false),
-		crashes:  newComparison(crashRateDelta, crashRateDelta, minCrashRate, steady),
+		crashes:  newComparison(crashRateDelta, crashRateDelta, minCrashRate, stableRate),
 	}
 }
 
@@ -29,7 +29,7 @@
 	return []*comparison{g.failures, g.slow, g.crashes}
 }
 
-// sample is what one data centre's nodes counted of one route since the previous decision.
+// sample holds the calls of one route that the nodes of one data centre reported since the previous decision.
 type sample struct {
 	failures, slow, crashes releaseCounts
 }
@@ -54,18 +54,17 @@
 	}
 }
 
-// passesMove reports whether the evidence of the move has accepted the new release, by latency as well unless it does
-// not tell anything.
+// passesMove reports whether the evidence since the move began accepts the new release. Latency counts only if it is usable.
 func (g *group) passesMove(latencyTells bool) bool {
 	return g.failures.passes() && (g.slow.passes() || !latencyTells)
 }
 
-// passesStep reports whether the evidence since the last step accepts the new release.
+// passesStep reports whether the evidence since the last step accepts the new release. Latency counts only if it is usable.
 func (g *group) passesStep(latencyTells bool) bool {
 	return g.failures.passesStep() && (g.slow.passesStep() || !latencyTells)
 }
 
-// callsToPass is the expected number of calls of the new release until the group passes.
+// callsToPass returns the expected number of calls that a good new release needs until the group passes.
 func (g *group) callsToPass() float64 {
 	return max(g.failures.callsToPass(), g.slow.callsToPass())
 }
@@ -74,7 +73,7 @@
 	return g.failures.total.old.calls + g.failures.total.new.calls
 }
 
-// verdict names the first measure in which the new release is worse, with the counts since the last step.
+// verdict returns the first measure in which the new release is worse, with the counts since the last step as evidence.
 func (g *group) verdict(worse func(*comparison) bool) (cause, evidence string, found bool) {
 	for _, m := range []struct {
 		what string
--- a/core/rollout/pace_test.go
+++ b/core/rollout/pace_test.go
@@ -11,7 +11,7 @@
 	"parsleyport/core/rollout"
 )
 
-// Guards against a share above the limit before the evidence passes, and against a share that grows without evidence.
+// Guards against a share above the risk share before the evidence passes, and against a share that grows without evidence.
 func TestRiskShareIsNotExceededBeforeEvidencePasses(t *testing.T) {
 	c := qt.New(t)
 	limited := func(calls, newCrash float64) *simulation {
@@ -27,7 +27,7 @@
 		}
 	}
 	r = limited(2, 0.05).run(nil)
-	c.Assert(r.rates["readv2crashes"] >= 1 && r.rates["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("the course must have a single crash, which must not be blamed: %v", r.rates))
+	c.Assert(r.rates["readv2crashes"] >= 1 && r.rates["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("the simulation must have a single crash, which must not take the move back: %v", r.rates))
 	c.Assert(r.move.State, qt.Equals, core.MoveExpired)
 	c.Assert(r.move.Cause, qt.Contains, "largest share at risk is 30 per mille")
 	for _, step := range r.steps {
@@ -35,15 +35,15 @@
 	}
 }
 
-// Guards against a move with little traffic that never ends or does not say that its evidence is thin, and against one
-// that is done although a route with enough traffic has no verdict.
+// Guards against a move with little traffic that never ends or does not say that it had little evidence, and against one that is
+// done although a route with enough traffic has no verdict.
 func TestLittleTrafficAndExpiry(t *testing.T) {
 	c := qt.New(t)
 	r := newSimulation(c, 5*time.Minute, constantLoads(load{calls: 0.5})).run(nil)
 	c.Assert(r.move.State, qt.Equals, core.MoveDone)
 	c.Assert(r.move.Cause, qt.Equals, "evidence thin")
 
-	// A share that grows by time waits for reports that are late.
+	// A share that grows by time alone waits for late reports.
 	r = newSimulation(c, 90*time.Second, constantLoads(load{calls: 0.5}))
 	r.decider.ObserveLateness(10 * time.Second)
 	r.run(nil)
@@ -52,7 +52,7 @@
 	}
 
 	r = newSimulation(c, 5*time.Minute, constantLoads(load{calls: 0.01, newFail: 1})).run(nil)
-	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single failed call must not be blamed: %+v", r.move))
+	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single failed call must not take the move back: %+v", r.move))
 
 	r = newSimulation(c, 5*time.Minute, nil)
 	r.loads = func(second int) map[core.RouteName]load {
@@ -64,7 +64,7 @@
 	}
 	r.run(nil)
 	c.Assert(r.rates["readv2crashes"] >= 1 && r.rates["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("%v", r.rates))
-	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single crash must not be blamed: %+v", r.move))
+	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single crash must not take the move back: %+v", r.move))
 
 	r = newSimulation(c, 10*time.Minute, constantLoads(load{calls: 500, oldFail: 0.002, newFail: 0.002}))
 	r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
@@ -74,7 +74,7 @@
 	c.Assert(r.move.State, qt.Equals, core.MoveExpired)
 	c.Assert(r.move.Cause, qt.Equals, `evidence missing: only 0 calls of the new release have been reported at 5 per mille`)
 
-	// The same with too little traffic for a verdict, and with no reports at all from some time on.
+	// The same with too little traffic for a verdict, when the reports stop after 150 s.
 	for _, lost := range []string{"v2", "all"} {
 		r = newSimulation(c, 5*time.Minute, constantLoads(load{calls: 30}))
 		r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Guards against shares that follow each other faster than their evidence arrives: when slow start or a new leader had
-// used up the time, the steps came every 0.2 s, and a release that failed 3 calls in 10 was done with 2 of 14 calls failed.
+// Guards against shares that follow each other faster than their evidence arrives. After slow start or a leader change had used up
+// the time, the steps came every 0.2 s, and a release that failed 3 calls in 10 was done after 14 calls, 2 of them failed.
 func TestMoveWithoutTimeForAllSteps(t *testing.T) {
 	for name, test := range map[string]struct {
 		newFail float64
@@ -136,7 +136,7 @@
 	}
 }
 
-// Guards against a share that cold or missing backend servers cannot carry, and against blame for their slowness.
+// Guards against a share beyond the capacity of the ready backend servers, and against a release that is taken back for cold ones.
 func TestSlowStartAndCapacity(t *testing.T) {
 	c := qt.New(t)
 	const readyAt = 85 // just before the first step is due
--- a/core/rollout/recorder.go
+++ b/core/rollout/recorder.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// maxCounters bounds a recorder's memory to about 600 KB; its names come from the configuration and not from callers.
+// maxCounters bounds a recorder's memory to about 600 KB. The names in the keys come from the configuration, not from callers.
 const maxCounters = 4096
 
 type recordKey struct {
@@ -23,7 +23,7 @@
 	latency                  [core.LatencyBuckets]atomic.Uint64
 }
 
-// Recorder is a core.EvidenceRecorder with cumulative counts of one node run; it is safe for concurrent use.
+// Recorder implements core.EvidenceRecorder with cumulative counts for one run of a node. It is safe for concurrent use.
 type Recorder struct {
 	node        core.NodeID
 	incarnation core.Incarnation
@@ -41,7 +41,7 @@
 	}
 }
 
-// Record implements core.EvidenceRecorder.
+// Record counts one call that was answered or failed. It implements core.EvidenceRecorder.
 func (r *Recorder) Record(service core.ServiceName, route core.RouteName, release core.Release, failed, crashed bool, latency time.Duration) {
 	c := r.counter(recordKey{
 		service: service,
@@ -52,7 +52,7 @@
 		r.dropped.Add(1)
 		return
 	}
-	// Calls first, so that a concurrent Counts never reads more failures than calls.
+	// Calls are counted first, so that a concurrent call of Counts never reads more failures than calls.
 	c.calls.Add(1)
 	if failed {
 		c.failures.Add(1)
@@ -63,7 +63,7 @@
 	c.latency[bucket(latency)].Add(1)
 }
 
-// RecordTurnedAway implements core.EvidenceRecorder.
+// RecordTurnedAway counts one call that was turned away. It implements core.EvidenceRecorder.
 func (r *Recorder) RecordTurnedAway(service core.ServiceName, route core.RouteName, release core.Release) {
 	c := r.counter(recordKey{
 		service: service,
@@ -77,7 +77,7 @@
 	c.calls.Add(1)
 }
 
-// bucket returns the first bucket whose bound of 2^i milliseconds is above the latency.
+// bucket returns the first latency bucket whose bound of 2^i milliseconds is above the latency.
 func bucket(latency time.Duration) int {
 	milliseconds := uint64(max(0, latency) / time.Millisecond)
 	return min(bits.Len64(milliseconds), core.LatencyBuckets-1)
--- a/core/rollout/recorder_test.go
+++ b/core/rollout/recorder_test.go
@@ -14,7 +14,7 @@
 
 var _ core.EvidenceRecorder = (*rollout.Recorder)(nil)
 
-// Guards against calls that are lost or counted twice when many goroutines record, and against a wrong bucket.
+// Guards against calls that are lost or counted twice when many goroutines record at once, and against a wrong latency bucket.
 func TestRecorderCountsEachCallOnce(t *testing.T) {
 	c := qt.New(t)
 	r := rollout.NewRecorder("n1", 5)
@@ -40,7 +40,7 @@
 	c.Assert(counts[0].Latency, qt.Equals, [core.LatencyBuckets]uint64{8, 8, 16, 32, 64, 128, 256, 512, 1024, 1952})
 }
 
-// Guards against memory that grows with the number of names.
+// Guards against memory use that grows with the number of route names.
 func TestRecorderIsBounded(t *testing.T) {
 	c := qt.New(t)
 	r := rollout.NewRecorder("n1", 5)
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// load is what one route shows in each second.
+// load describes the calls of one route in each second.
 type load struct {
 	calls            float64
 	oldFail, newFail float64 // parts of the calls
@@ -25,7 +25,7 @@
 	newCrash         float64
 }
 
-// course drives a judge second by second with exact rates instead of random ones.
+// simulation drives a decider second by second. Its rates are exact, not random.
 type simulation struct {
 	*qt.C
 	decider   *rollout.SequentialDecider
@@ -36,8 +36,8 @@
 	deliver   func(evidence []core.EvidenceCount) []core.EvidenceCount
 	rates     map[string]float64
 	steps     []core.MoveStep
-	decisions int     // a second; one if not given
-	faultFrom int     // second
+	decisions int     // per second, 1 if zero
+	faultFrom int     // second of the first faulty call
 	calls     float64 // since the move was accepted
 	badCalls  float64 // of the new release since faultFrom
 }
@@ -85,7 +85,7 @@
 			sum := func(what string, n float64) uint64 {
 				key := fmt.Sprint(route, side.release, what)
 				if _, known := r.rates[key]; !known {
-					// Golden ratio steps, so that the routes do not fail in the same second.
+					// Multiples of the golden ratio, so that the routes do not fail in the same second.
 					r.rates[key] = math.Mod(0.618*float64(len(r.rates)), 1)
 				}
 				r.rates[key] += n
@@ -109,7 +109,7 @@
 	return counts
 }
 
-// run goes on until the move is closed or a condition holds, and checks each step as the catalog does.
+// run continues until the move is closed or the condition holds, and checks each step as the catalog does.
 func (r *simulation) run(until func() bool) *simulation {
 	for !rollout.IsFinal(r.move.State) && (until == nil || !until()) {
 		r.second++
@@ -143,8 +143,8 @@
 
 func (r *simulation) share() core.PerMille { return r.move.Share }
 
-// Guards against a fault that is missed or found late: each kind of fault alone, from the beginning or after a long
-// good past that must not anchor the test.
+// Guards against a fault that is missed or found late. Each kind of fault is tested alone, from the beginning and after a long time
+// without faults, which must not outweigh it.
 func TestSequentialDeciderTakesBackBadReleases(t *testing.T) {
 	good := load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02}
 	with := func(change func(*load)) load {
@@ -157,7 +157,7 @@
 	for name, test := range map[string]struct {
 		loads     func(second int) map[core.RouteName]load
 		faultFrom int
-		minutes   time.Duration // until the deadline; 10 if not given
+		minutes   time.Duration // until the deadline, 10 at least
 		cause     string
 	}{
 		"at once":  {loads: constantLoads(failing), cause: `.*"read": calls failed`},
@@ -167,7 +167,7 @@
 		"late": {faultFrom: 300, cause: `.*: calls failed`, loads: func(second int) map[core.RouteName]load {
 			return map[core.RouteName]load{"read": []load{good, flaky}[min(1, second/300)]}
 		}},
-		"after a long good past": {faultFrom: 960, minutes: 30, cause: `.*: calls failed`, loads: func(second int) map[core.RouteName]load {
+		"after a long time without faults": {faultFrom: 960, minutes: 30, cause: `.*: calls failed`, loads: func(second int) map[core.RouteName]load {
 			return map[core.RouteName]load{"read": []load{good, with(func(l *load) { l.newFail = 0.012 })}[min(1, second/960)]}
 		}},
 		"one route": {cause: `.*route "write": calls failed`, loads: func(int) map[core.RouteName]load {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Guards against blame for what both releases show, for what was counted before the move and for too few calls.
+// Guards against a good release that is taken back for what both releases show, for counts from before the move or for single calls.
 func TestSequentialDeciderFinishesGoodReleasesInTime(t *testing.T) {
 	good := load{calls: 200, oldFail: 0.001, newFail: 0.001, oldSlow: 0.02, newSlow: 0.02}
 	burst := func(l load) func(int) map[core.RouteName]load {
@@ -224,8 +224,8 @@
 	}
 }
 
-// Guards against counts that are added twice or lost: repeated and older reports change nothing, a restarted node
-// counts anew.
+// Guards against counts that are added twice or lost: repeated and older reports change nothing, and a restarted node starts its
+// counts from zero.
 func TestRepeatedOlderAndRestartedCounts(t *testing.T) {
 	c := qt.New(t)
 	loads := constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.004, oldSlow: 0.02, newSlow: 0.02})
@@ -278,7 +278,7 @@
 	c.Assert(failing.badCalls < 0.02*failing.calls, qt.IsTrue)
 }
 
-// Guards against blame for failures of the same release in an earlier move.
+// Guards against a release that is taken back for its failures in an earlier move.
 func TestCountsFromBeforeTheMoveAreABaseline(t *testing.T) {
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
@@ -289,7 +289,7 @@
 	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
 	c.Assert(r.run(nil).move.State, qt.Equals, core.MoveDone, qt.Commentf("%+v", r.move))
 
-	// After a leader change, the first report of a node that started within the move is no baseline.
+	// After a leader change, the first report of a node run that began within the move is counted in full.
 	move := core.Move{State: core.MoveProbing, StartedAt: start, SteppedAt: start, Request: core.MoveRequest{Service: "s", Deadline: start.Add(time.Hour)}}
 	count := core.EvidenceCount{Node: "n2", Incarnation: core.Incarnation(start.UnixNano() + 1), Service: "s", Route: "read", Release: "v1", Calls: 500}
 	failing := count
@@ -298,8 +298,8 @@
 	c.Assert(due && step.State == core.MoveTakenBack, qt.IsTrue, qt.Commentf("%+v", step))
 }
 
-// Guards against blame for calls from before the move: nodes report a service every second only while its move has a
-// share, so the first reports after the first step hold older calls.
+// Guards against a release that is taken back for calls from before the move. Nodes report a service every second only while its
+// move has a share, so the first reports after the first step include older calls.
 func TestLateReportsFromBeforeTheMove(t *testing.T) {
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
@@ -319,7 +319,7 @@
 	c.Assert(r.run(nil).move.State, qt.Equals, core.MoveDone, qt.Commentf("%+v", r.move))
 }
 
-// Guards against a new leader that begins again, that loses the verdict that the share shows, or that misses a fault.
+// Guards against a new leader that starts the move again, that loses the verdict implied by the share, or that misses a fault.
 func TestLeaderChangeInTheMiddle(t *testing.T) {
 	c := qt.New(t)
 	for _, fault := range []float64{0.001, 0.3} {
@@ -361,7 +361,7 @@
 	return endpoints
 }
 
-// Guards against blame for a cold backend server that has left before its answers are reported.
+// Guards against a release that is taken back for the slow answers of a cold backend server that has left before they are reported.
 func TestColdBackendServerThatHasLeft(t *testing.T) {
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, func(second int) map[core.RouteName]load {
@@ -381,7 +381,7 @@
 	c.Assert(r.run(nil).move.State, qt.Equals, core.MoveDone, qt.Commentf("%+v", r.move))
 }
 
-// Guards against blame for an overloaded data centre in which only the new release runs.
+// Guards against a release that is taken back for an overloaded data centre in which only the new release runs.
 func TestDataCentreWithOneReleaseIsNotCompared(t *testing.T) {
 	c := qt.New(t)
 	run := func(known bool) core.MoveState {
@@ -402,7 +402,7 @@
 	c.Assert(run(false), qt.Equals, core.MoveTakenBack)
 }
 
-// Guards against a step that the chart does not have and against an abort of a closed move.
+// Guards against a step that the chart does not have, and against the abort of a closed move.
 func TestChartAndAbort(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(rollout.IsTransition(core.MoveProposed, core.MoveDone), qt.IsFalse)
