--- a/io/control/control.go
+++ b/io/control/control.go
@@ -192,11 +192,11 @@
 	}
 	others := lo.Filter(p.settings.Members, func(m settings.Member, _ int) bool { return m.ID != p.settings.ID })
 	source, cleanup, err := distribution.NewSource(distribution.SourceOptions{
-		ID:            p.settings.ID,
-		ListenAddress: p.settings.NodeAddress,
-		DataCentre:    p.settings.DataCentre,
-		DirectNodes:   p.settings.DirectNodes,
-		EvidenceEvery: p.settings.EvidenceEvery,
+		ID:               p.settings.ID,
+		ListenAddress:    p.settings.NodeAddress,
+		DataCentre:       p.settings.DataCentre,
+		DirectNodes:      p.settings.DirectNodes,
+		EvidenceInterval: p.settings.EvidenceEvery,
 		Peers: lo.Map(others, func(m settings.Member, _ int) distribution.Peer {
 			return distribution.Peer{
 				ID:      m.ID,
--- a/io/distribution/admission.go
+++ b/io/distribution/admission.go
@@ -10,22 +10,22 @@
 	"parsleyport/io/frame"
 )
 
-// retryLater is the shortest wait that a full or detached parent asks for; the child adds as much again at random.
-const retryLater = 300 * time.Millisecond
+// minRetryAfter is the shortest wait that a full or detached parent asks for; the child adds as much again at random.
+const minRetryAfter = 300 * time.Millisecond
 
 // slot is one of the handshakes that may be under way at once.
-type slot struct {
+type handshakeSlot struct {
 	once  sync.Once
 	slots chan struct{}
 }
 
-func newSlot(slots chan struct{}) *slot {
-	return &slot{
+func newHandshakeSlot(slots chan struct{}) *handshakeSlot {
+	return &handshakeSlot{
 		slots: slots,
 	}
 }
 
-func (s *slot) release() {
+func (s *handshakeSlot) release() {
 	s.once.Do(func() { <-s.slots })
 }
 
@@ -36,15 +36,15 @@
 	if greeting.Kind == kindControl {
 		return h.admitPeer(greeting, conn)
 	}
-	if !h.attached || greeting.ID == h.relay || slices.Contains(h.path, greeting.ID) || len(h.path) >= maxPath {
-		return nil, h.later()
+	if !h.attached || greeting.ID == h.relay || slices.Contains(h.path, greeting.ID) || len(h.path) >= maxPathNodes {
+		return nil, h.retryAfterMessage()
 	}
-	h.replace(greeting.ID)
-	if candidates := h.full(greeting.DataCentre); candidates != nil {
-		return nil, h.redirected(now, candidates)
+	h.closeOlderLinks(greeting.ID)
+	if candidates := h.redirectCandidates(greeting.DataCentre); candidates != nil {
+		return nil, h.redirectMessage(now, candidates)
 	}
 	if len(h.children) >= maxDirectChildren {
-		return nil, h.later()
+		return nil, h.retryAfterMessage()
 	}
 	c := h.newChild(greeting, conn)
 	c.acknowledged = acknowledge{
@@ -52,7 +52,7 @@
 		Nodes:  1,
 		Schema: greeting.Schema,
 	}
-	h.changed()
+	h.publishAndWake()
 	return c, outgoing{}
 }
 
@@ -60,30 +60,30 @@
 	id := core.ControlID(greeting.ID)
 	if !h.peers[id] {
 		h.logger.Warn().Str("control", string(id)).Msg("refused a control instance that is not in the settings")
-		return nil, h.later()
+		return nil, h.retryAfterMessage()
 	}
-	h.replace(greeting.ID)
+	h.closeOlderLinks(greeting.ID)
 	c := h.newChild(greeting, conn)
 	h.table.Regain(c.owner)
 	h.peerReports[id] = peerReport{
 		acknowledge: h.peerReports[id].acknowledge,
-		link:        c.id,
+		linkID:      c.id,
 	}
 	return c, outgoing{}
 }
 
-func (h *hub) later() outgoing {
+func (h *hub) retryAfterMessage() outgoing {
 	h.meters.retryAfters.Inc()
 	return outgoing{
 		kind: typeRetryAfter,
 		message: retryAfter{
-			Milliseconds: retryLater.Milliseconds(),
+			Milliseconds: minRetryAfter.Milliseconds(),
 		},
 	}
 }
 
 // replace closes an older link of a child that is back before the loss of that link was noticed.
-func (h *hub) replace(id core.NodeID) {
+func (h *hub) closeOlderLinks(id core.NodeID) {
 	for _, c := range h.children {
 		if c.hello.ID == id {
 			_ = c.conn.Close()
@@ -94,10 +94,10 @@
 }
 
 // full returns the children to which a node of a data centre is redirected, or nil if there is room for it.
-func (h *hub) full(dataCentre core.DataCentre) []*child {
+func (h *hub) redirectCandidates(dataCentre core.DataCentre) []*child {
 	limit := maxRelayChildren
 	if h.relay == "" {
-		limit = max(h.direct, 1)
+		limit = max(h.maxDirectNodes, 1)
 	}
 	var candidates []*child
 	for _, c := range h.children {
@@ -113,13 +113,13 @@
 }
 
 // redirected names the least loaded child first and counts the redirect, so that nodes that come together are spread evenly.
-func (h *hub) redirected(now time.Time, candidates []*child) outgoing {
+func (h *hub) redirectMessage(now time.Time, candidates []*child) outgoing {
 	load := make(map[*child]int, len(candidates))
 	for _, c := range candidates {
-		for len(c.assigned) > 0 && now.Sub(c.assigned[0]) >= assignedWindow {
-			c.assigned = c.assigned[1:]
+		for len(c.recentRedirects) > 0 && now.Sub(c.recentRedirects[0]) >= redirectWindow {
+			c.recentRedirects = c.recentRedirects[1:]
 		}
-		load[c] = c.acknowledged.Nodes + len(c.assigned)
+		load[c] = c.acknowledged.Nodes + len(c.recentRedirects)
 	}
 	sort.Slice(candidates, func(i, j int) bool {
 		a, b := candidates[i], candidates[j]
@@ -128,8 +128,8 @@
 		}
 		return a.id < b.id
 	})
-	if len(candidates[0].assigned) < maxAssigned {
-		candidates[0].assigned = append(candidates[0].assigned, now)
+	if len(candidates[0].recentRedirects) < maxRecentRedirects {
+		candidates[0].recentRedirects = append(candidates[0].recentRedirects, now)
 	}
 	addresses := make([]string, 0, len(candidates))
 	for _, c := range candidates {
@@ -144,5 +144,5 @@
 	}
 }
 
-// maxAssigned bounds the remembered redirects of one child.
-const maxAssigned = 1024
+// maxRecentRedirects bounds the remembered redirects of one child.
+const maxRecentRedirects = 1024
--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -41,8 +41,8 @@
 	eventStop       statechart.Event = "stop"
 )
 
-// errGoHome ends a link to a control instance of another data centre.
-const errGoHome = errors.ConstError("the own data centre has a control instance")
+// errLocalControlAvailable ends a link to a control instance of another data centre.
+const errLocalControlAvailable = errors.ConstError("the own data centre has a control instance")
 
 // attachment opens one upward link at a time and opens another when it is lost; one goroutine runs it.
 type attachment struct {
@@ -55,26 +55,26 @@
 	// serve uses the link until it ends.
 	serve func(ctx context.Context, conn *frame.Conn, address string) error
 
-	learned   atomic.Value // []ControlAddress: where to start, as the parent says; tried before targets
-	home      core.DataCentre
-	homes     []string     // control instances of the own data centre, when errGoHome ends a link
-	wentHome  time.Time    // latest attempt to attach in the own data centre in place of another one
-	state     atomic.Value // statechart.State
-	turn      int
-	queue     []string // addresses from a redirect, best first
-	redirects int
-	attempts  int
-	wait      time.Duration
-	address   string
-	leftOut   map[string]time.Time // addresses that went silent or did not answer, and until when they are left out
-	conn      *frame.Conn
+	learnedTargets   atomic.Value // []ControlAddress: where to start, as the parent says; tried before targets
+	localDataCentre  core.DataCentre
+	localAddresses   []string     // control instances of the own data centre, when errLocalControlAvailable ends a link
+	lastLocalAttempt time.Time    // latest attempt to attach in the own data centre in place of another one
+	state            atomic.Value // statechart.State
+	nextTarget       int
+	redirectQueue    []string // addresses from a redirect, best first
+	redirects        int
+	attempts         int
+	wait             time.Duration
+	address          string
+	excludedUntil    map[string]time.Time // addresses that went silent or did not answer, and until when they are left out
+	conn             *frame.Conn
 }
 
 func newAttachment(targets []string, a attachment) *attachment {
 	a.targets.Store(targets)
 	a.state.Store(attachmentChart.Initial())
-	a.leftOut = make(map[string]time.Time)
-	a.turn = int(a.random() * float64(len(a.allTargets())))
+	a.excludedUntil = make(map[string]time.Time)
+	a.nextTarget = int(a.random() * float64(len(a.allTargets())))
 	return &a
 }
 
@@ -85,11 +85,11 @@
 // run interprets the chart: each state has one action, and its result is the next event.
 func (a *attachment) run(ctx context.Context) {
 	actions := map[statechart.State]func(context.Context) statechart.Event{
-		stateDetached: a.choose,
+		stateDetached: a.chooseAddress,
 		stateDialing:  a.dial,
-		stateGreeting: a.greet,
-		stateAttached: a.use,
-		stateWaiting:  a.pause,
+		stateGreeting: a.handshake,
+		stateAttached: a.runLink,
+		stateWaiting:  a.waitBackoff,
 	}
 	for !attachmentChart.IsFinal(a.current()) {
 		event := eventStop
@@ -110,62 +110,62 @@
 	}
 }
 
-func (a *attachment) choose(context.Context) statechart.Event {
-	maps.DeleteFunc(a.leftOut, func(_ string, until time.Time) bool { return !time.Now().Before(until) })
-	a.queue = lo.Reject(a.queue, func(address string, _ int) bool { return a.isLeftOut(address) })
-	if len(a.queue) > 0 {
-		a.address, a.queue = a.queue[0], a.queue[1:]
+func (a *attachment) chooseAddress(context.Context) statechart.Event {
+	maps.DeleteFunc(a.excludedUntil, func(_ string, until time.Time) bool { return !time.Now().Before(until) })
+	a.redirectQueue = lo.Reject(a.redirectQueue, func(address string, _ int) bool { return a.isExcluded(address) })
+	if len(a.redirectQueue) > 0 {
+		a.address, a.redirectQueue = a.redirectQueue[0], a.redirectQueue[1:]
 		return eventDial
 	}
 	targets := a.allTargets()
 	for range targets {
-		if !a.isLeftOut(targets[a.turn%len(targets)]) {
+		if !a.isExcluded(targets[a.nextTarget%len(targets)]) {
 			break
 		}
-		a.turn++ // all of them, if none is left
+		a.nextTarget++ // all of them, if none is left
 	}
-	a.address = targets[a.turn%len(targets)]
-	a.turn++
+	a.address = targets[a.nextTarget%len(targets)]
+	a.nextTarget++
 	a.redirects = 0
 	return eventDial
 }
 
-// leaveOut keeps an address from costing another time-out: an instance that stands still accepts connections, and others that
+// exclude keeps an address from costing another time-out: an instance that stands still accepts connections, and others that
 // do not know it yet redirect to it.
-func (a *attachment) leaveOut(address string, wait time.Duration) {
-	a.leftOut[address] = time.Now().Add(wait)
+func (a *attachment) exclude(address string, wait time.Duration) {
+	a.excludedUntil[address] = time.Now().Add(wait)
 }
 
-func (a *attachment) isLeftOut(address string) bool {
-	return time.Now().Before(a.leftOut[address])
+func (a *attachment) isExcluded(address string) bool {
+	return time.Now().Before(a.excludedUntil[address])
 }
 
 // allTargets has the learned addresses and those of the settings, which may both be outdated.
 func (a *attachment) allTargets() []string {
-	known, _ := a.learned.Load().([]ControlAddress)
+	known, _ := a.learnedTargets.Load().([]ControlAddress)
 	learned := lo.Map(known, func(c ControlAddress, _ int) string { return c.Address })
 	targets, _ := a.targets.Load().([]string)
 	return lo.Uniq(slices.Concat(learned, targets))
 }
 
-// homeFirst sorts the control instances of a data centre to the front.
-func homeFirst(controls []ControlAddress, home core.DataCentre) []ControlAddress {
+// localFirst sorts the control instances of a data centre to the front.
+func localFirst(controls []ControlAddress, home core.DataCentre) []ControlAddress {
 	own, others := lo.FilterReject(controls, func(c ControlAddress, _ int) bool { return c.DataCentre == home })
 	return append(own, others...)
 }
 
-// goHome leads a node that has attached directly to a control instance elsewhere to those of its own data centre, now and then.
-func (a *attachment) goHome(message accept) (redirect, bool) {
-	if a.home == "" || len(message.Path) > 0 || time.Since(a.wentHome) < homePause {
+// redirectToLocal leads a node that has attached directly to a control instance elsewhere to those of its own data centre, now and then.
+func (a *attachment) redirectToLocal(message accept) (redirect, bool) {
+	if a.localDataCentre == "" || len(message.Path) > 0 || time.Since(a.lastLocalAttempt) < localRetryInterval {
 		return redirect{}, false
 	}
-	atHome := func(c ControlAddress) bool { return c.DataCentre == a.home }
-	own := lo.Filter(message.Controls, func(c ControlAddress, _ int) bool { return atHome(c) && !a.isLeftOut(c.Address) })
+	atHome := func(c ControlAddress) bool { return c.DataCentre == a.localDataCentre }
+	own := lo.Filter(message.Controls, func(c ControlAddress, _ int) bool { return atHome(c) && !a.isExcluded(c.Address) })
 	here := lo.ContainsBy(own, func(c ControlAddress) bool { return c.Address == a.address })
 	if here || len(own) == 0 {
 		return redirect{}, false
 	}
-	a.wentHome = time.Now()
+	a.lastLocalAttempt = time.Now()
 	return redirect{
 		Addresses: lo.Map(own, func(c ControlAddress, _ int) string { return c.Address }),
 	}, true
@@ -178,7 +178,7 @@
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("dial failed")
 		if isTimeout(err) { // a refusal costs no time
-			a.leaveOut(a.address, unansweredFor)
+			a.exclude(a.address, unansweredExclusion)
 		}
 		a.backOff()
 		return eventFailed
@@ -187,14 +187,14 @@
 	return eventConnected
 }
 
-func (a *attachment) greet(ctx context.Context) statechart.Event {
+func (a *attachment) handshake(ctx context.Context) statechart.Event {
 	stop := context.AfterFunc(ctx, func() { _ = a.conn.Close() })
 	defer stop()
-	event, err := a.exchange()
+	event, err := a.exchangeHello()
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("handshake failed")
 		if isTimeout(err) {
-			a.leaveOut(a.address, unansweredFor)
+			a.exclude(a.address, unansweredExclusion)
 		}
 		a.backOff()
 		event = eventFailed
@@ -205,7 +205,7 @@
 	return event
 }
 
-func (a *attachment) exchange() (statechart.Event, error) {
+func (a *attachment) exchangeHello() (statechart.Event, error) {
 	greeting := a.hello()
 	greeting.Packing, greeting.DataCentre = a.hub.packing.ID(), a.hub.dataCentre
 	if err := a.hub.send(a.conn, helloTimeout, outgoing{
@@ -225,8 +225,8 @@
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		if home, elsewhere := a.goHome(message); elsewhere {
-			return eventRedirected, a.follow(home)
+		if home, elsewhere := a.redirectToLocal(message); elsewhere {
+			return eventRedirected, a.followRedirect(home)
 		}
 		a.conn.Pack(message.Packing)
 		return eventAccepted, a.accept(message)
@@ -235,7 +235,7 @@
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		return eventRedirected, a.follow(message)
+		return eventRedirected, a.followRedirect(message)
 	case typeRetryAfter:
 		var message retryAfter
 		if err := answer.Decode(&message); err != nil {
@@ -248,40 +248,40 @@
 	return "", errors.Errorf("unexpected answer of type %d to hello", answer.Type)
 }
 
-func (a *attachment) follow(message redirect) error {
+func (a *attachment) followRedirect(message redirect) error {
 	a.redirects++
 	if a.redirects > maxRedirects || len(message.Addresses) == 0 || len(message.Addresses) > maxDirectChildren {
-		a.queue = nil
+		a.redirectQueue = nil
 		return errors.Errorf("redirect %d to %d addresses", a.redirects, len(message.Addresses))
 	}
-	a.queue = message.Addresses
+	a.redirectQueue = message.Addresses
 	return nil
 }
 
-func (a *attachment) use(ctx context.Context) statechart.Event {
+func (a *attachment) runLink(ctx context.Context) statechart.Event {
 	began := time.Now()
 	err := a.serve(ctx, a.conn, a.address)
 	_ = a.conn.Close()
-	if time.Since(began) >= silenceLimit {
+	if time.Since(began) >= linkTimeout {
 		a.attempts = 0
 	}
-	a.queue = nil
+	a.redirectQueue = nil
 	a.backOff()
-	if errors.Is(err, errGoHome) {
-		a.wait, a.queue = 0, a.homes
+	if errors.Is(err, errLocalControlAvailable) {
+		a.wait, a.redirectQueue = 0, a.localAddresses
 	} else if isTimeout(err) {
-		a.leaveOut(a.address, lostFor)
+		a.exclude(a.address, silentExclusion)
 	}
 	a.logger.Info().Err(err).Str("address", a.address).Msg("link lost")
 	return eventLost
 }
 
-func (a *attachment) pause(ctx context.Context) statechart.Event {
-	pauseFor(ctx, a.wait)
+func (a *attachment) waitBackoff(ctx context.Context) statechart.Event {
+	sleepContext(ctx, a.wait)
 	return eventWaitOver
 }
 
-func pauseFor(ctx context.Context, wait time.Duration) {
+func sleepContext(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/io/distribution/batch_test.go
+++ b/io/distribution/batch_test.go
@@ -12,12 +12,12 @@
 
 // Guards against a leaving backend server that gets calls for more than 3 s, and a new one that gets none for 14 s, because
 // its change waits on crowded links, and against bytes that grow with each change there.
-func TestCrowdedLinksHoldUpNoLeaving(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestThrottledLinksDeliverLeavingInTime(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog, "c2")
 		w.source("c2", w.catalog, "c1")
-		nodes := append(w.nodes(38, knowing("c1")), w.subscriber("z", "c2"))
-		w.eventually(inForce, "all endpoints", allHave(nodes, 38))
+		nodes := append(w.startNodes(38, withControlAddresses("c1")), w.subscriber("z", "c2"))
+		w.eventually(convergenceTimeout, "all endpoints", allHaveEndpoints(nodes, 38))
 		churn := func(rounds int) {
 			for i := range rounds {
 				state := []core.EndpointState{core.EndpointStarting, core.EndpointReady}[i/30%2]
@@ -36,7 +36,7 @@
 			leaving := nodes[33+i]
 			leaving.Announce(endpoint("service-0", core.EndpointLeaving))
 			churn(54) // 2.7 s
-			c.Assert(allKnowLeaving(nodes, leaving.options.ID)(), qt.IsTrue)
+			c.Assert(allSeeLeaving(nodes, leaving.options.ID)(), qt.IsTrue)
 		}
 		// What the changes of state are based on is lost, so digests have to be compared.
 		nodes[38].hub.mu.Lock()
@@ -44,6 +44,6 @@
 		nodes[38].hub.mu.Unlock()
 		nodes[37].Announce(endpoint("service-0", core.EndpointReady))
 		churn(240) // 12 s
-		c.Assert(allKnow(nodes, nodes[37].options.ID, core.EndpointReady)(), qt.IsTrue)
+		c.Assert(allSeeState(nodes, nodes[37].options.ID, core.EndpointReady)(), qt.IsTrue)
 	})
 }
--- a/io/distribution/bench_test.go
+++ b/io/distribution/bench_test.go
@@ -13,17 +13,17 @@
 
 // fleet runs one source and a number of nodes in this process over loopback TCP.
 type fleet struct {
-	*world
+	*cluster
 	source *Source
 	nodes  []*Subscriber
 }
 
 func newFleet(t testing.TB, count int) *fleet {
-	w := newWorld(t)
+	w := newCluster(t)
 	w.loopback()
 	w.catalog.set(planned(1))
-	f := &fleet{world: w, source: w.source("c1", w.catalog), nodes: w.nodes(count, knowing("c1"))}
-	w.eventually(time.Minute, "attached", func() bool { return allAt(f.nodes, 1)() && allHave(f.nodes, count)() })
+	f := &fleet{cluster: w, source: w.source("c1", w.catalog), nodes: w.startNodes(count, withControlAddresses("c1"))}
+	w.eventually(time.Minute, "attached", func() bool { return allAtRevision(f.nodes, 1)() && allHaveEndpoints(f.nodes, count)() })
 	return f
 }
 
@@ -55,11 +55,11 @@
 				next := planned(number)
 				began := time.Now()
 				f.catalog.set(next)
-				for !allAt(f.nodes, number)() {
+				for !allAtRevision(f.nodes, number)() {
 					time.Sleep(time.Millisecond)
 				}
 				times = append(times, time.Since(began))
-				f.eventually(inForce, "acknowledged", func() bool { return f.source.Fleet().Lowest == number })
+				f.eventually(convergenceTimeout, "acknowledged", func() bool { return f.source.Fleet().Lowest == number })
 			}
 			slices.Sort(times)
 			b.ReportMetric(float64(times[len(times)/2].Microseconds())/1000, "ms-median")
@@ -78,7 +78,7 @@
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			f := newFleet(b, count)
 			defer f.close()
-			time.Sleep(startGrace) // the digests at the end of the grace period are not idle traffic
+			time.Sleep(startupGrace) // the digests at the end of the grace period are not idle traffic
 			for b.Loop() {
 				for _, rate := range []int{0, 1, 10} {
 					before := f.bytes()
@@ -105,7 +105,7 @@
 		b.Run(fmt.Sprintf("nodes=%d/moves=%d", size[0], size[1]), func(b *testing.B) {
 			f := newFleet(b, size[0])
 			defer f.close()
-			time.Sleep(startGrace) // the digests at the end of the grace period are not evidence
+			time.Sleep(startupGrace) // the digests at the end of the grace period are not evidence
 			relay := slices.MaxFunc(f.nodes, func(a, b *Subscriber) int { return a.Status().SubtreeNodes - b.Status().SubtreeNodes })
 			measure := func(name string, seconds int, each func(*Subscriber)) {
 				sent, received := relay.Bytes()
@@ -161,13 +161,13 @@
 // newPlannedFleet has nodes in the planned data centres, whose backend servers belong to the planned services in turn. With
 // onRequest, each node uses usedServices services; otherwise it gets all endpoints.
 func newPlannedFleet(b *testing.B, count int, onRequest bool) *fleet {
-	w := newWorld(b)
+	w := newCluster(b)
 	w.loopback()
 	w.catalog.set(planned(1))
-	f := &fleet{world: w, source: w.source("c1", w.catalog)}
+	f := &fleet{cluster: w, source: w.source("c1", w.catalog)}
 	services := planned(1).Services()
-	f.nodes = w.nodes(count, func(i int, o *SubscriberOptions) {
-		o.OnRequest, o.DataCentre = onRequest, core.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
+	f.nodes = w.startNodes(count, func(i int, o *SubscriberOptions) {
+		o.OnDemandEndpoints, o.DataCentre = onRequest, core.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
 	})
 	for i, n := range f.nodes {
 		n.Announce(endpoint(services[i%len(services)], core.EndpointReady))
@@ -200,7 +200,7 @@
 			b.Run(fmt.Sprintf("nodes=%d/by-use=%t", count, onRequest), func(b *testing.B) {
 				f := newPlannedFleet(b, count, onRequest)
 				defer f.close()
-				time.Sleep(startGrace) // the digests at the end of the grace period are not idle traffic
+				time.Sleep(startupGrace) // the digests at the end of the grace period are not idle traffic
 				services := planned(1).Services()
 				for b.Loop() {
 					for _, rate := range []int{0, 1, 5, 10, 20, 30} {
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -25,34 +25,34 @@
 	wake    *ring.Ring[struct{}]
 
 	// What follows is guarded by hub.mu.
-	acknowledged acknowledge
-	assigned     []time.Time // recent redirects to this child
-	held         position
-	reported     position // what the child has said that it holds
-	diverged     bool     // it holds another content of the same revision
-	wantsFull    bool
-	offerFull    bool // the child decides whether the content that it holds is the accepted one
-	pongs        int
-	crashesAt    uint64
-	series       []series
-	rows         []row                  // the last one of each series
-	late         map[core.MoveID]uint64 // of another control instance
-	reporting    map[core.MoveID]int
-	pathTurn     uint64
-	subscribed   bool
-	all          bool
-	services     map[core.ServiceName]bool
-	cursor       uint64
-	batch        batcher
-	readsStates  bool
-	told         map[core.NodeID]uint16 // what it was sent, see checkOf
-	digestDue    bool
-	digestFinal  bool
-	leftSince    time.Time
-	digests      map[core.ServiceName]core.Hash // of an unanswered request for endpoints
-	newServices  []core.ServiceName
-	// leftPending are services subscribed to later, whose endpoints that left have not been sent by a parent that knows all.
-	leftPending map[core.ServiceName]bool
+	acknowledged     acknowledge
+	recentRedirects  []time.Time // recent redirects to this child
+	held             configVersion
+	reported         configVersion // what the child has said that it holds
+	diverged         bool          // it holds another content of the same revision
+	wantsFull        bool
+	offerFull        bool // the child decides whether the content that it holds is the accepted one
+	pongsDue         int
+	crashesAt        uint64
+	series           []series
+	rows             []row                  // the last one of each series
+	late             map[core.MoveID]uint64 // of another control instance
+	reporting        map[core.MoveID]int
+	pathVersion      uint64
+	subscribed       bool
+	all              bool
+	services         map[core.ServiceName]bool
+	cursor           uint64
+	batch            batcher
+	readsStates      bool
+	sentChecks       map[core.NodeID]uint16 // what it was sent, see checkOf
+	digestDue        bool
+	digestFinal      bool
+	tombstonesSince  time.Time
+	requestedDigests map[core.ServiceName]core.Hash // of an unanswered request for endpoints
+	newServices      []core.ServiceName
+	// tombstonesPending are services subscribed to later, whose endpoints that left have not been sent by a parent that knows all.
+	tombstonesPending map[core.ServiceName]bool
 }
 
 // serve answers a listener until the context ends.
@@ -63,25 +63,25 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			pauseFor(ctx, tickInterval) // out of file descriptors, for example; accepting again at once would spin
+			sleepContext(ctx, tickInterval) // out of file descriptors, for example; accepting again at once would spin
 			continue
 		}
 		select {
-		case h.handshakes <- struct{}{}:
-			h.start(func() { h.greet(ctx, frame.New(conn, h.packing)) })
+		case h.handshakeSlots <- struct{}{}:
+			h.start(func() { h.handshake(ctx, frame.New(conn, h.packing)) })
 		default:
-			h.turnAway(frame.New(conn, nil))
+			h.rejectBusy(frame.New(conn, nil))
 		}
 	}
 }
 
-// turnAway answers without reading, so that a crowd of reconnecting nodes costs one small frame for each attempt.
-func (h *hub) turnAway(conn *frame.Conn) {
+// rejectBusy answers without reading, so that a crowd of reconnecting nodes costs one small frame for each attempt.
+func (h *hub) rejectBusy(conn *frame.Conn) {
 	h.meters.retryAfters.Inc()
-	_ = h.send(conn, finalTimeout/10, outgoing{
+	_ = h.send(conn, finalSendTimeout/10, outgoing{
 		kind: typeRetryAfter,
 		message: retryAfter{
-			Milliseconds: retryLater.Milliseconds(),
+			Milliseconds: minRetryAfter.Milliseconds(),
 		},
 	})
 	_ = conn.Close()
@@ -104,9 +104,9 @@
 }
 
 // greet holds a handshake slot until the child has been sent what it lacks.
-func (h *hub) greet(ctx context.Context, conn *frame.Conn) {
+func (h *hub) handshake(ctx context.Context, conn *frame.Conn) {
 	defer conn.Close()
-	slot := newSlot(h.handshakes)
+	slot := newHandshakeSlot(h.handshakeSlots)
 	defer slot.release()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -128,7 +128,7 @@
 	h.runChild(ctx, c, slot)
 }
 
-func (h *hub) runChild(ctx context.Context, c *child, slot *slot) {
+func (h *hub) runChild(ctx context.Context, c *child, slot *handshakeSlot) {
 	sending, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	h.start(func() {
@@ -149,13 +149,13 @@
 	_ = c.conn.Close()
 	<-done
 	if ctx.Err() == nil { // a process that stops closes its links itself; its children have not died
-		h.lose(time.Now(), c, err)
+		h.childLost(time.Now(), c, err)
 	}
 }
 
 func (h *hub) receiveFromChild(c *child) error {
 	for {
-		received, err := h.receive(c.conn, silenceLimit)
+		received, err := h.receive(c.conn, linkTimeout)
 		if err != nil {
 			return err
 		}
@@ -166,35 +166,35 @@
 }
 
 // lose starts the grace periods of what the child announced.
-func (h *hub) lose(now time.Time, c *child, cause error) {
+func (h *hub) childLost(now time.Time, c *child, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.meters.lostLinks.Inc()
 	delete(h.children, c.id)
-	h.confirmer.drop(c.id)
+	h.confirmer.remove(c.id)
 	if c.hello.Kind == kindControl {
-		h.losePeer(now, c)
-		h.changed()
+		h.peerLost(now, c)
+		h.publishAndWake()
 		return
 	}
-	grace := brokenGrace
+	grace := brokenLinkGrace
 	if isTimeout(cause) {
 		grace = 0
 	}
-	h.table.Lose(now, c.owner, c.hello.ID, grace, subtreeGrace)
+	h.table.Lose(now, c.owner, c.hello.ID, grace, lostSubtreeGrace)
 	h.loseSubscriptions(now, c)
-	h.changed()
+	h.publishAndWake()
 }
 
-func (h *hub) losePeer(now time.Time, c *child) {
+func (h *hub) peerLost(now time.Time, c *child) {
 	id := core.ControlID(c.hello.ID)
 	report := h.peerReports[id]
-	if report.link != c.id {
+	if report.linkID != c.id {
 		return // it is back on another link
 	}
-	report.until = now.Add(controlGrace)
+	report.expiresAt = now.Add(lostControlGrace)
 	h.peerReports[id] = report
-	h.table.Lose(now, c.owner, "", controlGrace, controlGrace)
+	h.table.Lose(now, c.owner, "", lostControlGrace, lostControlGrace)
 }
 
 func isTimeout(err error) bool {
@@ -206,19 +206,19 @@
 func (h *hub) handleFromChild(now time.Time, c *child, received frame.Frame) error {
 	switch received.Type {
 	case typePing:
-		return h.withChild(received, &ping{}, func() {
-			c.pongs++
+		return h.decodeAndHandle(received, &ping{}, func() {
+			c.pongsDue++
 			c.wake.TryPush(struct{}{})
 		})
 	case typeAnnounce:
 		var message announce
-		return h.withChild(received, &message, func() { h.announced(now, c, message) })
+		return h.decodeAndHandle(received, &message, func() { h.handleAnnounce(now, c, message) })
 	case typeAcknowledge:
 		var message acknowledge
-		return h.withChild(received, &message, func() { h.acknowledged(c, message) })
+		return h.decodeAndHandle(received, &message, func() { h.handleAcknowledge(c, message) })
 	case typeEvidence:
 		var message evidence
-		return h.withChild(received, &message, func() {
+		return h.decodeAndHandle(received, &message, func() {
 			if c.hello.Kind == kindControl {
 				h.evidence.merge(message.Counts, true)
 				c.late = message.Late
@@ -234,48 +234,48 @@
 		return h.takeSums(now, c, message)
 	case typeCrashes:
 		var message crashes
-		return h.withChild(received, &message, func() {
-			h.crashed(now, message, crashOrigin{
+		return h.decodeAndHandle(received, &message, func() {
+			h.handleCrashes(now, message, crashOrigin{
 				link:   c.id,
 				remote: c.owner.Remote,
 			})
 		})
 	case typeNodes:
 		var message nodes
-		return h.withChild(received, &message, func() {
+		return h.decodeAndHandle(received, &message, func() {
 			for _, report := range message.Reports {
 				h.nodes.merge(now, report, c.owner.Remote)
 			}
 		})
 	case typeSubscribe:
 		var message subscribe
-		return h.withChild(received, &message, func() { h.subscribed(now, c, message) })
+		return h.decodeAndHandle(received, &message, func() { h.subscribed(now, c, message) })
 	case typeEndpointsRequest:
 		var message endpointsRequest
-		return h.withChild(received, &message, func() {
-			c.digests = message.Digests
-			if c.digests == nil {
-				c.digests = map[core.ServiceName]core.Hash{}
+		return h.decodeAndHandle(received, &message, func() {
+			c.requestedDigests = message.Digests
+			if c.requestedDigests == nil {
+				c.requestedDigests = map[core.ServiceName]core.Hash{}
 			}
 			c.wake.TryPush(struct{}{})
 		})
 	case typeConfigRequest:
-		return h.withChild(received, &configRequest{}, func() {
+		return h.decodeAndHandle(received, &configRequest{}, func() {
 			c.wantsFull = true
 			c.wake.TryPush(struct{}{})
 		})
 	case typeConfirmRequest:
 		var message confirmRequest
-		return h.withChild(received, &message, func() {
+		return h.decodeAndHandle(received, &message, func() {
 			h.confirmer.request(c.id, message.Number)
-			h.changed()
+			h.publishAndWake()
 		})
 	}
 	h.meters.unknownMessages.Inc()
 	return nil
 }
 
-func (h *hub) withChild(received frame.Frame, message any, handle func()) error {
+func (h *hub) decodeAndHandle(received frame.Frame, message any, handle func()) error {
 	if err := received.Decode(message); err != nil {
 		return err
 	}
@@ -285,9 +285,9 @@
 	return nil
 }
 
-func (h *hub) announced(now time.Time, c *child, message announce) {
+func (h *hub) handleAnnounce(now time.Time, c *child, message announce) {
 	if message.Complete {
-		h.table.Retain(now, c.owner, message.Upserts, everything)
+		h.table.Retain(now, c.owner, message.Upserts, anyService)
 	}
 	for _, endpoint := range message.Upserts {
 		h.table.Announce(now, c.owner, endpoint)
@@ -295,25 +295,25 @@
 	for _, removal := range message.Removals {
 		h.table.Remove(now, c.owner, removal)
 	}
-	h.rememberLeft(now, message.Left)
-	h.changed()
+	h.rememberLeft(now, message.Tombstones)
+	h.publishAndWake()
 }
 
-func (h *hub) acknowledged(c *child, message acknowledge) {
+func (h *hub) handleAcknowledge(c *child, message acknowledge) {
 	if c.hello.Kind == kindControl {
 		h.peerReports[core.ControlID(c.hello.ID)] = peerReport{
 			acknowledge: message,
-			link:        c.id,
+			linkID:      c.id,
 		}
 		return
 	}
 	c.acknowledged = message
-	c.reported = position{
+	c.reported = configVersion{
 		revision: message.Revision,
 		hash:     message.Hash,
 	}
 	h.compareContent(c)
-	h.changed()
+	h.publishAndWake()
 }
 
 // completeFor reports whether what a child is sent is final.
@@ -330,7 +330,7 @@
 }
 
 // acceptance is the path that a child gets; mu is held.
-func (h *hub) acceptance(packing frame.PackingID) accept {
+func (h *hub) acceptMessage(packing frame.PackingID) accept {
 	path := h.path
 	if h.relay != "" {
 		path = append([]core.NodeID{h.relay}, h.path...)
@@ -347,22 +347,22 @@
 }
 
 func (h *hub) newChild(greeting hello, conn *frame.Conn) *child {
-	h.lastLink++
+	h.lastLinkID++
 	c := &child{
-		id:    h.lastLink,
+		id:    h.lastLinkID,
 		hello: greeting,
 		conn:  conn,
 		owner: lease.Owner{
-			Name: "link-" + strconv.FormatUint(h.lastLink, 10),
+			Name: "link-" + strconv.FormatUint(h.lastLinkID, 10),
 		},
 		wake: ring.New[struct{}](1),
-		held: position{
+		held: configVersion{
 			revision: greeting.Revision,
 			hash:     greeting.Hash,
 		},
-		services:    make(map[core.ServiceName]bool),
-		told:        make(map[core.NodeID]uint16),
-		leftPending: make(map[core.ServiceName]bool),
+		services:          make(map[core.ServiceName]bool),
+		sentChecks:        make(map[core.NodeID]uint16),
+		tombstonesPending: make(map[core.ServiceName]bool),
 	}
 	if greeting.Kind == kindControl {
 		c.owner = peerOwner(core.ControlID(greeting.ID))
--- a/io/distribution/confirmer.go
+++ b/io/distribution/confirmer.go
@@ -15,9 +15,9 @@
 
 type waiter struct {
 	number    uint64 // the child's number
-	covered   uint64 // the number of the read that began after the request, zero for none yet
+	coveredBy uint64 // the number of the read that began after the request, zero for none yet
 	confirmed bool
-	saw       position
+	observed  configVersion
 }
 
 func newConfirmer() *confirmer {
@@ -39,8 +39,8 @@
 	}
 	started := false
 	for _, w := range c.waiters {
-		if w.covered == 0 {
-			w.covered = c.number + 1
+		if w.coveredBy == 0 {
+			w.coveredBy = c.number + 1
 			started = true
 		}
 	}
@@ -53,14 +53,14 @@
 }
 
 // finish notes the configuration that the read with the given number saw.
-func (c *confirmer) finish(number uint64, saw position) {
+func (c *confirmer) finish(number uint64, saw configVersion) {
 	if !c.inFlight || number != c.number {
 		return
 	}
 	c.inFlight = false
 	for _, w := range c.waiters {
-		if w.covered != 0 && w.covered <= number && !w.confirmed {
-			w.confirmed, w.saw = true, saw
+		if w.coveredBy != 0 && w.coveredBy <= number && !w.confirmed {
+			w.confirmed, w.observed = true, saw
 		}
 	}
 }
@@ -70,25 +70,25 @@
 	c.inFlight = false
 	for _, w := range c.waiters {
 		if !w.confirmed {
-			w.covered = 0
+			w.coveredBy = 0
 		}
 	}
 }
 
 // take returns a link's answer once the given revision covers it.
-func (c *confirmer) take(link uint64, held core.Revision) (confirm, bool) {
+func (c *confirmer) takeAnswer(link uint64, held core.Revision) (confirm, bool) {
 	w := c.waiters[link]
-	if w == nil || !w.confirmed || w.saw.revision > held {
+	if w == nil || !w.confirmed || w.observed.revision > held {
 		return confirm{}, false
 	}
 	delete(c.waiters, link)
 	return confirm{
 		Number:   w.number,
-		Revision: w.saw.revision,
-		Hash:     w.saw.hash,
+		Revision: w.observed.revision,
+		Hash:     w.observed.hash,
 	}, true
 }
 
-func (c *confirmer) drop(link uint64) {
+func (c *confirmer) remove(link uint64) {
 	delete(c.waiters, link)
 }
--- a/io/distribution/content.go
+++ b/io/distribution/content.go
@@ -8,7 +8,7 @@
 	if c.hello.Kind == kindControl {
 		return
 	}
-	own := positionOf(h.current)
+	own := configVersionOf(h.current)
 	diverged := c.reported.revision == own.revision && c.reported.hash != 0 && c.reported.hash != own.hash
 	if diverged == c.diverged {
 		return
@@ -27,26 +27,26 @@
 
 // consider keeps another content of the revision in force until a confirmed read says which one was accepted. Neither
 // this node nor its parent can know: the parent may be the one that is wrong.
-func (s *Subscriber) consider(candidate *record.Configuration) {
+func (s *Subscriber) holdCandidate(candidate *record.Configuration) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	s.candidate, s.accepted = candidate, position{}
+	s.candidate, s.accepted = candidate, configVersion{}
 	s.hub.confirmer.request(ownLink, 1) // the number is not sent: requests are joined
-	s.hub.changed()
+	s.hub.publishAndWake()
 }
 
 // repair replaces the content in force if the confirmed read saw the other one. It runs on the attachment's goroutine.
-func (s *Subscriber) repair() {
+func (s *Subscriber) resolveCandidate() {
 	s.hub.mu.Lock()
 	candidate, accepted := s.candidate, s.accepted
-	if candidate == nil || accepted == (position{}) {
+	if candidate == nil || accepted == (configVersion{}) {
 		s.hub.mu.Unlock()
 		return
 	}
 	s.candidate = nil
 	s.hub.mu.Unlock()
-	held := positionOf(s.newest.Load())
-	if held.revision != accepted.revision || held == accepted || positionOf(candidate) != accepted {
+	held := configVersionOf(s.newest.Load())
+	if held.revision != accepted.revision || held == accepted || configVersionOf(candidate) != accepted {
 		return
 	}
 	s.hub.meters.repairs.Inc()
--- a/io/distribution/content_test.go
+++ b/io/distribution/content_test.go
@@ -8,25 +8,25 @@
 	"parsleyport/core"
 )
 
-// otherContent is what a control instance restored from an old copy may accept under a revision number that nodes hold.
-func otherContent(number core.Revision) *fakeCatalog {
+// divergedCatalog is what a control instance restored from an old copy may accept under a revision number that nodes hold.
+func divergedCatalog(number core.Revision) *fakeCatalog {
 	return newFakeCatalog(configuration(number, testRecords(4, 77)))
 }
 
 // Guards against nodes that hold another content than the control instances for as long as the revision stays, unseen
 // because the numbers agree.
-func TestOtherContentOfARevisionIsReplaced(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestDivergedContentIsReplaced(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.catalog.set(revision(5))
 		w.source("c1", w.catalog)
-		nodes := w.nodes(24, knowing("c1"))
-		w.eventually(inForce, "revision 5", allAt(nodes, 5))
+		nodes := w.startNodes(24, withControlAddresses("c1"))
+		w.eventually(convergenceTimeout, "revision 5", allAtRevision(nodes, 5))
 		w.stop("c1")
-		restored := otherContent(5)
+		restored := divergedCatalog(5)
 		source := w.source("c1", restored)
 		accepted := restored.Current().Hash()
-		w.eventually(inForce, "the accepted content on all nodes", every(nodes, func(s *Subscriber) bool { return s.Current().Hash() == accepted }))
-		w.eventually(inForce, "no difference is left", func() bool {
+		w.eventually(convergenceTimeout, "the accepted content on all nodes", every(nodes, func(s *Subscriber) bool { return s.Current().Hash() == accepted }))
+		w.eventually(convergenceTimeout, "no difference is left", func() bool {
 			source.hub.mu.Lock()
 			defer source.hub.mu.Unlock()
 			for _, each := range source.hub.children {
@@ -34,7 +34,7 @@
 					return false
 				}
 			}
-			return source.hub.subtree().Nodes == 24
+			return source.hub.subtreeAcknowledgement().Nodes == 24
 		})
 		found, replaced := source.hub.meters.contents.Get(), uint64(0)
 		for _, n := range nodes {
@@ -45,27 +45,27 @@
 		c.Assert(replaced, qt.Equals, uint64(24))
 		c.Assert(found >= 24, qt.IsTrue, qt.Commentf("%d found", found))
 		restored.set(configuration(6, testRecords(4, 78)))
-		w.eventually(inForce, "revision 6", allAt(nodes, 6))
+		w.eventually(convergenceTimeout, "revision 6", allAtRevision(nodes, 6))
 	})
 }
 
 // Guards against a node that takes over the content of a parent which is itself the one that is wrong.
-func TestContentIsReplacedOnlyByTheAcceptedOne(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestDivergedContentNeedsAConfirmedRead(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("c1")
 		node := w.subscriber("a", "c1")
 		parent.attach(accept{Control: "c1"})
 		right := revision(2)
 		parent.send(typeConfigFull, right.Full())
-		w.eventually(inForce, "revision 2", allAt([]*Subscriber{node}, 2))
+		w.eventually(convergenceTimeout, "revision 2", allAtRevision([]*Subscriber{node}, 2))
 		var request confirmRequest
 		parent.receive(typeConfirmRequest, &request)
 		parent.send(typeConfirm, confirm{Number: request.Number, Revision: 2, Hash: right.Hash()})
-		parent.send(typeConfigFull, otherContent(2).Current().Full())
+		parent.send(typeConfigFull, divergedCatalog(2).Current().Full())
 		parent.receive(typeConfirmRequest, &request)
 		c.Assert(node.Current().Hash(), qt.Equals, right.Hash())
 		parent.send(typeConfirm, confirm{Number: request.Number, Revision: 2, Hash: right.Hash()})
-		w.eventually(inForce, "the candidate is given up", func() bool {
+		w.eventually(convergenceTimeout, "the candidate is given up", func() bool {
 			node.hub.mu.Lock()
 			defer node.hub.mu.Unlock()
 			return node.candidate == nil
--- a/io/distribution/crashes.go
+++ b/io/distribution/crashes.go
@@ -24,7 +24,7 @@
 	Reports []crashReport `msgpack:"reports"`
 }
 
-type crashItem struct {
+type storedCrash struct {
 	report core.CrashReport
 	at     time.Time
 	from   crashOrigin
@@ -33,7 +33,7 @@
 // crashOrigin says over which link a report came, so that it is not sent back: above for the parent, remote for another
 // control instance, link for a child.
 type crashOrigin struct {
-	above  bool
+	parent bool
 	remote bool
 	link   uint64
 }
@@ -41,10 +41,10 @@
 // crashStore holds the reports of the last idempotency.Window. Positions count all reports ever added, so that a link
 // can tell which ones it has passed on.
 type crashStore struct {
-	items []crashItem // oldest first
-	first uint64      // position of items[0]
-	known map[core.CrashReport]bool
-	heard func(at time.Time, report core.CrashReport) // optional
+	items         []storedCrash // oldest first
+	firstPosition uint64        // position of items[0]
+	known         map[core.CrashReport]bool
+	onCrash       func(at time.Time, report core.CrashReport) // optional
 }
 
 func newCrashStore() *crashStore {
@@ -55,7 +55,7 @@
 
 // add returns false if the report is known or malformed.
 func (s *crashStore) add(now, at time.Time, report core.CrashReport, from crashOrigin) bool {
-	s.forget(now)
+	s.expire(now)
 	if s.known[report] || len(report.Node)+len(report.Run) > maxCrashName || now.Sub(at) > idempotency.Window {
 		return false
 	}
@@ -63,19 +63,19 @@
 		s.dropOldest()
 	}
 	s.known[report] = true
-	s.items = append(s.items, crashItem{
+	s.items = append(s.items, storedCrash{
 		report: report,
 		at:     at,
 		from:   from,
 	})
-	if s.heard != nil {
-		s.heard(at, report)
+	if s.onCrash != nil {
+		s.onCrash(at, report)
 	}
 	return true
 }
 
 // forget drops reports from the front; a late report with an old age waits there until those before it are gone.
-func (s *crashStore) forget(now time.Time) {
+func (s *crashStore) expire(now time.Time) {
 	for len(s.items) > 0 && now.Sub(s.items[0].at) > idempotency.Window {
 		s.dropOldest()
 	}
@@ -84,19 +84,19 @@
 func (s *crashStore) dropOldest() {
 	delete(s.known, s.items[0].report)
 	s.items = s.items[1:]
-	s.first++
+	s.firstPosition++
 }
 
-func (s *crashStore) position() uint64 {
-	return s.first + uint64(len(s.items))
+func (s *crashStore) endPosition() uint64 {
+	return s.firstPosition + uint64(len(s.items))
 }
 
 // since returns the reports behind a position that pass, at most maxCrashesInFrame, and the position behind them.
 func (s *crashStore) since(now time.Time, at uint64, pass func(crashOrigin) bool) ([]crashReport, uint64) {
-	at = max(at, s.first)
+	at = max(at, s.firstPosition)
 	var reports []crashReport
-	for ; at < s.position() && len(reports) < maxCrashesInFrame; at++ {
-		item := s.items[at-s.first]
+	for ; at < s.endPosition() && len(reports) < maxCrashesInFrame; at++ {
+		item := s.items[at-s.firstPosition]
 		if !pass(item.from) {
 			continue
 		}
@@ -109,26 +109,26 @@
 }
 
 // crashed adds what a link brought; mu is held.
-func (h *hub) crashed(now time.Time, message crashes, from crashOrigin) {
+func (h *hub) handleCrashes(now time.Time, message crashes, from crashOrigin) {
 	added := false
 	for _, each := range message.Reports {
 		at := now.Add(-time.Duration(max(each.AgeMS, 0)) * time.Millisecond)
 		added = h.crashes.add(now, at, each.Report, from) || added
 	}
 	if added {
-		h.changed()
+		h.publishAndWake()
 	}
 }
 
-// crashesUp collects what the parent or another control instance has not heard from here.
-func (h *hub) crashesUp(u *uplink, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, u.crashesAt, func(from crashOrigin) bool { return !from.above && !from.remote })
+// crashesForParent collects what the parent or another control instance has not heard from here.
+func (h *hub) crashesForParent(u *uplink, now time.Time) []outgoing {
+	reports, at := h.crashes.since(now, u.crashesAt, func(from crashOrigin) bool { return !from.parent && !from.remote })
 	u.crashesAt = at
 	return crashMessages(reports)
 }
 
-// crashesDown collects what a child has not heard.
-func (h *hub) crashesDown(c *child, now time.Time) []outgoing {
+// crashesForChild collects what a child has not heard.
+func (h *hub) crashesForChild(c *child, now time.Time) []outgoing {
 	reports, at := h.crashes.since(now, c.crashesAt, func(from crashOrigin) bool { return from.link != c.id })
 	c.crashesAt = at
 	return crashMessages(reports)
@@ -152,6 +152,6 @@
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	if s.hub.crashes.add(now, now, report, crashOrigin{}) {
-		s.hub.changed()
+		s.hub.publishAndWake()
 	}
 }
--- a/io/distribution/crashes_test.go
+++ b/io/distribution/crashes_test.go
@@ -13,7 +13,7 @@
 // against reports that are counted twice or sent round for ever.
 func TestCrashReportsReachEveryNodeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		defer w.close()
 		w.source("c1", w.catalog, "c2")
 		w.source("c2", w.catalog, "c1")
--- a/io/distribution/distribution_test.go
+++ b/io/distribution/distribution_test.go
@@ -14,12 +14,12 @@
 	"parsleyport/core/record"
 )
 
-// inForce is the target for a change on all nodes, and the time within which a fleet is expected to attach.
-const inForce = 14 * time.Second
+// convergenceTimeout is the target for a change on all nodes, and the time within which a fleet is expected to attach.
+const convergenceTimeout = 14 * time.Second
 
-func run(t *testing.T, test func(c *qt.C, w *world)) {
+func runTest(t *testing.T, test func(c *qt.C, w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		defer w.close()
 		test(qt.New(t), w)
 	})
@@ -29,25 +29,25 @@
 // that is retired while a node deep in the tree needs it, and against a fresh node that picks other key holders because it
 // does not know which nodes left before it came.
 func TestSourceAndSubscribers(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
-		nodes := w.nodes(40, func(i int, o *SubscriberOptions) { o.Schema = core.SchemaVersion(42 - i) })
-		w.eventually(inForce, "first revision in force", allAt(nodes, 1))
+		nodes := w.startNodes(40, func(i int, o *SubscriberOptions) { o.Schema = core.SchemaVersion(42 - i) })
+		w.eventually(convergenceTimeout, "first revision in force", allAtRevision(nodes, 1))
 		w.catalog.set(revision(2))
-		w.eventually(time.Second, "second revision in force", allAt(nodes, 2))
+		w.eventually(time.Second, "second revision in force", allAtRevision(nodes, 2))
 		w.eventually(time.Second, "acknowledged", func() bool {
 			return source.Fleet() == Fleet{Lowest: 2, Nodes: 40, Schema: 3}
 		})
-		w.eventually(3*time.Second, "endpoints at all nodes", allHave(nodes, 40))
-		time.Sleep(startGrace)
+		w.eventually(3*time.Second, "endpoints at all nodes", allHaveEndpoints(nodes, 40))
+		time.Sleep(startupGrace)
 		w.stop("n003")
-		w.eventually(3*time.Second, "withdrawn endpoint gone", allHave(nodes[4:], 39))
+		w.eventually(3*time.Second, "withdrawn endpoint gone", allHaveEndpoints(nodes[4:], 39))
 		c.Assert(nodes[39].Tombstones("service-0"), qt.HasLen, 1)
 		c.Assert(every(nodes, (*Subscriber).Confirmed)(), qt.IsTrue)
 
 		time.Sleep(lease.TombstoneAge / 2)
 		fresh := w.subscriber("fresh", "c1")
-		w.eventually(inForce, "tombstone", func() bool { return len(fresh.Tombstones("service-0")) == 1 })
+		w.eventually(convergenceTimeout, "tombstone", func() bool { return len(fresh.Tombstones("service-0")) == 1 })
 		time.Sleep(lease.TombstoneAge / 2)
 		c.Assert(fresh.Tombstones("service-0"), qt.HasLen, 0)
 	})
@@ -58,19 +58,19 @@
 	f := newFleet(t, 25)
 	defer f.close()
 	f.catalog.set(planned(2))
-	f.eventually(inForce, "acknowledged", func() bool { return f.source.Fleet() == Fleet{Lowest: 2, Nodes: 25, Schema: record.NewestSchema} })
+	f.eventually(convergenceTimeout, "acknowledged", func() bool { return f.source.Fleet() == Fleet{Lowest: 2, Nodes: 25, Schema: record.NewestSchema} })
 	f.nodes[0].Announce(endpoint("service-0", core.EndpointLeaving))
-	f.eventually(3*time.Second, "leaving known", allKnowLeaving(f.nodes, "n000"))
+	f.eventually(3*time.Second, "leaving known", allSeeLeaving(f.nodes, "n000"))
 }
 
 // Guards against a return to an older configuration when updates arrive out of order.
-func TestNeverOlderWhenUpdatesCross(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestReorderedUpdatesNeverRollBack(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
 		node := w.subscriber("n", "raw")
 		parent.attach(accept{Control: "raw"})
 		parent.send(typeConfigFull, revision(3).Full())
-		w.eventually(time.Second, "revision 3", allAt([]*Subscriber{node}, 3))
+		w.eventually(time.Second, "revision 3", allAtRevision([]*Subscriber{node}, 3))
 		parent.send(typeConfigFull, revision(5).Full())
 		parent.send(typeConfigDelta, revision(4).DeltaFrom(revision(3)))
 		parent.send(typeConfigFull, revision(2).Full())
@@ -84,28 +84,28 @@
 }
 
 // Guards against a node that takes the configuration of the only reachable parent although that parent is behind.
-func TestNeverOlderBelowAParentThatIsBehind(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestStaleParentNeverRollsBack(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		behind := newFakeCatalog(revision(3))
 		w.catalog.set(revision(5))
 		w.source("c1", w.catalog)
 		w.source("c2", behind)
 		w.net.block("c2", true)
 		node := w.subscriber("n", "c1", "c2")
-		w.eventually(inForce, "revision 5", allAt([]*Subscriber{node}, 5))
+		w.eventually(convergenceTimeout, "revision 5", allAtRevision([]*Subscriber{node}, 5))
 		w.stop("c1")
 		w.net.block("c2", false)
-		w.eventually(inForce, "attached to c2", func() bool { return node.Status().Control == "c2" })
-		w.always(time.Minute, "at revision 5", allAt([]*Subscriber{node}, 5))
+		w.eventually(convergenceTimeout, "attached to c2", func() bool { return node.Status().Control == "c2" })
+		w.always(time.Minute, "at revision 5", allAtRevision([]*Subscriber{node}, 5))
 		behind.set(revision(6))
-		w.eventually(time.Second, "revision 6", allAt([]*Subscriber{node}, 6))
+		w.eventually(time.Second, "revision 6", allAtRevision([]*Subscriber{node}, 6))
 	})
 }
 
 // Guards against a delta that is applied to another configuration than it was made for, and against a node that stays
 // behind after such a delta.
 func TestDeltaMismatchFetchesTheFullConfiguration(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
 		node := w.subscriber("n", "raw")
 		parent.attach(accept{Control: "raw"})
@@ -114,9 +114,9 @@
 		parent.receive(typeConfigRequest, &configRequest{})
 		c.Assert(node.Current().Revision(), qt.Equals, core.Revision(1))
 		parent.send(typeConfigFull, revision(4).Full())
-		w.eventually(time.Second, "revision 4", allAt([]*Subscriber{node}, 4))
+		w.eventually(time.Second, "revision 4", allAtRevision([]*Subscriber{node}, 4))
 	})
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		child := w.rawChild("c1", hello{ID: "n", Revision: 1, Hash: 42}, nil)
 		w.catalog.set(revision(2))
@@ -130,13 +130,13 @@
 
 // Guards against a configuration with a route that points nowhere, in force as a whole or in part.
 func TestDanglingReferenceIsNeverInForce(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
 		node := w.subscriber("n", "raw")
 		parent.attach(accept{Control: "raw"})
 		good := revision(1)
 		parent.send(typeConfigFull, good.Full())
-		w.eventually(time.Second, "revision 1", allAt([]*Subscriber{node}, 1))
+		w.eventually(time.Second, "revision 1", allAtRevision([]*Subscriber{node}, 1))
 		held := node.Current()
 
 		dangling := good.Full()
@@ -149,13 +149,13 @@
 		w.eventually(time.Second, "both refused", func() bool { return node.hub.meters.refused.Get() == 2 })
 		c.Assert(node.Current() == held, qt.IsTrue)
 		parent.send(typeConfigDelta, revision(3).DeltaFrom(good))
-		w.eventually(time.Second, "revision 3", allAt([]*Subscriber{node}, 3))
+		w.eventually(time.Second, "revision 3", allAtRevision([]*Subscriber{node}, 3))
 	})
 }
 
 // Guards against a fresh node that serves callers by a read that may be older than what its earlier run served.
 func TestConfirmedOnlyByAReadThatBeganLater(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		release := make(chan struct{})
 		w.catalog.read = func(ctx context.Context) error {
 			select {
@@ -167,11 +167,11 @@
 		}
 		w.source("c1", w.catalog)
 		first := w.subscriber("first", "c1")
-		w.eventually(inForce, "read for the first node", func() bool { return w.catalog.reads.Load() == 1 })
+		w.eventually(convergenceTimeout, "read for the first node", func() bool { return w.catalog.reads.Load() == 1 })
 		// One is attached beside the first node and one below; the read under way proves nothing for either.
 		late := []*Subscriber{w.subscriber("second", "c1"), w.subscriber("third", "c1")}
 		time.Sleep(time.Second)
-		c.Assert(allAt(append(late, first), 1)(), qt.IsTrue)
+		c.Assert(allAtRevision(append(late, first), 1)(), qt.IsTrue)
 		c.Assert(first.Confirmed() || late[0].Confirmed() || late[1].Confirmed(), qt.IsFalse)
 		c.Assert(w.catalog.reads.Load(), qt.Equals, int64(1))
 		release <- struct{}{}
@@ -180,7 +180,7 @@
 		c.Assert(late[0].Confirmed() || late[1].Confirmed(), qt.IsFalse)
 		c.Assert(w.catalog.reads.Load(), qt.Equals, int64(2))
 		release <- struct{}{}
-		w.eventually(inForce, "the others confirmed", func() bool {
+		w.eventually(convergenceTimeout, "the others confirmed", func() bool {
 			select {
 			case release <- struct{}{}: // the request from below may have missed the second read on its way up
 			default:
@@ -192,7 +192,7 @@
 
 // Guards against a confirmation that counts before the node holds the confirmed revision.
 func TestConfirmedOnlyWithTheRevisionInForce(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
 		node := w.subscriber("n", "raw")
 		parent.attach(accept{Control: "raw"})
@@ -209,34 +209,34 @@
 // Guards against nodes that stop serving, lose endpoints or trust a fresh start while all control instances are away, against
 // a restarted control instance that removes endpoints which have not been announced to it yet, and against an endpoint that
 // died during the outage and is kept for ever.
-func TestControlInstancesAway(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestAllControlInstancesDown(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		nodes := w.nodes(30, knowing("c1"))
-		w.eventually(inForce, "endpoints at all nodes", allHave(nodes, 30))
+		nodes := w.startNodes(30, withControlAddresses("c1"))
+		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 30))
 		w.stop("c1")
 		fresh := w.subscriber("fresh", "c1")
-		w.always(5*time.Minute, "endpoints kept", allHave(nodes, 30))
-		c.Assert(allAt(nodes, 1)(), qt.IsTrue)
+		w.always(5*time.Minute, "endpoints kept", allHaveEndpoints(nodes, 30))
+		c.Assert(allAtRevision(nodes, 1)(), qt.IsTrue)
 		c.Assert(fresh.Confirmed(), qt.IsFalse)
 
 		dead, rest := nodes[29], append(nodes[:29:29], fresh)
-		w.net.silence(dead)
+		w.net.dropPackets(dead)
 		time.Sleep(time.Minute)
 		w.source("c1", w.catalog)
-		w.always(startGrace+inForce, "endpoints kept", every(nodes[:29], func(n *Subscriber) bool { return len(n.Endpoints("service-0")) >= 29 }))
-		c.Assert(allHave(rest, 29)(), qt.IsTrue)
+		w.always(startupGrace+convergenceTimeout, "endpoints kept", every(nodes[:29], func(n *Subscriber) bool { return len(n.Endpoints("service-0")) >= 29 }))
+		c.Assert(allHaveEndpoints(rest, 29)(), qt.IsTrue)
 		c.Assert(fresh.Confirmed(), qt.IsTrue)
 	})
 }
 
 // Guards against a relay whose death costs its subtree the configuration, or the fleet the endpoints below it, and against
 // a dead node that stays listed.
-func TestRelayDeath(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestRelayFailure(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
-		nodes := w.nodes(40, knowing("c1"))
-		w.eventually(inForce, "endpoints at all nodes", allHave(nodes, 40))
+		nodes := w.startNodes(40, withControlAddresses("c1"))
+		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 40))
 		fulls := func() (sum uint64) {
 			for _, n := range nodes {
 				sum += n.hub.meters.fulls.Get()
@@ -251,26 +251,26 @@
 		rest := append(nodes[:dead:dead], nodes[dead+1:]...)
 		before := fulls()
 
-		w.net.silence(nodes[dead])
+		w.net.dropPackets(nodes[dead])
 		lost, gone := time.Now(), time.Duration(0)
 		w.always(30*time.Second, "39 endpoints at least", func() bool {
-			if gone == 0 && allHave(rest, 39)() {
+			if gone == 0 && allHaveEndpoints(rest, 39)() {
 				gone = time.Since(lost)
 			}
 			return len(source.Endpoints("service-0")) >= 39
 		})
 		// Silence is noticed after 3 s; orphans learn of it once they have attached again.
-		c.Assert(gone > 0 && gone < inForce, qt.IsTrue, qt.Commentf("gone after %v", gone))
+		c.Assert(gone > 0 && gone < convergenceTimeout, qt.IsTrue, qt.Commentf("gone after %v", gone))
 		w.catalog.set(revision(2))
-		w.eventually(time.Second, "revision 2 on the rest", allAt(rest, 2))
+		w.eventually(time.Second, "revision 2 on the rest", allAtRevision(rest, 2))
 		c.Assert(fulls(), qt.Equals, before)
 		c.Assert(source.Fleet().Nodes, qt.Equals, 39)
 	})
 }
 
 // Guards against a loop of relays that have no way to a control instance but each other.
-func TestNoLoop(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestRelayLoopsAreRefused(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
 		node := w.subscriber("n", "raw")
 		parent.attach(accept{Path: []core.NodeID{"m", "n"}, Control: "c1"})
@@ -294,26 +294,26 @@
 
 // Guards against a restarted control instance that hundreds of reconnecting nodes overload with handshakes and full
 // configurations, or keep from bringing a change into force in time.
-func TestCrowdReconnects(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestReconnectStorm(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		const crowd = 300
 		w.source("c1", w.catalog)
-		nodes := w.nodes(crowd, func(_ int, o *SubscriberOptions) {
-			o.OnRequest = true
+		nodes := w.startNodes(crowd, func(_ int, o *SubscriberOptions) {
+			o.OnDemandEndpoints = true
 			o.Random = func() float64 { return rand.Float64() / 10 } // closer together than the protocol has them
 		})
-		w.eventually(time.Minute, "first revision in force", allAt(nodes, 1))
+		w.eventually(time.Minute, "first revision in force", allAtRevision(nodes, 1))
 		w.stop("c1")
 		source := w.source("c1", w.catalog)
-		for _, conn := range w.net.between("") {
+		for _, conn := range w.net.connsOf("") {
 			_ = conn.Close()
 		}
 		dials := w.net.dials.Load()
 		w.catalog.set(revision(2))
 		peak := 0
-		took := w.eventually(inForce, "second revision in force", func() bool {
-			peak = max(peak, len(source.hub.handshakes))
-			return allAt(nodes, 2)()
+		took := w.eventually(convergenceTimeout, "second revision in force", func() bool {
+			peak = max(peak, len(source.hub.handshakeSlots))
+			return allAtRevision(nodes, 2)()
 		})
 		sent, received := source.Bytes()
 		handshakes, turnedAway := source.hub.meters.handshakes.Get(), source.hub.meters.retryAfters.Get()
@@ -325,7 +325,7 @@
 		c.Assert(handshakes <= 3*crowd, qt.IsTrue)
 		c.Assert(source.hub.meters.fulls.Get(), qt.Equals, uint64(0))
 		c.Assert(sent+received <= crowd*4096, qt.IsTrue)
-		w.eventually(inForce, "at most three hops from the control instance", every(nodes, func(n *Subscriber) bool {
+		w.eventually(convergenceTimeout, "at most three hops from the control instance", every(nodes, func(n *Subscriber) bool {
 			status := n.Status()
 			return status.State == string(stateAttached) && len(status.Path) <= 2
 		}))
@@ -334,7 +334,7 @@
 
 // Guards against a crowd that occupies a goroutine and memory for each connection that has not said hello.
 func TestHandshakesAreBounded(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
 		for range maxHandshakes {
 			_, err := w.net.network("idle").Dial(context.Background(), "c1")
@@ -350,15 +350,15 @@
 
 // Guards against a relay that drops or changes records of a schema version or kind that it does not know.
 func TestUnknownSchemaPassesThroughARelay(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		with := configuration(2, append(testRecords(3, 1),
 			core.Record{Kind: core.KindRoute, Name: "service-0", SchemaVersion: 7, Version: 2, Body: []byte("{\"later\":  [1, 2]}")},
 			core.Record{Kind: "mirror", Name: "new-kind", SchemaVersion: 1, Version: 1, Body: []byte(`"any"`)}))
 		w.source("c1", w.catalog)
 		pair := []*Subscriber{w.subscriber("relay", "c1"), w.subscriber("below", "relay-relay")}
-		w.eventually(inForce, "revision 1", allAt(pair, 1))
+		w.eventually(convergenceTimeout, "revision 1", allAtRevision(pair, 1))
 		w.catalog.set(with)
-		w.eventually(time.Second, "revision 2", allAt(pair, 2))
+		w.eventually(time.Second, "revision 2", allAtRevision(pair, 2))
 		c.Assert(pair[1].Current().Records(), qt.DeepEquals, with.Records())
 		c.Assert(pair[1].Status().Path, qt.DeepEquals, []core.NodeID{"relay"})
 	})
@@ -367,96 +367,96 @@
 // Guards against a leaving or dead backend server that gets new work for longer than the target, over two control
 // instances and two data centres.
 func TestLeavingIsKnownWithinThreeSeconds(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source, other := w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")
-		nodes := w.nodes(100, func(i int, o *SubscriberOptions) {
+		nodes := w.startNodes(100, func(i int, o *SubscriberOptions) {
 			o.ControlAddresses = []string{"c1", "c2"}
 			o.DataCentre = []core.DataCentre{"dc-a", "dc-b"}[i%2]
 		})
-		w.eventually(inForce, "endpoints at all nodes", allHave(nodes, 100))
+		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 100))
 		c.Assert(source.Endpoints("service-0"), qt.HasLen, 100)
 		c.Assert(other.Fleet().Nodes, qt.Equals, 100)
 
-		time.Sleep(startGrace)
+		time.Sleep(startupGrace)
 		nodes[0].Announce(endpoint("service-0", core.EndpointLeaving))
-		took := w.eventually(3*time.Second, "leaving known", allKnowLeaving(nodes, "n000"))
+		took := w.eventually(3*time.Second, "leaving known", allSeeLeaving(nodes, "n000"))
 		c.Logf("leaving known after %v", took)
 		nodes[0].Withdraw()
-		w.eventually(3*time.Second, "withdrawal known", allHave(nodes, 99))
+		w.eventually(3*time.Second, "withdrawal known", allHaveEndpoints(nodes, 99))
 		rest := nodes[1:]
 		for len(rest[0].Status().Children) > 0 {
 			rest = rest[1:]
 		}
-		w.net.silence(rest[0])
-		took = w.eventually(4*time.Second, "death known", allHave(rest[1:], 98))
+		w.net.dropPackets(rest[0])
+		took = w.eventually(4*time.Second, "death known", allHaveEndpoints(rest[1:], 98))
 		c.Logf("silent death known after %v", took)
 	})
 }
 
 // Guards against endpoints that vanish from the rest of the fleet while the nodes of a lost control instance attach elsewhere,
 // and against the acknowledgements of that instance that stay for ever.
-func TestControlInstanceDies(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestControlInstanceFails(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog, "c2")
 		w.source("c2", w.catalog, "c1")
-		nodes := w.nodes(60, knowing("c1", "c2"))
-		w.eventually(inForce, "endpoints at all nodes", allHave(nodes, 60))
-		time.Sleep(startGrace)
+		nodes := w.startNodes(60, withControlAddresses("c1", "c2"))
+		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 60))
+		time.Sleep(startupGrace)
 		w.stop("c2")
-		w.always(time.Minute, "endpoints kept", allHave(nodes, 60))
+		w.always(time.Minute, "endpoints kept", allHaveEndpoints(nodes, 60))
 		c.Assert(source.Fleet().Nodes, qt.Equals, 60)
 		w.stop("n007")
-		w.eventually(3*time.Second, "withdrawal known", allHave(append(nodes[:7:7], nodes[8:]...), 59))
+		w.eventually(3*time.Second, "withdrawal known", allHaveEndpoints(append(nodes[:7:7], nodes[8:]...), 59))
 	})
 }
 
 // Guards against nodes that stay behind for as long as their control instance is cut off from the others, and against
 // nodes that stay detached because no control instance has a leader.
-func TestControlInstanceCutOff(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestControlInstanceWithoutLeader(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		cutOff := newFakeCatalog(revision(1))
 		source := w.source("c1", w.catalog, "c2")
 		w.source("c2", cutOff, "c1")
-		nodes := w.nodes(20, knowing("c1", "c2"))
-		w.eventually(inForce, "endpoints at all nodes", allHave(nodes, 20))
+		nodes := w.startNodes(20, withControlAddresses("c1", "c2"))
+		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 20))
 		cutOff.leaderless.Store(true)
 		w.catalog.set(revision(2))
-		w.eventually(inForce, "revision 2 everywhere", allAt(nodes, 2))
+		w.eventually(convergenceTimeout, "revision 2 everywhere", allAtRevision(nodes, 2))
 
 		w.catalog.leaderless.Store(true)
 		w.stop("c2")
-		w.always(2*time.Minute, "endpoints kept", allHave(nodes, 20))
+		w.always(2*time.Minute, "endpoints kept", allHaveEndpoints(nodes, 20))
 		w.eventually(3*time.Second, "attached to the one that is left", func() bool { return source.Fleet().Nodes == 20 })
 		nodes[0].Announce(endpoint("service-0", core.EndpointLeaving))
-		w.eventually(3*time.Second, "leaving known", allKnowLeaving(nodes, "n000"))
+		w.eventually(3*time.Second, "leaving known", allSeeLeaving(nodes, "n000"))
 		w.catalog.leaderless.Store(false)
 		w.catalog.set(revision(3))
-		w.eventually(inForce, "revision 3 everywhere", allAt(nodes, 3))
+		w.eventually(convergenceTimeout, "revision 3 everywhere", allAtRevision(nodes, 3))
 	})
 }
 
 // Guards against a child that does not read and so delays its siblings.
-func TestSlowChildDelaysNobody(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestSlowChildDoesNotDelaySiblings(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		slow, node := w.subscriber("slow", "c1"), w.subscriber("n", "c1")
-		w.eventually(inForce, "revision 1", allAt([]*Subscriber{slow, node}, 1))
-		for _, conn := range w.net.between("relay-slow") {
+		w.eventually(convergenceTimeout, "revision 1", allAtRevision([]*Subscriber{slow, node}, 1))
+		for _, conn := range w.net.connsOf("relay-slow") {
 			conn.stalled.Store(true)
 		}
 		for number := core.Revision(2); number < 400; number++ {
 			w.catalog.set(revision(number))
-			w.eventually(100*time.Millisecond, "revision on the other child", allAt([]*Subscriber{node}, number))
+			w.eventually(100*time.Millisecond, "revision on the other child", allAtRevision([]*Subscriber{node}, number))
 		}
 	})
 }
 
 // Guards against a node at large sizes that gets, or does not get, the endpoints of services it did not ask for.
-func TestEndpointsOnRequest(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestEndpointsOnDemand(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
-		nodes := w.nodes(6, func(_ int, o *SubscriberOptions) { o.OnRequest = true })
-		w.eventually(inForce, "announced", func() bool { return source.hub.live() == 6 })
+		nodes := w.startNodes(6, func(_ int, o *SubscriberOptions) { o.OnDemandEndpoints = true })
+		w.eventually(convergenceTimeout, "announced", func() bool { return source.hub.liveEndpoints() == 6 })
 		leaf := nodes[0]
 		for _, n := range nodes {
 			if len(n.Status().Path) > 0 {
@@ -464,42 +464,42 @@
 			}
 		}
 		leaf.Announce(endpoint("service-1", core.EndpointReady))
-		w.always(time.Second, "only its own", func() bool { return leaf.hub.live() == 1 })
+		w.always(time.Second, "only its own", func() bool { return leaf.hub.liveEndpoints() == 1 })
 		leaf.Subscribe("service-0")
-		w.eventually(2*time.Second, "endpoints of the service", allHave([]*Subscriber{leaf}, 5))
+		w.eventually(2*time.Second, "endpoints of the service", allHaveEndpoints([]*Subscriber{leaf}, 5))
 		for _, n := range nodes {
 			if n != leaf {
 				n.Announce(endpoint("service-0", core.EndpointLeaving))
-				w.eventually(3*time.Second, "change known", allKnowLeaving([]*Subscriber{leaf}, n.options.ID))
+				w.eventually(3*time.Second, "change known", allSeeLeaving([]*Subscriber{leaf}, n.options.ID))
 			}
 		}
 	})
 }
 
 // Guards against a relay that has not asked for a service itself and passes for one that knows it to have no endpoints.
-func TestEndpointsKeptUnderARelayWithoutThem(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+func TestReattachKeepsEndpoints(t *testing.T) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
-		onRequest := func(_ int, o *SubscriberOptions) { o.OnRequest = true }
-		w.nodes(2, onRequest)
+		onRequest := func(_ int, o *SubscriberOptions) { o.OnDemandEndpoints = true }
+		w.startNodes(2, onRequest)
 		leaf := w.subscriberWith("leaf", func(o *SubscriberOptions) {
-			o.OnRequest, o.ControlAddresses = true, []string{"relay-n000", "relay-n001"}
+			o.OnDemandEndpoints, o.ControlAddresses = true, []string{"relay-n000", "relay-n001"}
 		})
-		w.eventually(inForce, "announced", func() bool { return source.Fleet().Nodes == 3 })
+		w.eventually(convergenceTimeout, "announced", func() bool { return source.Fleet().Nodes == 3 })
 		leaf.Subscribe("service-0")
-		w.eventually(2*time.Second, "endpoints of the service", allHave([]*Subscriber{leaf}, 2))
-		time.Sleep(startGrace)
-		for _, conn := range w.net.between("c1") {
-			conn.lag.Store(int64(200 * time.Millisecond))
+		w.eventually(2*time.Second, "endpoints of the service", allHaveEndpoints([]*Subscriber{leaf}, 2))
+		time.Sleep(startupGrace)
+		for _, conn := range w.net.connsOf("c1") {
+			conn.extraDelay.Store(int64(200 * time.Millisecond))
 		}
 		before := leaf.Status().Parent
 		w.net.block(before, true)
-		for _, conn := range w.net.between("relay-leaf") {
+		for _, conn := range w.net.connsOf("relay-leaf") {
 			_ = conn.Close()
 		}
 		for range 3000 {
 			time.Sleep(time.Millisecond)
-			c.Assert(allHave([]*Subscriber{leaf}, 2)(), qt.IsTrue)
+			c.Assert(allHaveEndpoints([]*Subscriber{leaf}, 2)(), qt.IsTrue)
 		}
 		c.Assert(leaf.Status().Parent, qt.Not(qt.Equals), before)
 	})
--- a/io/distribution/downlink.go
+++ b/io/distribution/downlink.go
@@ -17,14 +17,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var due []outgoing
-	if c.pathTurn != h.pathTurn {
-		c.pathTurn = h.pathTurn
+	if c.pathVersion != h.pathVersion {
+		c.pathVersion = h.pathVersion
 		due = append(due, outgoing{
 			kind:    typeAccept,
-			message: h.acceptance(c.packing),
+			message: h.acceptMessage(c.packing),
 		})
 	}
-	for ; c.pongs > 0; c.pongs-- {
+	for ; c.pongsDue > 0; c.pongsDue-- {
 		due = append(due, outgoing{
 			kind:    typePong,
 			message: ping{},
@@ -34,13 +34,13 @@
 		return due, now.Add(pingInterval)
 	}
 	due = append(due, h.configurationDue(c)...)
-	if answer, ready := h.confirmer.take(c.id, c.held.revision); ready {
+	if answer, ready := h.confirmer.takeAnswer(c.id, c.held.revision); ready {
 		due = append(due, outgoing{
 			kind:    typeConfirm,
 			message: answer,
 		})
 	}
-	due = append(due, h.crashesDown(c, now)...)
+	due = append(due, h.crashesForChild(c, now)...)
 	list, again := h.endpointsDue(c, now)
 	return append(due, list...), again
 }
@@ -51,7 +51,7 @@
 	}
 	held := c.held
 	if c.wantsFull || c.offerFull {
-		held = position{}
+		held = configVersion{}
 	}
 	message := configMessage(held, h.current, h.history)
 	if message.kind == typeConfigFull {
@@ -60,7 +60,7 @@
 		h.meters.deltas.Inc()
 	}
 	c.wantsFull, c.offerFull = false, false
-	c.held = positionOf(h.current)
+	c.held = configVersionOf(h.current)
 	return []outgoing{message}
 }
 
@@ -77,16 +77,16 @@
 		c.digestDue, c.digestFinal = false, h.completeFor(c)
 		due = append(due, h.digestMessage(c, now))
 	}
-	if c.digests != nil {
-		due = append(due, h.resetMessage(c, h.differing(c), true))
-		c.digests = nil
+	if c.requestedDigests != nil {
+		due = append(due, h.resetMessage(c, h.differingServices(c), true))
+		c.requestedDigests = nil
 	}
 	if len(c.newServices) > 0 {
 		due = append(due, h.newServicesMessage(c, now))
 		c.newServices = nil
 	}
-	if now.Before(c.batch.urgent) {
-		return due, c.batch.urgent
+	if now.Before(c.batch.nextUrgent) {
+		return due, c.batch.nextUrgent
 	}
 	changes, reached := h.table.Changes(lease.All, c.cursor, c.owner, c.wants)
 	if !reached {
@@ -101,14 +101,14 @@
 		c.cursor = changes.Next
 		return due, idle
 	}
-	if at := c.batch.wait(changes); now.Before(at) {
+	if at := c.batch.dueAt(changes); now.Before(at) {
 		return due, at
 	}
 	c.cursor = changes.Next
 	full, states := c.shorten(changes.Upserts)
 	c.batch.sent(now, len(full)+len(changes.Removals), len(states))
 	for _, removal := range changes.Removals {
-		delete(c.told, removal.Node)
+		delete(c.sentChecks, removal.Node)
 	}
 	return append(due, outgoing{
 		kind: typeEndpoints,
@@ -117,7 +117,7 @@
 			States:   states,
 			Removals: changes.Removals,
 		},
-	}), c.batch.urgent
+	}), c.batch.nextUrgent
 }
 
 func (h *hub) digestMessage(c *child, now time.Time) outgoing {
@@ -128,10 +128,10 @@
 	for _, digest := range h.table.Digests(c.wants) {
 		message.Digest ^= digest
 	}
-	message.Left = h.leftFor(c, now, c.wants)
+	message.Tombstones = h.leftFor(c, now, c.wants)
 	if h.completeFor(c) {
-		c.leftSince = now
-		clear(c.leftPending)
+		c.tombstonesSince = now
+		clear(c.tombstonesPending)
 	}
 	return outgoing{
 		kind:    typeEndpoints,
@@ -140,15 +140,15 @@
 }
 
 // differing names the services whose digests the child does not share, those that only one side has included.
-func (h *hub) differing(c *child) []core.ServiceName {
+func (h *hub) differingServices(c *child) []core.ServiceName {
 	own := h.table.Digests(c.wants)
 	var services []core.ServiceName
 	for service, digest := range own {
-		if held, exists := c.digests[service]; !exists || held != digest {
+		if held, exists := c.requestedDigests[service]; !exists || held != digest {
 			services = append(services, service)
 		}
 	}
-	for service := range c.digests {
+	for service := range c.requestedDigests {
 		if _, exists := own[service]; !exists && c.wants(service) {
 			services = append(services, service)
 		}
@@ -177,9 +177,9 @@
 func (h *hub) newServicesMessage(c *child, now time.Time) outgoing {
 	reset := h.resetMessage(c, c.newServices, false)
 	message := reset.message.(endpoints)
-	message.Left = h.leftFor(c, now, func(service core.ServiceName) bool { return c.leftPending[service] })
+	message.Tombstones = h.leftFor(c, now, func(service core.ServiceName) bool { return c.tombstonesPending[service] })
 	if !message.Partial {
-		clear(c.leftPending)
+		clear(c.tombstonesPending)
 	}
 	reset.message = message
 	return reset
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -45,16 +45,16 @@
 // evidenceStore is what a control instance knows: its own cumulative sums, and those of the others, of which the one with
 // more calls replaces the other.
 type evidenceStore struct {
-	items   map[evidenceKey]*list.Element
-	order   *list.List // of *evidenceItem, by change
-	changes uint64
-	dropped uint64
+	items    map[evidenceKey]*list.Element
+	byChange *list.List // of *evidenceItem, by change
+	changes  uint64
+	dropped  uint64
 }
 
 func newEvidenceStore() *evidenceStore {
 	return &evidenceStore{
-		items: make(map[evidenceKey]*list.Element),
-		order: list.New(),
+		items:    make(map[evidenceKey]*list.Element),
+		byChange: list.New(),
 	}
 }
 
@@ -90,8 +90,8 @@
 	}
 	element := s.items[key]
 	if element == nil {
-		s.makeRoom()
-		element = s.order.PushBack(&evidenceItem{})
+		s.evictOldest()
+		element = s.byChange.PushBack(&evidenceItem{})
 		s.items[key] = element
 	}
 	item := element.Value.(*evidenceItem)
@@ -100,7 +100,7 @@
 	}
 	s.changes++
 	item.count, item.remote, item.change = count, remote, s.changes
-	s.order.MoveToBack(element)
+	s.byChange.MoveToBack(element)
 }
 
 // supersedes compares cumulative counters of one run, none of which ever falls.
@@ -108,22 +108,22 @@
 	return count.Calls+count.Crashes+count.Failures > held.Calls+held.Crashes+held.Failures
 }
 
-func (s *evidenceStore) makeRoom() {
-	if s.order.Len() < maxEvidence {
+func (s *evidenceStore) evictOldest() {
+	if s.byChange.Len() < maxEvidence {
 		return
 	}
-	delete(s.items, keyOf(s.order.Remove(s.order.Front()).(*evidenceItem).count))
+	delete(s.items, keyOf(s.byChange.Remove(s.byChange.Front()).(*evidenceItem).count))
 	s.dropped++
 }
 
 // since returns counts that changed after a position, oldest change first, at most maxCountsPerFrame, and the position behind them.
 func (s *evidenceStore) since(at uint64) ([]core.EvidenceCount, uint64) {
-	element := s.order.Back()
+	element := s.byChange.Back()
 	for element != nil && element.Value.(*evidenceItem).change > at {
 		element = element.Prev()
 	}
 	if element == nil {
-		element = s.order.Front()
+		element = s.byChange.Front()
 	} else {
 		element = element.Next()
 	}
@@ -139,8 +139,8 @@
 }
 
 func (s *evidenceStore) all() []core.EvidenceCount {
-	counts := make([]core.EvidenceCount, 0, s.order.Len())
-	for element := s.order.Front(); element != nil; element = element.Next() {
+	counts := make([]core.EvidenceCount, 0, s.byChange.Len())
+	for element := s.byChange.Front(); element != nil; element = element.Next() {
 		counts = append(counts, element.Value.(*evidenceItem).count)
 	}
 	return counts
--- a/io/distribution/fakes_test.go
+++ b/io/distribution/fakes_test.go
@@ -70,13 +70,13 @@
 	from, to          string // the process that dialed, and the address
 	peer              *fakeConn
 	in                chan packet
-	rest              []byte
+	unread            []byte
 	closed            chan struct{}
 	close             func()
 	deadline, writeBy atomic.Value // time.Time
 	silent            atomic.Bool  // loses what is written, as a dead host does
 	stalled           atomic.Bool  // its process does not read
-	lag               atomic.Int64 // added to the delay
+	extraDelay        atomic.Int64 // added to the delay
 }
 
 func expiry(deadline *atomic.Value) <-chan time.Time {
@@ -87,7 +87,7 @@
 }
 
 func (c *fakeConn) Read(p []byte) (int, error) {
-	if len(c.rest) == 0 || c.stalled.Load() {
+	if len(c.unread) == 0 || c.stalled.Load() {
 		in, end := c.in, c.peer.closed
 		if c.stalled.Load() {
 			in, end = nil, nil
@@ -101,7 +101,7 @@
 			return 0, net.ErrClosed
 		case next := <-in:
 			time.Sleep(time.Until(next.at))
-			c.rest = next.data
+			c.unread = next.data
 		case <-end:
 			if !c.peer.silent.Load() {
 				return 0, io.EOF
@@ -110,8 +110,8 @@
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
@@ -124,7 +124,7 @@
 		return 0, net.ErrClosed
 	case <-c.peer.closed:
 		return 0, io.ErrClosedPipe
-	case c.peer.in <- packet{at: time.Now().Add(fakeDelay + time.Duration(c.lag.Load())), data: append([]byte(nil), p...)}:
+	case c.peer.in <- packet{at: time.Now().Add(fakeDelay + time.Duration(c.extraDelay.Load())), data: append([]byte(nil), p...)}:
 		return len(p), nil
 	case <-expiry(&c.writeBy):
 		return 0, os.ErrDeadlineExceeded
@@ -135,7 +135,7 @@
 func (c *fakeConn) SetWriteDeadline(at time.Time) error { c.writeBy.Store(at); return nil }
 func (c *fakeConn) Close() error                        { c.close(); return nil }
 
-func (n *fakeNet) end(from, to string) *fakeConn {
+func (n *fakeNet) newConn(from, to string) *fakeConn {
 	c := &fakeConn{from: from, to: to, in: make(chan packet, fakeBuffer), closed: make(chan struct{})}
 	c.close = sync.OnceFunc(func() {
 		close(c.closed)
@@ -171,7 +171,7 @@
 			if l == nil || n.blocked[address] || n.blocked[name] {
 				return nil, errors.Errorf("%s: connection refused", address)
 			}
-			near, far := n.end(name, address), n.end(name, address)
+			near, far := n.newConn(name, address), n.newConn(name, address)
 			near.peer, far.peer = far, near
 			if n.frozen[address] {
 				return near, nil
@@ -183,7 +183,7 @@
 }
 
 // between returns both ends of the connections that a process dialed or that were dialed to it, of all if the name is empty.
-func (n *fakeNet) between(name string) []*fakeConn {
+func (n *fakeNet) connsOf(name string) []*fakeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []*fakeConn
@@ -206,15 +206,15 @@
 	n.mu.Lock()
 	n.frozen[name] = true
 	n.mu.Unlock()
-	for _, c := range n.between(name) {
+	for _, c := range n.connsOf(name) {
 		c.silent.Store(true)
 	}
 }
 
 // silence makes a node vanish without closing its connections.
-func (n *fakeNet) silence(s *Subscriber) {
+func (n *fakeNet) dropPackets(s *Subscriber) {
 	n.block(s.options.RelayAddress, true)
-	for _, c := range n.between(s.options.RelayAddress) {
+	for _, c := range n.connsOf(s.options.RelayAddress) {
 		c.silent.Store(true)
 	}
 }
@@ -304,7 +304,7 @@
 }
 
 // world starts sources and subscribers on one network and stops what is left at the end of the test.
-type world struct {
+type cluster struct {
 	t       testing.TB
 	net     *fakeNet
 	network func(name string) Network
@@ -312,13 +312,13 @@
 	stops   map[string]func()
 }
 
-func newWorld(t testing.TB) *world {
+func newCluster(t testing.TB) *cluster {
 	fake := &fakeNet{listeners: make(map[string]*fakeListener), conns: make(map[*fakeConn]bool), blocked: make(map[string]bool), frozen: make(map[string]bool)}
-	return &world{t: t, net: fake, network: fake.network, catalog: newFakeCatalog(revision(1)), stops: make(map[string]func())}
+	return &cluster{t: t, net: fake, network: fake.network, catalog: newFakeCatalog(revision(1)), stops: make(map[string]func())}
 }
 
 // loopback makes the network TCP, with a port for each name.
-func (w *world) loopback() {
+func (w *cluster) loopback() {
 	var ports sync.Map
 	w.network = func(string) Network {
 		return Network{
@@ -337,7 +337,7 @@
 	}
 }
 
-func (w *world) close() {
+func (w *cluster) close() {
 	var stopping sync.WaitGroup
 	for _, stop := range w.stops {
 		stopping.Go(stop)
@@ -345,12 +345,12 @@
 	stopping.Wait()
 }
 
-func (w *world) stop(id string) {
+func (w *cluster) stop(id string) {
 	w.stops[id]()
 	delete(w.stops, id)
 }
 
-func (w *world) source(id core.ControlID, catalog *fakeCatalog, peers ...core.ControlID) *Source {
+func (w *cluster) source(id core.ControlID, catalog *fakeCatalog, peers ...core.ControlID) *Source {
 	options := SourceOptions{
 		ID: id, ListenAddress: string(id), Catalog: catalog, Replicator: catalog,
 		Logger: zerolog.Nop(), Network: w.network(string(id)),
@@ -366,11 +366,11 @@
 	return s
 }
 
-func (w *world) subscriber(id core.NodeID, controls ...string) *Subscriber {
+func (w *cluster) subscriber(id core.NodeID, controls ...string) *Subscriber {
 	return w.subscriberWith(id, func(o *SubscriberOptions) { o.ControlAddresses = controls })
 }
 
-func (w *world) subscriberWith(id core.NodeID, change func(*SubscriberOptions)) *Subscriber {
+func (w *cluster) subscriberWith(id core.NodeID, change func(*SubscriberOptions)) *Subscriber {
 	options := SubscriberOptions{
 		ID: id, Incarnation: core.Incarnation(time.Now().UnixNano()), DataCentre: "dc-a",
 		RelayAddress: "relay-" + string(id), ControlAddresses: []string{"c1"},
@@ -386,7 +386,7 @@
 }
 
 // nodes starts nodes n000, n001 and so on, all of which announce service-0.
-func (w *world) nodes(count int, change func(i int, o *SubscriberOptions)) []*Subscriber {
+func (w *cluster) startNodes(count int, change func(i int, o *SubscriberOptions)) []*Subscriber {
 	var list []*Subscriber
 	for i := range count {
 		id := core.NodeID(fmt.Sprintf("n%03d", i))
@@ -397,12 +397,12 @@
 }
 
 // knowing gives nodes the addresses of control instances.
-func knowing(controls ...string) func(int, *SubscriberOptions) {
+func withControlAddresses(controls ...string) func(int, *SubscriberOptions) {
 	return func(_ int, o *SubscriberOptions) { o.ControlAddresses = controls }
 }
 
 // eventually waits, in the time of the test, until a condition holds and returns how long that took.
-func (w *world) eventually(limit time.Duration, what string, holds func() bool) time.Duration {
+func (w *cluster) eventually(limit time.Duration, what string, holds func() bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
 	for !holds() {
@@ -415,7 +415,7 @@
 }
 
 // always checks a condition every 100 ms.
-func (w *world) always(span time.Duration, what string, holds func() bool) {
+func (w *cluster) always(span time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	for began := time.Now(); time.Since(began) < span; time.Sleep(100 * time.Millisecond) {
 		if !holds() {
@@ -435,20 +435,20 @@
 	}
 }
 
-func allAt(list []*Subscriber, number core.Revision) func() bool {
+func allAtRevision(list []*Subscriber, number core.Revision) func() bool {
 	return every(list, func(s *Subscriber) bool { return s.Current().Revision() == number })
 }
 
-// allHave counts the endpoints of service-0.
-func allHave(list []*Subscriber, count int) func() bool {
+// allHaveEndpoints counts the endpoints of service-0.
+func allHaveEndpoints(list []*Subscriber, count int) func() bool {
 	return every(list, func(s *Subscriber) bool { return len(s.Endpoints("service-0")) == count })
 }
 
-func allKnowLeaving(list []*Subscriber, node core.NodeID) func() bool {
-	return allKnow(list, node, core.EndpointLeaving)
+func allSeeLeaving(list []*Subscriber, node core.NodeID) func() bool {
+	return allSeeState(list, node, core.EndpointLeaving)
 }
 
-func allKnow(list []*Subscriber, node core.NodeID, state core.EndpointState) func() bool {
+func allSeeState(list []*Subscriber, node core.NodeID, state core.EndpointState) func() bool {
 	return every(list, func(s *Subscriber) bool {
 		for _, e := range s.Endpoints("service-0") {
 			if e.Node == node {
@@ -466,7 +466,7 @@
 	conn     *frame.Conn
 }
 
-func (w *world) rawParent(address string) *rawPeer {
+func (w *cluster) rawParent(address string) *rawPeer {
 	listener, _ := w.net.network(address).Listen(address)
 	w.stops[address] = func() { _ = listener.Close() }
 	return &rawPeer{t: w.t, listener: listener}
@@ -484,7 +484,7 @@
 }
 
 // rawChild says hello to a parent.
-func (w *world) rawChild(address string, greeting hello, packing *frame.Packing) *rawPeer {
+func (w *cluster) rawChild(address string, greeting hello, packing *frame.Packing) *rawPeer {
 	conn, err := w.net.network("raw-child").Dial(context.Background(), address)
 	if err != nil {
 		w.t.Fatal(err)
@@ -506,7 +506,7 @@
 func (p *rawPeer) receive(kind frame.Type, target any) {
 	p.t.Helper()
 	for {
-		received, err := p.conn.Receive(time.Now().Add(silenceLimit))
+		received, err := p.conn.Receive(time.Now().Add(linkTimeout))
 		if err != nil {
 			p.t.Fatalf("waiting for message type %d: %v", kind, err)
 		}
--- a/io/distribution/fill_test.go
+++ b/io/distribution/fill_test.go
@@ -11,13 +11,13 @@
 // Guards against a fresh node that takes callers before it knows the endpoints and refuses what others could serve.
 func TestEndpointsSignalWaitsForTheEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		defer w.close()
 		w.source("c1", w.catalog)
 		first := w.subscriber("n1", "c1")
 		first.Announce(endpoint("service-0", core.EndpointReady))
 		w.eventually(5*time.Second, "attached", first.Confirmed)
-		time.Sleep(startGrace)
+		time.Sleep(startupGrace)
 
 		fresh := w.subscriber("n2", "c1")
 		<-fresh.EndpointsSignal()
@@ -25,7 +25,7 @@
 			t.Fatalf("endpoints %v", fresh.Endpoints("service-0"))
 		}
 
-		empty := newWorld(t)
+		empty := newCluster(t)
 		defer empty.close()
 		empty.source("c1", empty.catalog)
 		<-empty.subscriber("n1", "c1").EndpointsSignal() // a fleet without endpoints must not keep a node waiting
--- a/io/distribution/fleet_test.go
+++ b/io/distribution/fleet_test.go
@@ -10,7 +10,7 @@
 // reported before its restart, so that no configuration would be shown as in force everywhere again.
 func TestRestartedControlInstanceIsCountedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		defer w.close()
 		first := w.source("c1", w.catalog, "c2")
 		w.source("c2", w.catalog, "c1")
--- a/io/distribution/fuzz_test.go
+++ b/io/distribution/fuzz_test.go
@@ -57,7 +57,7 @@
 			return
 		}
 		for _, from := range []linkKind{kindNode, kindControl} {
-			h := newHub(zerolog.Nop(), newMeters(orNewSet(nil)), Network{})
+			h := newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{})
 			h.control, h.current = "c1", record.Empty()
 			h.peers["c2"] = true
 			c := h.newChild(hello{Kind: from, ID: "c2"}, nil)
@@ -79,13 +79,13 @@
 			return
 		}
 		s := &Subscriber{
-			hub: newHub(zerolog.Nop(), newMeters(orNewSet(nil)), Network{}), logger: zerolog.Nop(),
+			hub: newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{}), logger: zerolog.Nop(),
 			confirmed: make(chan struct{}), filledCh: make(chan struct{}), changeCh: make(chan struct{}), staleFrom: -1,
 			options: SubscriberOptions{ID: "n", ControlAddresses: []string{"c1"}}, attach: &attachment{},
 		}
 		s.hub.relay = "n"
 		s.newest.Store(revision(1))
-		s.hub.hold(revision(1))
+		s.hub.setCurrent(revision(1))
 		u := newUplink(nil, kindNode, evidenceInterval)
 		_ = s.handle(u, received)
 		_ = s.handle(u, received)
--- a/io/distribution/history.go
+++ b/io/distribution/history.go
@@ -9,13 +9,13 @@
 const maxHistory = 16
 
 // position identifies a configuration.
-type position struct {
+type configVersion struct {
 	revision core.Revision
 	hash     core.Hash
 }
 
-func positionOf(configuration *record.Configuration) position {
-	return position{
+func configVersionOf(configuration *record.Configuration) configVersion {
+	return configVersion{
 		revision: configuration.Revision(),
 		hash:     configuration.Hash(),
 	}
@@ -24,7 +24,7 @@
 // history keeps the latest configurations, oldest first, and the deltas from them to the newest.
 type history struct {
 	kept   []*record.Configuration
-	deltas map[position]record.Delta
+	deltas map[configVersion]record.Delta
 }
 
 func (h *history) add(configuration *record.Configuration) {
@@ -38,12 +38,12 @@
 		h.kept = append(h.kept[:0], h.kept[1:]...)
 	}
 	h.kept = append(h.kept, configuration)
-	h.deltas = make(map[position]record.Delta)
+	h.deltas = make(map[configVersion]record.Delta)
 }
 
-func (h *history) find(at position) *record.Configuration {
+func (h *history) find(at configVersion) *record.Configuration {
 	for _, configuration := range h.kept {
-		if positionOf(configuration) == at {
+		if configVersionOf(configuration) == at {
 			return configuration
 		}
 	}
@@ -52,7 +52,7 @@
 
 // delta is computed once for all children that hold the same base.
 func (h *history) delta(base, current *record.Configuration) record.Delta {
-	at := positionOf(base)
+	at := configVersionOf(base)
 	if delta, cached := h.deltas[at]; cached && delta.ToRevision == current.Revision() {
 		return delta
 	}
--- a/io/distribution/home_test.go
+++ b/io/distribution/home_test.go
@@ -15,7 +15,7 @@
 // Guards against nodes that stay with a control instance of another data centre although their own has one, and against nodes
 // that never learn of control instances which their settings do not name.
 func TestNodesAttachInTheirDataCentre(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		first := w.source("c1", w.catalog)
 		node := w.subscriber("n1", "c1") // of dc-a
 		w.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
@@ -28,13 +28,13 @@
 		w.stop("c2")
 		w.eventually(5*time.Second, "attached elsewhere", func() bool { return node.Status().Parent == "c1" })
 		w.source("c2", w.catalog, "c1")
-		w.eventually(homePause+5*time.Second, "attached at home again", func() bool { return node.Status().Parent == "c2" })
+		w.eventually(localRetryInterval+5*time.Second, "attached at home again", func() bool { return node.Status().Parent == "c2" })
 	})
 }
 
 // Guards against nodes that keep to control instances which have been replaced.
 func TestSettingsReplaceControlAddresses(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		node := w.subscriber("n1", "c1")
 		w.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
@@ -49,8 +49,8 @@
 func TestControlInstancesAtHomeComeFirst(t *testing.T) {
 	c := qt.New(t)
 	first, second, third := ControlAddress{Address: "c1", DataCentre: "dc-b"}, ControlAddress{Address: "c2", DataCentre: "dc-a"}, ControlAddress{Address: "c3", DataCentre: "dc-a"}
-	c.Assert(homeFirst([]ControlAddress{first, second, third}, "dc-a"), qt.DeepEquals, []ControlAddress{second, third, first})
-	c.Assert(homeFirst([]ControlAddress{first, second}, "dc-c"), qt.DeepEquals, []ControlAddress{first, second})
+	c.Assert(localFirst([]ControlAddress{first, second, third}, "dc-a"), qt.DeepEquals, []ControlAddress{second, third, first})
+	c.Assert(localFirst([]ControlAddress{first, second}, "dc-c"), qt.DeepEquals, []ControlAddress{first, second})
 }
 
 // Guards against a node without a parent for more than 3 s when two of five control instances freeze at once, of which one is
@@ -58,7 +58,7 @@
 func TestTwoFrozenControlInstances(t *testing.T) {
 	controls := []core.ControlID{"c1", "c2", "c3", "c4", "c5"} // the first two are in the node's data centre
 	for frozen := 1; frozen < len(controls); frozen++ {
-		run(t, func(c *qt.C, w *world) {
+		runTest(t, func(c *qt.C, w *cluster) {
 			known := lo.Map(controls, func(id core.ControlID, i int) ControlAddress {
 				return ControlAddress{
 					Address:    string(id),
@@ -71,14 +71,14 @@
 					return Peer{ID: peer, Address: string(peer)}
 				}), known)
 			}
-			node := w.nodes(1, knowing("c1", "c2", "c3", "c4", "c5"))[0]
+			node := w.startNodes(1, withControlAddresses("c1", "c2", "c3", "c4", "c5"))[0]
 			w.eventually(20*time.Second, "attached at home", func() bool { return slices.Contains([]string{"c1", "c2"}, node.Status().Parent) })
 			first := slices.Index(controls, core.ControlID(node.Status().Parent))
 			time.Sleep(10 * time.Second)
 			w.net.freeze(string(controls[first]))
 			w.net.freeze(string(controls[(first+frozen)%len(controls)]))
 			w.catalog.set(revision(2))
-			w.eventually(3*time.Second, "revision 2", allAt([]*Subscriber{node}, 2))
+			w.eventually(3*time.Second, "revision 2", allAtRevision([]*Subscriber{node}, 2))
 		})
 	}
 }
@@ -98,15 +98,15 @@
 			{targets: []string{"c1"}, want: []string{"c1", "c1"}},
 		} {
 			a := newAttachment(test.targets, attachment{random: func() float64 { return 0 }})
-			a.leaveOut("c1", lostFor)
+			a.exclude("c1", silentExclusion)
 			chosen := func() string {
-				c.Assert(a.choose(t.Context()), qt.Equals, eventDial)
+				c.Assert(a.chooseAddress(t.Context()), qt.Equals, eventDial)
 				return a.address
 			}
 			for _, want := range test.want {
 				c.Assert(chosen(), qt.Equals, want)
 			}
-			time.Sleep(lostFor)
+			time.Sleep(silentExclusion)
 			for _, want := range test.later {
 				c.Assert(chosen(), qt.Equals, want)
 			}
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -27,41 +27,41 @@
 	dataCentre  core.DataCentre
 	incarnation core.Incarnation // of a node
 	// confirms wakes the goroutine that runs confirmed reads; nil on a node, which asks its parent instead.
-	confirms *ring.Ring[struct{}]
+	confirmWake *ring.Ring[struct{}]
 
-	views      atomic.Pointer[map[core.ServiceName][]core.Endpoint]
-	handshakes chan struct{}
-	work       sync.WaitGroup
+	endpointsByService atomic.Pointer[map[core.ServiceName][]core.Endpoint]
+	handshakeSlots     chan struct{}
+	goroutines         sync.WaitGroup
 
-	mu        sync.Mutex // guards what follows
-	table     *lease.Table
-	run       core.Incarnation // of a control instance: distinguishes its sums from those of earlier runs
-	evidence  *evidenceStore   // of a control instance
-	pending   pendingSums
-	late      lateness // of a control instance
-	steps     map[core.MoveID]time.Time
-	ownMoves  []core.MoveID // on which this node reports
-	nodes     *nodeStore
-	crashes   *crashStore
-	confirmer *confirmer
-	history   *history
-	current   *record.Configuration
-	children  map[uint64]*child
-	lastLink  uint64
-	uplinks   map[*uplink]bool
-	path      []core.NodeID // from the parent up
+	mu          sync.Mutex // guards what follows
+	table       *lease.Table
+	evidenceRun core.Incarnation // of a control instance: distinguishes its sums from those of earlier runs
+	evidence    *evidenceStore   // of a control instance
+	pending     pendingSums
+	late        lateness // of a control instance
+	steps       map[core.MoveID]time.Time
+	ownMoves    []core.MoveID // on which this node reports
+	nodes       *nodeStore
+	crashes     *crashStore
+	confirmer   *confirmer
+	history     *history
+	current     *record.Configuration
+	children    map[uint64]*child
+	lastLinkID  uint64
+	uplinks     map[*uplink]bool
+	path        []core.NodeID // from the parent up
 	// watchers are closed at the next change of a service's endpoints.
-	watchers map[core.ServiceName]chan struct{}
-	control  core.ControlID
-	stale    bool   // the control instance knows no leader
-	pathTurn uint64 // counts changes of the path
-	attached bool
+	watchers    map[core.ServiceName]chan struct{}
+	control     core.ControlID
+	stale       bool   // the control instance knows no leader
+	pathVersion uint64 // counts changes of the path
+	attached    bool
 	// parentReadsRows says which form of sums the parent reads.
 	parentReadsRows bool
 	all             bool // this node wants the endpoints of all services
 	services        map[core.ServiceName]bool
 	// linger has the subscriptions of lost children, and those that ended while there was no parent, and when they end.
-	linger        map[core.ServiceName]time.Time
+	lingering     map[core.ServiceName]time.Time
 	subscriptions uint64 // counts changes of what this node and its children want
 	complete      bool   // the table has all endpoints, so that digests and removals are final
 	// unsynced are services that this node or its children want and whose endpoints the parent has not sent yet; the value says that the
@@ -71,25 +71,25 @@
 	peerReports map[core.ControlID]peerReport
 	peers       map[core.ControlID]bool
 	// controls are the addresses of the control instances where nodes can attach, if they may differ from the settings.
-	controls []ControlAddress
-	direct   int // nodes of one data centre that may attach to this control instance
+	controls       []ControlAddress
+	maxDirectNodes int // nodes of one data centre that may attach to this control instance
 }
 
 // peerReport is the last acknowledgement of another control instance; until is set once its link is lost.
 type peerReport struct {
 	acknowledge acknowledge
-	link        uint64
-	until       time.Time
+	linkID      uint64
+	expiresAt   time.Time
 }
 
 func newHub(logger zerolog.Logger, meters *meters, network Network) *hub {
 	h := &hub{
-		logger:     logger,
-		meters:     meters,
-		network:    network,
-		handshakes: make(chan struct{}, maxHandshakes),
-		table:      lease.New(),
-		evidence:   newEvidenceStore(),
+		logger:         logger,
+		meters:         meters,
+		network:        network,
+		handshakeSlots: make(chan struct{}, maxHandshakes),
+		table:          lease.New(),
+		evidence:       newEvidenceStore(),
 		pending: pendingSums{
 			counts: make(map[series]pendingSum),
 		},
@@ -102,22 +102,22 @@
 		unsynced:    make(map[core.ServiceName]bool),
 		watchers:    make(map[core.ServiceName]chan struct{}),
 		services:    make(map[core.ServiceName]bool),
-		linger:      make(map[core.ServiceName]time.Time),
+		lingering:   make(map[core.ServiceName]time.Time),
 		uplinks:     make(map[*uplink]bool),
 		peerReports: make(map[core.ControlID]peerReport),
 		peers:       make(map[core.ControlID]bool),
 	}
-	h.views.Store(&map[core.ServiceName][]core.Endpoint{})
+	h.endpointsByService.Store(&map[core.ServiceName][]core.Endpoint{})
 	return h
 }
 
 // start runs a duty on its own goroutine, which the clean-up function waits for.
 func (h *hub) start(duty func()) {
-	h.work.Go(duty)
+	h.goroutines.Go(duty)
 }
 
 // changed publishes what changed and wakes the senders; mu is held.
-func (h *hub) changed() {
+func (h *hub) publishAndWake() {
 	h.publish()
 	for _, c := range h.children {
 		c.wake.TryPush(struct{}{})
@@ -125,8 +125,8 @@
 	for u := range h.uplinks {
 		u.wake.TryPush(struct{}{})
 	}
-	if h.confirms != nil {
-		h.confirms.TryPush(struct{}{})
+	if h.confirmWake != nil {
+		h.confirmWake.TryPush(struct{}{})
 	}
 }
 
@@ -135,7 +135,7 @@
 	if len(dirty) == 0 {
 		return
 	}
-	held := *h.views.Load()
+	held := *h.endpointsByService.Load()
 	next := make(map[core.ServiceName][]core.Endpoint, len(held)+len(dirty))
 	for service, list := range held {
 		next[service] = list
@@ -146,14 +146,14 @@
 			delete(next, service)
 		}
 	}
-	h.views.Store(&next)
+	h.endpointsByService.Store(&next)
 	for _, service := range dirty {
-		h.signal(service)
+		h.notifyWatchers(service)
 	}
 }
 
 // signal wakes those who wait for a change of a service's endpoints; mu is held.
-func (h *hub) signal(service core.ServiceName) {
+func (h *hub) notifyWatchers(service core.ServiceName) {
 	if watcher, exists := h.watchers[service]; exists {
 		close(watcher)
 		delete(h.watchers, service)
@@ -172,18 +172,18 @@
 }
 
 // hold makes a configuration the one that children get; mu is held.
-func (h *hub) hold(configuration *record.Configuration) {
+func (h *hub) setCurrent(configuration *record.Configuration) {
 	h.noteSteps(time.Now(), configuration)
 	h.current = configuration
 	h.history.add(configuration)
 	for _, c := range h.children {
 		h.compareContent(c)
 	}
-	h.changed()
+	h.publishAndWake()
 }
 
 func (h *hub) endpoints(service core.ServiceName) []core.Endpoint {
-	return (*h.views.Load())[service]
+	return (*h.endpointsByService.Load())[service]
 }
 
 func (h *hub) tombstones(service core.ServiceName) []core.Endpoint {
@@ -198,10 +198,10 @@
 }
 
 // subtree adds up the acknowledgements of the children; mu is held.
-func (h *hub) subtree() acknowledge {
+func (h *hub) subtreeAcknowledgement() acknowledge {
 	var sum acknowledge
 	for _, c := range h.children {
-		sum = sum.and(c.acknowledged.subtree())
+		sum = sum.merge(c.acknowledged.subtreeOnly())
 	}
 	return sum
 }
@@ -221,7 +221,7 @@
 			h.nodes.expire(now)
 			h.reportSelf(now)
 			if before != h.table.Position(lease.All)+h.table.Position(lease.Local) {
-				h.changed()
+				h.publishAndWake()
 			}
 			also(now)
 			h.mu.Unlock()
@@ -267,7 +267,7 @@
 	p.next = now.Add(p.interval)
 }
 
-func everything(core.ServiceName) bool { return true }
+func anyService(core.ServiceName) bool { return true }
 
 func (h *hub) childIDs() []core.NodeID {
 	ids := make([]core.NodeID, 0, len(h.children))
@@ -278,7 +278,7 @@
 	return ids
 }
 
-func (h *hub) live() int {
+func (h *hub) liveEndpoints() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Live()
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -100,37 +100,37 @@
 // announce carries changes upwards; Complete says that the upserts are all endpoints that the sender vouches for. Left
 // comes with the first announcement of a link, for a control instance that has restarted.
 type announce struct {
-	Left     []left          `msgpack:"left,omitempty"`
-	Complete bool            `msgpack:"complete,omitempty"`
-	Upserts  upserts         `msgpack:"upserts,omitempty"`
-	Removals []lease.Removal `msgpack:"removals,omitempty"`
+	Tombstones []tombstone     `msgpack:"left,omitempty"`
+	Complete   bool            `msgpack:"complete,omitempty"`
+	Upserts    upserts         `msgpack:"upserts,omitempty"`
+	Removals   []lease.Removal `msgpack:"removals,omitempty"`
 }
 
 // endpoints carries changes downwards. Reset names services whose endpoints are all among the upserts; with Partial, the
 // sender may not know all of them yet, and the receiver removes none. Digest covers all services of the subscription.
 // Answer marks the answer to an endpoints-request.
 type endpoints struct {
-	Answer    bool               `msgpack:"answer,omitempty"`
-	Reset     []core.ServiceName `msgpack:"reset,omitempty"`
-	Partial   bool               `msgpack:"partial,omitempty"`
-	HasDigest bool               `msgpack:"has-digest,omitempty"`
-	Digest    core.Hash          `msgpack:"digest,omitempty"`
-	Upserts   upserts            `msgpack:"upserts,omitempty"`
-	States    []stateChange      `msgpack:"s,omitempty"` // for a child that reads them
-	Removals  []lease.Removal    `msgpack:"removals,omitempty"`
-	Left      []left             `msgpack:"left,omitempty"`
+	Answer     bool               `msgpack:"answer,omitempty"`
+	Reset      []core.ServiceName `msgpack:"reset,omitempty"`
+	Partial    bool               `msgpack:"partial,omitempty"`
+	HasDigest  bool               `msgpack:"has-digest,omitempty"`
+	Digest     core.Hash          `msgpack:"digest,omitempty"`
+	Upserts    upserts            `msgpack:"upserts,omitempty"`
+	States     []stateChange      `msgpack:"s,omitempty"` // for a child that reads them
+	Removals   []lease.Removal    `msgpack:"removals,omitempty"`
+	Tombstones []tombstone        `msgpack:"left,omitempty"`
 }
 
 // keep leaves out what crossed with the end of a subscription: no later message would bring it up to date.
-func (e *endpoints) keep(wanted func(core.ServiceName) bool) {
+func (e *endpoints) filterServices(wanted func(core.ServiceName) bool) {
 	e.Reset = lo.Filter(e.Reset, func(service core.ServiceName, _ int) bool { return wanted(service) })
 	e.Upserts = lo.Filter(e.Upserts, func(endpoint core.Endpoint, _ int) bool { return wanted(endpoint.Service) })
 	e.Removals = lo.Filter(e.Removals, func(removal lease.Removal, _ int) bool { return wanted(removal.Service) })
-	e.Left = lo.Filter(e.Left, func(each left, _ int) bool { return wanted(each.Endpoint.Service) })
+	e.Tombstones = lo.Filter(e.Tombstones, func(each tombstone, _ int) bool { return wanted(each.Endpoint.Service) })
 }
 
 // left is an endpoint that left its service some time ago; an age needs no common clock.
-type left struct {
+type tombstone struct {
 	Endpoint core.Endpoint `msgpack:"endpoint"`
 	AgeMS    int64         `msgpack:"age-ms"`
 }
@@ -156,13 +156,13 @@
 }
 
 // subtree leaves out what only the sender holds.
-func (a acknowledge) subtree() acknowledge {
+func (a acknowledge) subtreeOnly() acknowledge {
 	a.Revision, a.Hash = 0, 0
 	return a
 }
 
 // and adds another subtree and keeps the first one's sender.
-func (a acknowledge) and(other acknowledge) acknowledge {
+func (a acknowledge) merge(other acknowledge) acknowledge {
 	if a.Nodes == 0 {
 		return other
 	}
@@ -182,7 +182,7 @@
 	message any
 }
 
-func configMessage(held position, current *record.Configuration, history *history) outgoing {
+func configMessage(held configVersion, current *record.Configuration, history *history) outgoing {
 	if base := history.find(held); base != nil && held.revision > 0 {
 		return outgoing{
 			kind:    typeConfigDelta,
--- a/io/distribution/meters.go
+++ b/io/distribution/meters.go
@@ -53,7 +53,7 @@
 	}
 	gauge("revision", func() float64 { return float64(h.current.Revision()) })
 	gauge("children", func() float64 { return float64(len(h.children)) })
-	gauge("subtree_nodes", func() float64 { return float64(h.ownAcknowledgement().and(h.subtree()).Nodes) })
+	gauge("subtree_nodes", func() float64 { return float64(h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).Nodes) })
 	gauge("endpoints", func() float64 { return float64(h.table.Live()) })
 	gauge("announcements_refused", func() float64 { return float64(h.table.Refused()) })
 	gauge("evidence_dropped", func() float64 { return float64(h.evidence.dropped + h.pending.dropped) })
--- a/io/distribution/nodes_test.go
+++ b/io/distribution/nodes_test.go
@@ -13,14 +13,14 @@
 // Guards against a list of nodes that misses those deep in the tree or attached to another control instance, and against one
 // that shows a node which went away as if it were there, or hides it at once.
 func TestNodesAreListed(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog, "c2")
 		other := w.source("c2", w.catalog, "c1")
-		nodes := w.nodes(40, func(i int, o *SubscriberOptions) {
+		nodes := w.startNodes(40, func(i int, o *SubscriberOptions) {
 			o.ControlAddresses = []string{[]string{"c1", "c2"}[i%2]}
 			o.Schema = core.SchemaVersion(42 - i)
 		})
-		w.eventually(inForce, "first revision in force", allAt(nodes, 1))
+		w.eventually(convergenceTimeout, "first revision in force", allAtRevision(nodes, 1))
 		w.catalog.set(revision(2))
 		listed := func(s *Source, count int, number core.Revision) func() bool {
 			return func() bool {
@@ -28,7 +28,7 @@
 			}
 		}
 		for _, each := range []*Source{source, other} {
-			w.eventually(inForce, "all nodes at revision 2", listed(each, 40, 2))
+			w.eventually(convergenceTimeout, "all nodes at revision 2", listed(each, 40, 2))
 		}
 		time.Sleep(2 * nodeReportInterval)
 		list := source.Nodes()
--- a/io/distribution/packing_test.go
+++ b/io/distribution/packing_test.go
@@ -14,7 +14,7 @@
 // Guards against links between data centres that are not packed, against packed messages to a child that does not read them,
 // and against work for packing within a data centre.
 func TestLinksBetweenDataCentresArePacked(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		packing, err := newPacking()
 		c.Assert(err, qt.IsNil)
 		w.source("c1", w.catalog) // in no data centre
@@ -42,7 +42,7 @@
 
 // Guards against a child that goes on with plain messages although its parent has agreed to packed ones, and the reverse.
 func TestChildPacksWhatItsParentReads(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		packing, err := newPacking()
 		c.Assert(err, qt.IsNil)
 		for name, test := range map[string]struct {
@@ -59,7 +59,7 @@
 			parent.attach(accept{Packing: test.agreed})
 			// The test's end reads no packed messages.
 			for err = nil; err == nil; {
-				_, err = parent.conn.Receive(time.Now().Add(silenceLimit))
+				_, err = parent.conn.Receive(time.Now().Add(linkTimeout))
 			}
 			c.Check(errors.Is(err, frame.ErrMalformed), qt.Equals, test.packed, qt.Commentf("%s: %v", name, err))
 			w.stop("n-" + name)
--- a/io/distribution/parent.go
+++ b/io/distribution/parent.go
@@ -14,7 +14,7 @@
 
 func (s *Subscriber) receive(u *uplink) error {
 	for {
-		received, err := s.hub.receive(u.conn, silenceLimit)
+		received, err := s.hub.receive(u.conn, linkTimeout)
 		if err != nil {
 			return err
 		}
@@ -51,26 +51,26 @@
 		return nil
 	case typeConfirm:
 		var message confirm
-		err := s.hub.withChild(received, &message, func() {
-			s.hub.confirmer.finish(message.Number, position{
+		err := s.hub.decodeAndHandle(received, &message, func() {
+			s.hub.confirmer.finish(message.Number, configVersion{
 				revision: message.Revision,
 				hash:     message.Hash,
 			})
 			s.checkConfirmed()
-			s.hub.changed()
+			s.hub.publishAndWake()
 		})
-		s.repair()
+		s.resolveCandidate()
 		return err
 	case typeCrashes:
 		var message crashes
-		return s.hub.withChild(received, &message, func() {
-			s.hub.crashed(time.Now(), message, crashOrigin{
-				above: true,
+		return s.hub.decodeAndHandle(received, &message, func() {
+			s.hub.handleCrashes(time.Now(), message, crashOrigin{
+				parent: true,
 			})
 		})
 	case typeEndpoints:
 		var message endpoints
-		return s.hub.withChild(received, &message, func() { s.takeEndpoints(time.Now(), u, message) })
+		return s.hub.decodeAndHandle(received, &message, func() { s.takeEndpoints(time.Now(), u, message) })
 	}
 	s.hub.meters.unknownMessages.Inc()
 	return nil
@@ -88,17 +88,17 @@
 	s.hub.stale, s.hub.parentReadsRows = message.Stale, message.Rows
 	s.hub.path, s.hub.control = message.Path, message.Control
 	if s.hub.attached { // else the answer to the hello is still being looked at
-		if home, elsewhere := s.attach.goHome(message); elsewhere {
-			s.attach.homes = home.Addresses
-			return errGoHome
+		if home, elsewhere := s.attach.redirectToLocal(message); elsewhere {
+			s.attach.localAddresses = home.Addresses
+			return errLocalControlAvailable
 		}
 	}
 	if len(message.Controls) > 0 && len(message.Controls) <= maxDirectChildren {
 		s.hub.controls = message.Controls
-		s.attach.learned.Store(homeFirst(message.Controls, s.options.DataCentre))
+		s.attach.learnedTargets.Store(localFirst(message.Controls, s.options.DataCentre))
 	}
-	s.hub.pathTurn++
-	s.hub.changed()
+	s.hub.pathVersion++
+	s.hub.publishAndWake()
 	return nil
 }
 
@@ -110,9 +110,9 @@
 		return nil
 	}
 	if s.staleFrom < 0 {
-		s.staleFrom = s.attach.turn
+		s.staleFrom = s.attach.nextTarget
 	}
-	if len(message.Path) > 0 || s.attach.turn-s.staleFrom >= len(s.attach.allTargets()) {
+	if len(message.Path) > 0 || s.attach.nextTarget-s.staleFrom >= len(s.attach.allTargets()) {
 		return nil
 	}
 	return errors.Errorf("control instance %q knows no leader", message.Control)
@@ -120,7 +120,7 @@
 
 func (s *Subscriber) takeFull(message record.Full) {
 	held := s.newest.Load()
-	if message.Revision < held.Revision() || positionOf(held) == (position{revision: message.Revision, hash: message.Hash}) {
+	if message.Revision < held.Revision() || configVersionOf(held) == (configVersion{revision: message.Revision, hash: message.Hash}) {
 		return
 	}
 	next, err := record.FromFull(message)
@@ -129,7 +129,7 @@
 		return
 	}
 	if message.Revision == held.Revision() {
-		s.consider(next)
+		s.holdCandidate(next)
 		return
 	}
 	s.switchTo(next)
@@ -168,15 +168,15 @@
 	s.change.Unlock()
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	s.hub.hold(next)
+	s.hub.setCurrent(next)
 	s.checkConfirmed()
 	s.logger.Info().Str("event", "configuration-in-force").Uint64("revision", uint64(next.Revision())).Str("parent", s.parent).
 		Str("control", string(s.hub.control)).Msg("configuration in force")
 }
 
 func (s *Subscriber) checkConfirmed() {
-	if read, ready := s.hub.confirmer.take(ownLink, s.newest.Load().Revision()); ready {
-		s.accepted = position{
+	if read, ready := s.hub.confirmer.takeAnswer(ownLink, s.newest.Load().Revision()); ready {
+		s.accepted = configVersion{
 			revision: read.Revision,
 			hash:     read.Hash,
 		}
@@ -185,8 +185,8 @@
 }
 
 func (s *Subscriber) takeEndpoints(now time.Time, u *uplink, message endpoints) {
-	message.keep(u.wants)
-	s.hub.rememberLeft(now, message.Left)
+	message.filterServices(u.wants)
+	s.hub.rememberLeft(now, message.Tombstones)
 	if len(message.Reset) > 0 && !message.Partial {
 		s.hub.table.Retain(now, parentOwner, message.Upserts, func(service core.ServiceName) bool {
 			return slices.Contains(message.Reset, service)
@@ -201,7 +201,7 @@
 	}
 	same := message.HasDigest && s.compare(u, message)
 	s.noteReset(message)
-	s.hub.changed()
+	s.hub.publishAndWake()
 	if same || message.Answer { // after they were published
 		s.fill.Do(func() { close(s.filledCh) })
 	}
@@ -214,7 +214,7 @@
 		}
 		if !message.Partial {
 			delete(s.hub.unsynced, service)
-			s.hub.signal(service)
+			s.hub.notifyWatchers(service)
 		}
 	}
 	if message.Answer && !message.Partial {
@@ -232,7 +232,7 @@
 	s.hub.complete, s.hub.unsyncedAll = true, false
 	maps.DeleteFunc(s.hub.unsynced, func(_ core.ServiceName, covered bool) bool { return covered })
 	for service := range s.hub.watchers {
-		s.hub.signal(service)
+		s.hub.notifyWatchers(service)
 	}
 }
 
--- a/io/distribution/source.go
+++ b/io/distribution/source.go
@@ -43,7 +43,7 @@
 // NewSource starts the listener for nodes and the links to the other control instances; it returns an error for wrong
 // options or an address in use. The clean-up function waits for all goroutines.
 func NewSource(options SourceOptions) (*Source, func(), error) {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, nil, err
 	}
 	packing, err := newPacking()
@@ -61,13 +61,13 @@
 		links:    make(map[core.ControlID]peerLink),
 	}
 	s.hub.packing, s.hub.dataCentre = packing, options.DataCentre
-	s.hub.direct = options.DirectNodes
+	s.hub.maxDirectNodes = options.DirectNodes
 	s.hub.control = options.ID
-	s.hub.run = core.Incarnation(time.Now().UnixNano())
+	s.hub.evidenceRun = core.Incarnation(time.Now().UnixNano())
 	s.hub.attached = true
-	s.hub.pathTurn = 1
-	s.hub.confirms = s.confirms
-	s.hub.hold(options.Catalog.Current())
+	s.hub.pathVersion = 1
+	s.hub.confirmWake = s.confirms
+	s.hub.setCurrent(options.Catalog.Current())
 	s.hub.watch(options.Metrics)
 	ctx, cancel := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() { _ = listener.Close() })
@@ -81,7 +81,7 @@
 	s.hub.start(func() { s.hub.tick(ctx, func(now time.Time) { s.tick(now, began) }) })
 	return s, func() {
 		cancel()
-		s.hub.work.Wait()
+		s.hub.goroutines.Wait()
 	}, nil
 }
 
@@ -119,18 +119,18 @@
 	}
 	if !slices.Equal(s.hub.controls, addresses) {
 		s.hub.controls = addresses
-		s.hub.pathTurn++
-		s.hub.changed()
+		s.hub.pathVersion++
+		s.hub.publishAndWake()
 	}
 }
 
 func (s *Source) tick(now, began time.Time) {
-	if !s.hub.complete && now.Sub(began) >= startGrace {
+	if !s.hub.complete && now.Sub(began) >= startupGrace {
 		s.hub.complete = true
-		s.hub.changed()
+		s.hub.publishAndWake()
 	}
 	for id, report := range s.hub.peerReports {
-		if !report.until.IsZero() && !now.Before(report.until) {
+		if !report.expiresAt.IsZero() && !now.Before(report.expiresAt) {
 			delete(s.hub.peerReports, id)
 		}
 	}
@@ -143,8 +143,8 @@
 		if s.options.Replicator.Status().Leader != "" {
 			known = time.Now()
 		}
-		s.setStale(time.Since(known) >= leaderlessLimit)
-		pauseFor(ctx, tickInterval)
+		s.setStale(time.Since(known) >= leaderlessTimeout)
+		sleepContext(ctx, tickInterval)
 	}
 }
 
@@ -155,8 +155,8 @@
 		return
 	}
 	s.hub.stale = stale
-	s.hub.pathTurn++
-	s.hub.changed()
+	s.hub.pathVersion++
+	s.hub.publishAndWake()
 	s.options.Logger.Info().Bool("stale", stale).Msg("knowledge of a leader changed")
 }
 
@@ -166,7 +166,7 @@
 		changed := s.options.Catalog.Changed()
 		s.hub.mu.Lock()
 		if newest := s.options.Catalog.Current(); newest.Revision() > s.hub.current.Revision() {
-			s.hub.hold(newest)
+			s.hub.setCurrent(newest)
 		}
 		s.hub.mu.Unlock()
 		select {
@@ -196,7 +196,7 @@
 	if !begun {
 		return false
 	}
-	reading, cancel := context.WithTimeout(ctx, silenceLimit)
+	reading, cancel := context.WithTimeout(ctx, linkTimeout)
 	err := s.options.Replicator.ConfirmRead(reading)
 	cancel()
 	newest := s.options.Catalog.Current()
@@ -207,11 +207,11 @@
 		time.AfterFunc(confirmRetry, func() { s.confirms.TryPush(struct{}{}) })
 		return false
 	}
-	s.hub.confirmer.finish(number, positionOf(newest))
+	s.hub.confirmer.finish(number, configVersionOf(newest))
 	if newest.Revision() > s.hub.current.Revision() {
-		s.hub.hold(newest)
+		s.hub.setCurrent(newest)
 	}
-	s.hub.changed()
+	s.hub.publishAndWake()
 	return true
 }
 
@@ -229,11 +229,11 @@
 		},
 		accept: func(accept) error { return nil },
 		serve: func(ctx context.Context, conn *frame.Conn, _ string) error {
-			u := newUplink(conn, kindControl, s.options.EvidenceEvery)
+			u := newUplink(conn, kindControl, s.options.EvidenceInterval)
 			return s.hub.runUplink(ctx, u, func() error {
 				for {
 					// Only pongs and changed paths arrive, and neither is needed: cumulative sums are sent again.
-					if _, err := s.hub.receive(conn, silenceLimit); err != nil {
+					if _, err := s.hub.receive(conn, linkTimeout); err != nil {
 						return err
 					}
 				}
@@ -252,9 +252,9 @@
 func (s *Source) Fleet() Fleet {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	report := s.hub.subtree()
+	report := s.hub.subtreeAcknowledgement()
 	for _, other := range s.hub.peerReports {
-		report = report.and(other.acknowledge)
+		report = report.merge(other.acknowledge)
 	}
 	return Fleet{
 		Lowest: report.Lowest,
--- a/io/distribution/states.go
+++ b/io/distribution/states.go
@@ -41,7 +41,7 @@
 	for _, e := range list {
 		check := checkOf(e)
 		code := slices.Index(stateCodes, e.State)
-		if told, known := c.told[e.Node]; !c.readsStates || code < 0 || !known || told != check {
+		if told, known := c.sentChecks[e.Node]; !c.readsStates || code < 0 || !known || told != check {
 			full = append(full, e)
 			continue
 		}
@@ -59,7 +59,7 @@
 // tell remembers which endpoints a child has been sent.
 func (c *child) tell(list []core.Endpoint) {
 	for _, e := range list {
-		c.told[e.Node] = checkOf(e)
+		c.sentChecks[e.Node] = checkOf(e)
 	}
 }
 
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -70,7 +70,7 @@
 	sequence  uint64
 	own       core.Endpoint         // zero if nothing is announced
 	candidate *record.Configuration // other content of the revision in force, until a read says which one was accepted
-	accepted  position              // what the last confirmed read saw
+	accepted  configVersion         // what the last confirmed read saw
 	parent    string
 	awaySince time.Time // zero until the first parent is lost
 }
@@ -78,7 +78,7 @@
 // NewSubscriber starts the relay listener and the attachment to the tree; it returns an error for wrong options or an
 // address in use. The clean-up function withdraws the node's endpoint and waits for all goroutines.
 func NewSubscriber(options SubscriberOptions) (*Subscriber, func(), error) {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, nil, err
 	}
 	packing, err := newPacking()
@@ -104,19 +104,19 @@
 	s.hub.relay = options.ID
 	s.hub.incarnation, s.hub.dataCentre = options.Incarnation, options.DataCentre
 	s.hub.schema = options.Schema
-	s.hub.all = !options.OnRequest
-	s.hub.crashes.heard = options.OnCrash
-	s.hub.hold(record.Empty())
+	s.hub.all = !options.OnDemandEndpoints
+	s.hub.crashes.onCrash = options.OnCrash
+	s.hub.setCurrent(record.Empty())
 	s.hub.watch(options.Metrics)
 	s.hub.confirmer.request(ownLink, 1)
 	s.attach = newAttachment(options.ControlAddresses, attachment{
-		hub:    s.hub,
-		home:   options.DataCentre,
-		logger: options.Logger,
-		random: options.Random,
-		hello:  s.hello,
-		accept: s.takePath,
-		serve:  s.serve,
+		hub:             s.hub,
+		localDataCentre: options.DataCentre,
+		logger:          options.Logger,
+		random:          options.Random,
+		hello:           s.hello,
+		accept:          s.takePath,
+		serve:           s.serve,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() { _ = listener.Close() })
@@ -126,7 +126,7 @@
 	return s, func() {
 		s.Withdraw()
 		cancel()
-		s.hub.work.Wait()
+		s.hub.goroutines.Wait()
 	}, nil
 }
 
@@ -154,8 +154,8 @@
 	if !s.hub.attached || s.hub.stale || s.conn == nil {
 		return
 	}
-	if home, elsewhere := s.attach.goHome(accept{Path: s.hub.path, Controls: s.hub.controls}); elsewhere {
-		s.attach.homes = home.Addresses
+	if home, elsewhere := s.attach.redirectToLocal(accept{Path: s.hub.path, Controls: s.hub.controls}); elsewhere {
+		s.attach.localAddresses = home.Addresses
 		s.goesHome = true
 		_ = s.conn.Close()
 	}
@@ -163,7 +163,7 @@
 
 // checkPath refuses a parent that is this node or below it.
 func (s *Subscriber) checkPath(message accept) error {
-	if slices.Contains(message.Path, s.options.ID) || len(message.Path) > maxPath {
+	if slices.Contains(message.Path, s.options.ID) || len(message.Path) > maxPathNodes {
 		return errors.Errorf("parent's path %v leads through this node or is too long", message.Path)
 	}
 	return nil
@@ -171,7 +171,7 @@
 
 // serve uses a link to a parent until it breaks.
 func (s *Subscriber) serve(ctx context.Context, conn *frame.Conn, address string) error {
-	u := newUplink(conn, kindNode, s.options.EvidenceEvery)
+	u := newUplink(conn, kindNode, s.options.EvidenceInterval)
 	s.hub.mu.Lock()
 	u.awayMS = -1
 	if !s.awaySince.IsZero() {
@@ -182,10 +182,10 @@
 	s.hub.releaseUnwanted()
 	if s.hub.stale && len(s.hub.path) == 0 {
 		s.staleFrom = -1 // after the limit, all are tried again
-		expiry := time.AfterFunc(staleLinkLimit, func() { s.leaveStale(conn) })
+		expiry := time.AfterFunc(staleLinkTimeout, func() { s.leaveStale(conn) })
 		defer expiry.Stop()
 	}
-	s.hub.changed()
+	s.hub.publishAndWake()
 	s.hub.mu.Unlock()
 	s.logger.Info().Str("parent", address).Msg("attached")
 
@@ -194,7 +194,7 @@
 	s.hub.mu.Lock()
 	s.parent, s.conn = "", nil
 	if s.goesHome {
-		err = errGoHome
+		err = errLocalControlAvailable
 	}
 	s.hub.attached = false
 	s.hub.confirmer.abandon()
@@ -277,7 +277,7 @@
 	endpoint.Sequence = s.sequence
 	s.own = endpoint
 	s.hub.table.Announce(time.Now(), ownOwner, endpoint)
-	s.hub.changed()
+	s.hub.publishAndWake()
 }
 
 // Withdraw removes the node's endpoint.
@@ -295,7 +295,7 @@
 		Service:     s.own.Service,
 	})
 	s.own = core.Endpoint{}
-	s.hub.changed()
+	s.hub.publishAndWake()
 }
 
 // ReportEvidence passes what the node has counted since its last report towards the control instances, with the moves
@@ -311,7 +311,7 @@
 	for _, count := range counted {
 		s.hub.addEvidence(now, count, 0)
 	}
-	s.hub.changed()
+	s.hub.publishAndWake()
 }
 
 // Bytes returns how many bytes were sent and received over all links.
@@ -322,7 +322,7 @@
 // Status describes the subscriber.
 func (s *Subscriber) Status() Status {
 	held := s.newest.Load()
-	endpoints := s.hub.live()
+	endpoints := s.hub.liveEndpoints()
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	status := Status{
@@ -338,7 +338,7 @@
 
 		CrashReports: len(s.hub.crashes.items),
 	}
-	report := s.hub.ownAcknowledgement().and(s.hub.subtree())
+	report := s.hub.ownAcknowledgement().merge(s.hub.subtreeAcknowledgement())
 	status.SubtreeNodes, status.Lowest = report.Nodes, report.Lowest
 	return status
 }
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -17,9 +17,9 @@
 type lastUse = atomic.Int64
 
 // Subscribe notes that the node uses a service, and asks for its endpoints at the first use and after 10 min without one.
-// It is cheap enough for each call, and has no effect unless the options say OnRequest.
+// It is cheap enough for each call, and has no effect unless the options say OnDemandEndpoints.
 func (s *Subscriber) Subscribe(service core.ServiceName) {
-	if !s.options.OnRequest {
+	if !s.options.OnDemandEndpoints {
 		return
 	}
 	now := time.Now().UnixNano()
@@ -42,13 +42,13 @@
 	s.hub.await(service)
 	s.hub.services[service] = true
 	s.hub.subscriptions++
-	s.hub.changed()
+	s.hub.publishAndWake()
 }
 
 // EndpointsKnown reports whether the node has all endpoints of a service and those that left within the last 10 min, as far
-// as its control instance knows them. Without OnRequest it returns true.
+// as its control instance knows them. Without OnDemandEndpoints it returns true.
 func (s *Subscriber) EndpointsKnown(service core.ServiceName) bool {
-	if !s.options.OnRequest {
+	if !s.options.OnDemandEndpoints {
 		return true
 	}
 	s.hub.mu.Lock()
@@ -57,12 +57,12 @@
 	return s.hub.complete && s.hub.services[service] && !awaited
 }
 
-// expireUses ends the subscriptions of services that have not been used for subscriptionAge; hub.mu is held.
+// expireUses ends the subscriptions of services that have not been used for subscriptionTTL; hub.mu is held.
 func (s *Subscriber) expireUses(now time.Time) {
 	held := *s.uses.Load()
 	next := maps.Clone(held)
 	maps.DeleteFunc(next, func(_ core.ServiceName, used *lastUse) bool {
-		return now.Sub(time.Unix(0, used.Load())) >= subscriptionAge
+		return now.Sub(time.Unix(0, used.Load())) >= subscriptionTTL
 	})
 	if len(next) == len(held) {
 		return
@@ -78,9 +78,9 @@
 
 // expireLinger ends the subscriptions of lost children, and those that ended while there was no parent.
 func (h *hub) expireLinger(now time.Time) {
-	for service, until := range h.linger {
+	for service, until := range h.lingering {
 		if !now.Before(until) {
-			delete(h.linger, service)
+			delete(h.lingering, service)
 			h.release(service)
 		}
 	}
@@ -88,7 +88,7 @@
 
 // wanted reports whether this node or one of its children wants the endpoints of a service.
 func (h *hub) wanted(service core.ServiceName) bool {
-	if _, lingers := h.linger[service]; lingers || h.all || h.services[service] {
+	if _, lingers := h.lingering[service]; lingers || h.all || h.services[service] {
 		return true
 	}
 	for _, c := range h.children {
@@ -113,13 +113,13 @@
 		return
 	}
 	if !h.attached { // nobody could send the endpoints again
-		h.linger[service] = time.Now().Add(lostChildAge)
+		h.lingering[service] = time.Now().Add(lostChildSubscriptionTTL)
 		return
 	}
 	delete(h.unsynced, service)
 	h.table.Forget(parentOwner, service)
 	h.subscriptions++
-	h.changed()
+	h.publishAndWake()
 }
 
 // releaseUnwanted is for a new parent, which sends only what is wanted now.
@@ -135,7 +135,7 @@
 		return
 	}
 	for service := range c.services {
-		h.linger[service] = now.Add(lostChildAge)
+		h.lingering[service] = now.Add(lostChildSubscriptionTTL)
 	}
 	h.subscriptions++
 }
@@ -180,7 +180,7 @@
 
 func (h *hub) allWanted() (wanted map[core.ServiceName]bool, all bool) {
 	wanted, all = maps.Clone(h.services), h.all
-	for service := range h.linger {
+	for service := range h.lingering {
 		wanted[service] = true
 	}
 	for _, c := range h.children {
@@ -201,7 +201,7 @@
 	c.all = c.all || message.All
 	for _, service := range message.Drop {
 		delete(c.services, service)
-		delete(c.leftPending, service)
+		delete(c.tombstonesPending, service)
 		c.newServices = slices.DeleteFunc(c.newServices, func(each core.ServiceName) bool { return each == service })
 		h.release(service)
 	}
@@ -212,23 +212,23 @@
 		c.services[service] = true
 		if !first {
 			c.newServices = append(c.newServices, service)
-			c.leftPending[service] = true
+			c.tombstonesPending[service] = true
 		}
 	}
 	if first || message.All {
 		c.cursor = h.table.Position(lease.All)
 		c.digestDue = true
-		c.leftSince = now.Add(-lease.TombstoneAge)
+		c.tombstonesSince = now.Add(-lease.TombstoneAge)
 		if message.AwayMS >= 0 {
 			// The child saw what left before its link broke; the margin covers the time until it noticed.
-			c.leftSince = now.Add(-time.Duration(message.AwayMS)*time.Millisecond - subtreeGrace)
+			c.tombstonesSince = now.Add(-time.Duration(message.AwayMS)*time.Millisecond - lostSubtreeGrace)
 		}
 		for _, service := range message.Fresh {
-			c.leftPending[service] = c.services[service]
+			c.tombstonesPending[service] = c.services[service]
 		}
 	}
 	h.subscriptions++
-	h.changed() // a relay may have to subscribe to more services itself
+	h.publishAndWake() // a relay may have to subscribe to more services itself
 }
 
 // awaitServices notes what a relay has to subscribe to for a child.
@@ -248,19 +248,19 @@
 
 // leftFor lists the endpoints that left and that a child has not been told of; pending ones are told again until what the
 // child gets is final.
-func (h *hub) leftFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []left {
+func (h *hub) leftFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []tombstone {
 	list := h.leftWithin(now, wanted)
-	return slices.DeleteFunc(list, func(each left) bool {
+	return slices.DeleteFunc(list, func(each tombstone) bool {
 		at := now.Add(-time.Duration(each.AgeMS) * time.Millisecond)
-		return at.Before(c.leftSince) && !c.leftPending[each.Endpoint.Service]
+		return at.Before(c.tombstonesSince) && !c.tombstonesPending[each.Endpoint.Service]
 	})
 }
 
 // leftWithin lists the endpoints that left within lease.TombstoneAge.
-func (h *hub) leftWithin(now time.Time, wanted func(core.ServiceName) bool) []left {
-	var list []left
+func (h *hub) leftWithin(now time.Time, wanted func(core.ServiceName) bool) []tombstone {
+	var list []tombstone
 	for _, each := range h.table.Tombstones(now.Add(-lease.TombstoneAge), wanted) {
-		list = append(list, left{
+		list = append(list, tombstone{
 			Endpoint: each.Endpoint,
 			AgeMS:    now.Sub(each.At).Milliseconds(),
 		})
@@ -268,7 +268,7 @@
 	return list
 }
 
-func (h *hub) rememberLeft(now time.Time, list []left) {
+func (h *hub) rememberLeft(now time.Time, list []tombstone) {
 	for _, each := range list {
 		h.table.Remember(now, lease.Left{
 			Endpoint: each.Endpoint,
--- a/io/distribution/subscriptions_test.go
+++ b/io/distribution/subscriptions_test.go
@@ -10,35 +10,35 @@
 )
 
 // relayed is a leaf below a relay that uses no service, and a node that serves service-0.
-func relayed(w *world) (server, relay, leaf *Subscriber) {
+func relayed(w *cluster) (server, relay, leaf *Subscriber) {
 	onRequest := func(parent string) func(*SubscriberOptions) {
-		return func(o *SubscriberOptions) { o.OnRequest, o.ControlAddresses = true, []string{parent} }
+		return func(o *SubscriberOptions) { o.OnDemandEndpoints, o.ControlAddresses = true, []string{parent} }
 	}
 	server = w.subscriberWith("server", onRequest("c1"))
 	server.Announce(endpoint("service-0", core.EndpointReady))
 	relay = w.subscriberWith("relay", onRequest("c1"))
 	leaf = w.subscriberWith("leaf", onRequest("relay-relay"))
-	w.eventually(inForce, "attached", func() bool { return server.Confirmed() && leaf.Confirmed() })
+	w.eventually(convergenceTimeout, "attached", func() bool { return server.Confirmed() && leaf.Confirmed() })
 	return server, relay, leaf
 }
 
 // Guards against a subscription that is kept for good or ends while it is in use; against endpoints that stay listed after
 // it ended; against live endpoints that count as left then; and against a second use that finds what was known long ago.
 func TestSubscriptionEndsAfterItsLastUse(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		server, relay, leaf := relayed(w)
-		time.Sleep(startGrace)
+		time.Sleep(startupGrace)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known", func() bool { return leaf.EndpointsKnown("service-0") })
-		c.Assert(allHave([]*Subscriber{leaf, relay}, 1)(), qt.IsTrue)
+		c.Assert(allHaveEndpoints([]*Subscriber{leaf, relay}, 1)(), qt.IsTrue)
 		for range 3 {
-			time.Sleep(subscriptionAge - 2*time.Second)
+			time.Sleep(subscriptionTTL - 2*time.Second)
 			leaf.Subscribe("service-0")
-			c.Assert(allHave([]*Subscriber{leaf}, 1)(), qt.IsTrue)
+			c.Assert(allHaveEndpoints([]*Subscriber{leaf}, 1)(), qt.IsTrue)
 		}
-		time.Sleep(subscriptionAge + 2*time.Second)
-		c.Assert(allHave([]*Subscriber{leaf, relay}, 0)(), qt.IsTrue)
+		time.Sleep(subscriptionTTL + 2*time.Second)
+		c.Assert(allHaveEndpoints([]*Subscriber{leaf, relay}, 0)(), qt.IsTrue)
 		c.Assert(leaf.EndpointsKnown("service-0"), qt.IsFalse)
 		c.Assert(leaf.Tombstones("service-0"), qt.HasLen, 0)
 
@@ -49,19 +49,19 @@
 		c.Assert(after-before < 60, qt.IsTrue, qt.Commentf("%d bytes", after-before)) // pings only
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known again", func() bool { return leaf.EndpointsKnown("service-0") })
-		c.Assert(allKnowLeaving([]*Subscriber{leaf}, "server")(), qt.IsTrue)
+		c.Assert(allSeeLeaving([]*Subscriber{leaf}, "server")(), qt.IsTrue)
 	})
 }
 
 // Guards against a node that takes the wrong nodes for the holders of an idempotency key, because it first uses a service
 // after a holder has left, below a relay that never used the service, and after the control instance has restarted.
 func TestLateSubscriptionLearnsWhatLeft(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		server, _, leaf := relayed(w)
-		other := w.subscriberWith("other", func(o *SubscriberOptions) { o.OnRequest = true })
+		other := w.subscriberWith("other", func(o *SubscriberOptions) { o.OnDemandEndpoints = true })
 		other.Subscribe("service-0")
-		time.Sleep(startGrace)
+		time.Sleep(startupGrace)
 		server.Withdraw()
 		w.eventually(3*time.Second, "the departure is known", func() bool { return len(other.Tombstones("service-0")) == 1 })
 		leaf.Subscribe("service-0")
@@ -70,7 +70,7 @@
 
 		w.stop("c1")
 		w.source("c1", w.catalog)
-		late := w.subscriberWith("late", func(o *SubscriberOptions) { o.OnRequest = true })
+		late := w.subscriberWith("late", func(o *SubscriberOptions) { o.OnDemandEndpoints = true })
 		late.Subscribe("service-0")
 		w.eventually(time.Minute, "known", func() bool { return late.EndpointsKnown("service-0") })
 		c.Assert(late.Tombstones("service-0"), qt.HasLen, 1)
@@ -80,23 +80,23 @@
 // Guards against a child that asks a relay without a parent for a service, and takes the relay's silence for a service
 // without endpoints.
 func TestSubscriptionBelowADetachedRelay(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		_, relay, leaf := relayed(w)
-		time.Sleep(startGrace)
+		time.Sleep(startupGrace)
 		w.detach(relay)
 		leaf.Subscribe("service-0")
 		w.always(2*time.Second, "unknown", func() bool { return !leaf.EndpointsKnown("service-0") })
 		w.net.block("c1", false)
-		w.eventually(inForce, "known", func() bool { return leaf.EndpointsKnown("service-0") })
-		c.Assert(allHave([]*Subscriber{leaf}, 1)(), qt.IsTrue)
+		w.eventually(convergenceTimeout, "known", func() bool { return leaf.EndpointsKnown("service-0") })
+		c.Assert(allHaveEndpoints([]*Subscriber{leaf}, 1)(), qt.IsTrue)
 	})
 }
 
 // detach cuts a relay off from the control instance.
-func (w *world) detach(relay *Subscriber) {
+func (w *cluster) detach(relay *Subscriber) {
 	w.net.block("c1", true)
-	for _, conn := range w.net.between(relay.options.RelayAddress) {
+	for _, conn := range w.net.connsOf(relay.options.RelayAddress) {
 		if conn.to == "c1" {
 			_ = conn.Close()
 		}
@@ -106,20 +106,20 @@
 
 // Guards against endpoints that are given up while the control instances are away, so that nobody can send them again.
 func TestEndpointsAreKeptWithoutAParent(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
 		_, relay, leaf := relayed(w)
-		time.Sleep(startGrace)
+		time.Sleep(startupGrace)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known", func() bool { return leaf.EndpointsKnown("service-0") })
 		w.detach(relay)
-		time.Sleep(subscriptionAge + lostChildAge + time.Second)
+		time.Sleep(subscriptionTTL + lostChildSubscriptionTTL + time.Second)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known again", func() bool { return leaf.EndpointsKnown("service-0") })
-		c.Assert(allHave([]*Subscriber{leaf}, 1)(), qt.IsTrue)
+		c.Assert(allHaveEndpoints([]*Subscriber{leaf}, 1)(), qt.IsTrue)
 		w.net.block("c1", false)
-		w.eventually(inForce, "attached again", func() bool { return relay.Status().Parent != "" })
-		time.Sleep(subscriptionAge + lostChildAge + time.Second)
-		c.Assert(allHave([]*Subscriber{leaf, relay}, 0)(), qt.IsTrue)
+		w.eventually(convergenceTimeout, "attached again", func() bool { return relay.Status().Parent != "" })
+		time.Sleep(subscriptionTTL + lostChildSubscriptionTTL + time.Second)
+		c.Assert(allHaveEndpoints([]*Subscriber{leaf, relay}, 0)(), qt.IsTrue)
 	})
 }
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -112,7 +112,7 @@
 		return
 	}
 	h.late.note(now, count.Move, late)
-	count.Node, count.Incarnation = core.NodeID(h.control)+"/"+core.NodeID(count.DataCentre), h.run
+	count.Node, count.Incarnation = core.NodeID(h.control)+"/"+core.NodeID(count.DataCentre), h.evidenceRun
 	h.evidence.add(count)
 }
 
@@ -210,7 +210,7 @@
 	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
 }
 
-// makeRoom begins the numbers of the series again if there may not be enough of them.
+// evictOldest begins the numbers of the series again if there may not be enough of them.
 func (u *uplink) makeRoom(message *sums, more int) {
 	if len(u.series)+more > maxSeries {
 		message.Restart, u.rows, u.named = true, nil, series{}
@@ -304,7 +304,7 @@
 			return errors.Annotate(frame.ErrMalformed, "too many moves")
 		}
 	}
-	h.changed()
+	h.publishAndWake()
 	return nil
 }
 
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -32,7 +32,7 @@
 
 // testHub is a node's, without links.
 func testHub(relay core.NodeID) *hub {
-	h := newHub(zerolog.Nop(), newMeters(orNewSet(nil)), Network{})
+	h := newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{})
 	h.relay, h.current = relay, record.Empty()
 	return h
 }
@@ -48,13 +48,13 @@
 // Guards against counts that are lost or counted twice on the way through relays and between control instances, and
 // against nodes that are hidden in a sum.
 func TestEvidenceIsSummedByRelays(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
-		nodes := w.nodes(20, func(i int, o *SubscriberOptions) {
+		nodes := w.startNodes(20, func(i int, o *SubscriberOptions) {
 			o.ControlAddresses, o.DataCentre = []string{"c1"}, core.DataCentre(fmt.Sprintf("dc-%d", i/18))
 		})
 		nodes = append(nodes, w.subscriber("d", "c2"))
-		w.eventually(inForce, "revision 1", allAt(nodes, 1))
+		w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 		r := &reporter{}
 		for range 5 {
 			for _, n := range nodes[1:] {
@@ -83,15 +83,15 @@
 func TestEvidenceSumsUnderFaults(t *testing.T) {
 	for seed := range *faultSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			run(t, func(c *qt.C, w *world) { sumUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
+			runTest(t, func(c *qt.C, w *cluster) { sumUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
 		})
 	}
 }
 
-func sumUnderFaults(c *qt.C, w *world, random *rand.Rand) {
+func sumUnderFaults(c *qt.C, w *cluster, random *rand.Rand) {
 	sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
-	nodes := w.nodes(24, knowing("c1", "c2"))
-	w.eventually(inForce, "revision 1", allAt(nodes, 1))
+	nodes := w.startNodes(24, withControlAddresses("c1", "c2"))
+	w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 	r := &reporter{}
 	check := func() {
 		for _, s := range sources {
@@ -116,11 +116,11 @@
 			w.stop(string(nodes[i].options.ID))
 			nodes[i] = w.subscriber(nodes[i].options.ID, "c1", "c2")
 		case 1:
-			for _, conn := range w.net.between("relay-" + string(nodes[i].options.ID)) {
+			for _, conn := range w.net.connsOf("relay-" + string(nodes[i].options.ID)) {
 				_ = conn.Close()
 			}
 		case 2:
-			w.net.silence(nodes[i])
+			w.net.dropPackets(nodes[i])
 		}
 		reportAll(1 + random.IntN(5))
 		w.net.block(nodes[i].options.RelayAddress, false)
@@ -139,14 +139,14 @@
 
 // Guards against calls that vanish with a silent link without being named.
 func TestEvidenceInDoubtIsCounted(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
 		node := w.subscriber("a", "c1")
-		w.eventually(inForce, "revision 1", allAt([]*Subscriber{node}, 1))
+		w.eventually(convergenceTimeout, "revision 1", allAtRevision([]*Subscriber{node}, 1))
 		r := &reporter{}
 		for second := range 20 {
 			if second == 8 {
-				w.net.silence(node)
+				w.net.dropPackets(node)
 				w.net.block(node.options.RelayAddress, false)
 			}
 			r.report(node)
@@ -206,10 +206,10 @@
 // meanwhile, and against evidence of a step that arrives after more than 3 s.
 func TestEvidenceOfManyMovesTakesTurns(t *testing.T) {
 	for _, moves := range []int{6, 24} {
-		run(t, func(c *qt.C, w *world) {
+		runTest(t, func(c *qt.C, w *cluster) {
 			source, calls := w.source("c1", w.catalog), make(map[core.MoveID]uint64)
-			nodes := w.nodes(40, knowing("c1"))
-			w.eventually(inForce, "revision 1", allAt(nodes, 1))
+			nodes := w.startNodes(40, withControlAddresses("c1"))
+			w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 			arrived := func(move core.MoveID) (sum uint64) {
 				for _, count := range source.Evidence() {
 					if count.Move == move {
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -113,7 +113,7 @@
 func (h *hub) sendFinal(u *uplink) {
 	messages, _ := h.dueUp(u, time.Now(), true)
 	for _, m := range messages {
-		if err := h.send(u.conn, finalTimeout, m); err != nil {
+		if err := h.send(u.conn, finalSendTimeout, m); err != nil {
 			return
 		}
 	}
@@ -124,8 +124,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	due := h.announcementsDue(u, now, last)
-	if report := h.ownAcknowledgement().and(h.subtree()); last && report != u.acknowledged || u.acknowledgementDue(report, now) {
-		if report.subtree() != u.acknowledged.subtree() {
+	if report := h.ownAcknowledgement().merge(h.subtreeAcknowledgement()); last && report != u.acknowledged || u.acknowledgementDue(report, now) {
+		if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
 			u.acknowledging.sent(now)
 		}
 		u.acknowledged = report
@@ -142,7 +142,7 @@
 	case u.expressing.ready(now) && h.expressWaits(u, now):
 		due = append(due, h.evidenceDue(u, now, express)...)
 	}
-	due = append(due, h.crashesUp(u, now)...)
+	due = append(due, h.crashesForParent(u, now)...)
 	due = append(due, h.nodesDue(u, now)...)
 	if u.kind == kindNode {
 		due = append(due, h.requestsDue(u)...)
@@ -168,10 +168,10 @@
 	if u.expressing.next.Before(next) && h.expressWaits(u, now) {
 		next = u.expressing.next
 	}
-	if at := later(u.batch.urgent, u.waitsUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
+	if at := laterOf(u.batch.nextUrgent, u.waitsUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
 		next = at
 	}
-	if u.acknowledged.subtree() != h.ownAcknowledgement().and(h.subtree()).subtree() && u.acknowledging.next.Before(next) {
+	if u.acknowledged.subtreeOnly() != h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).subtreeOnly() && u.acknowledging.next.Before(next) {
 		next = u.acknowledging.next
 	}
 	return next
@@ -180,7 +180,7 @@
 // acknowledgementDue sends what only this node holds with the next ping: sent at once, it would delay the acknowledgement of
 // the nodes below, which follows a moment later, by the whole interval.
 func (u *uplink) acknowledgementDue(report acknowledge, now time.Time) bool {
-	if report.subtree() != u.acknowledged.subtree() {
+	if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
 		return u.acknowledging.ready(now)
 	}
 	return report != u.acknowledged && u.pinging.ready(now)
@@ -207,22 +207,22 @@
 		return []outgoing{{
 			kind: typeAnnounce,
 			message: announce{
-				Complete: u.kind == kindControl && h.complete,
-				Upserts:  h.table.LocalEndpoints(),
-				Left:     h.leftWithin(now, everything),
+				Complete:   u.kind == kindControl && h.complete,
+				Upserts:    h.table.LocalEndpoints(),
+				Tombstones: h.leftWithin(now, anyService),
 			},
 		}}
 	}
-	if !last && now.Before(u.batch.urgent) {
+	if !last && now.Before(u.batch.nextUrgent) {
 		u.waitsUntil = time.Time{}
 		return nil
 	}
-	changes, reached := h.table.Changes(lease.Local, u.cursor, lease.Owner{}, everything)
+	changes, reached := h.table.Changes(lease.Local, u.cursor, lease.Owner{}, anyService)
 	if !reached {
 		u.announced = false
 		return h.announcementsDue(u, now, last)
 	}
-	if at := u.batch.wait(changes); !last && !changes.Empty() && now.Before(at) {
+	if at := u.batch.dueAt(changes); !last && !changes.Empty() && now.Before(at) {
 		u.waitsUntil = at
 		return nil
 	}
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -25,16 +25,16 @@
 
 func (p *process) newSubscriber(do.Injector) (*distribution.Subscriber, error) {
 	subscriber, cleanup, err := distribution.NewSubscriber(distribution.SubscriberOptions{
-		ID:               p.settings.ID,
-		Incarnation:      p.incarnation,
-		DataCentre:       p.settings.DataCentre,
-		RelayAddress:     p.settings.RelayAddress,
-		ControlAddresses: p.settings.ControlAddresses,
-		OnCrash:          p.suspects.crashed,
-		OnRequest:        true,
-		EvidenceEvery:    p.options.EvidenceEvery,
-		Logger:           p.log,
-		Metrics:          p.metrics,
+		ID:                p.settings.ID,
+		Incarnation:       p.incarnation,
+		DataCentre:        p.settings.DataCentre,
+		RelayAddress:      p.settings.RelayAddress,
+		ControlAddresses:  p.settings.ControlAddresses,
+		OnCrash:           p.suspects.crashed,
+		OnDemandEndpoints: true,
+		EvidenceInterval:  p.options.EvidenceEvery,
+		Logger:            p.log,
+		Metrics:           p.metrics,
 	})
 	return keep(p, subscriber, cleanup, err)
 }
