--- a/io/distribution/admission.go
+++ b/io/distribution/admission.go
@@ -10,10 +10,10 @@
 	"parsleyport/io/frame"
 )
 
-// minRetryAfter is the shortest wait that a full or detached parent asks for; the child adds as much again at random.
+// minRetryAfter is the shortest wait that a full or detached parent asks for; the child adds a random wait of up to the same length.
 const minRetryAfter = 300 * time.Millisecond
 
-// slot is one of the handshakes that may be under way at once.
+// handshakeSlot limits the number of concurrent handshakes; release may be called more than once.
 type handshakeSlot struct {
 	once  sync.Once
 	slots chan struct{}
@@ -29,7 +29,7 @@
 	s.once.Do(func() { <-s.slots })
 }
 
-// admit accepts a child or says where it should go instead.
+// admit accepts a child or returns the redirect or retry-after message to send it.
 func (h *hub) admit(now time.Time, greeting hello, conn *frame.Conn) (*child, outgoing) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +59,7 @@
 func (h *hub) admitPeer(greeting hello, conn *frame.Conn) (*child, outgoing) {
 	id := core.ControlID(greeting.ID)
 	if !h.peers[id] {
-		h.logger.Warn().Str("control", string(id)).Msg("refused a control instance that is not in the settings")
+		h.logger.Warn().Str("control", string(id)).Msg("link refused: the control instance is not in the settings")
 		return nil, h.retryAfterMessage()
 	}
 	h.closeOlderLinks(greeting.ID)
@@ -82,18 +82,18 @@
 	}
 }
 
-// replace closes an older link of a child that is back before the loss of that link was noticed.
+// closeOlderLinks closes earlier links of a child that reconnected before the loss of its link was noticed.
 func (h *hub) closeOlderLinks(id core.NodeID) {
 	for _, c := range h.children {
 		if c.hello.ID == id {
 			_ = c.conn.Close()
-			c.hello.RelayAddress = "" // no redirects to it
+			c.hello.RelayAddress = "" // excludes the child from redirects
 			c.acknowledged = acknowledge{}
 		}
 	}
 }
 
-// full returns the children to which a node of a data centre is redirected, or nil if there is room for it.
+// redirectCandidates returns the children to which a node of a data centre is redirected, or nil if it can attach here.
 func (h *hub) redirectCandidates(dataCentre core.DataCentre) []*child {
 	limit := maxRelayChildren
 	if h.relay == "" {
@@ -112,7 +112,8 @@
 	return candidates
 }
 
-// redirected names the least loaded child first and counts the redirect, so that nodes that come together are spread evenly.
+// redirectMessage lists the least loaded child first and counts the redirect as load, so that nodes that arrive together are
+// spread evenly.
 func (h *hub) redirectMessage(now time.Time, candidates []*child) outgoing {
 	load := make(map[*child]int, len(candidates))
 	for _, c := range candidates {
@@ -144,5 +145,5 @@
 	}
 }
 
-// maxRecentRedirects bounds the remembered redirects of one child.
+// maxRecentRedirects bounds the redirects that are remembered for one child.
 const maxRecentRedirects = 1024
--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -41,32 +41,32 @@
 	eventStop       statechart.Event = "stop"
 )
 
-// errLocalControlAvailable ends a link to a control instance of another data centre.
-const errLocalControlAvailable = errors.ConstError("the own data centre has a control instance")
+// errLocalControlAvailable closes a link to a control instance of another data centre.
+const errLocalControlAvailable = errors.ConstError("a control instance in the node's own data centre is available")
 
-// attachment opens one upward link at a time and opens another when it is lost; one goroutine runs it.
+// attachment keeps one link to a parent open and replaces it when it is lost; a single goroutine runs it.
 type attachment struct {
 	hub     *hub
 	logger  zerolog.Logger
-	targets atomic.Value // []string: where to start, in turn
+	targets atomic.Value // []string: addresses of control instances, tried in turn
 	random  func() float64
 	hello   func() hello
-	accept  func(accept) error // checks the path before the link is used
-	// serve uses the link until it ends.
+	accept  func(accept) error // checks the parent's path before the link is used
+	// serve runs the link until it ends.
 	serve func(ctx context.Context, conn *frame.Conn, address string) error
 
-	learnedTargets   atomic.Value // []ControlAddress: where to start, as the parent says; tried before targets
+	learnedTargets   atomic.Value // []ControlAddress: addresses sent by the parent, tried before targets
 	localDataCentre  core.DataCentre
-	localAddresses   []string     // control instances of the own data centre, when errLocalControlAvailable ends a link
-	lastLocalAttempt time.Time    // latest attempt to attach in the own data centre in place of another one
+	localAddresses   []string     // control instances of the own data centre to try after errLocalControlAvailable
+	lastLocalAttempt time.Time    // when the node last left another data centre to attach in its own
 	state            atomic.Value // statechart.State
 	nextTarget       int
-	redirectQueue    []string // addresses from a redirect, best first
+	redirectQueue    []string // addresses of the latest redirect, least loaded first
 	redirects        int
 	attempts         int
 	wait             time.Duration
 	address          string
-	excludedUntil    map[string]time.Time // addresses that went silent or did not answer, and until when they are left out
+	excludedUntil    map[string]time.Time // by address: the end of the exclusion after a timeout
 	conn             *frame.Conn
 }
 
@@ -82,7 +82,7 @@
 	return a.state.Load().(statechart.State)
 }
 
-// run interprets the chart: each state has one action, and its result is the next event.
+// run executes the state chart: each state has one action, which returns the next event.
 func (a *attachment) run(ctx context.Context) {
 	actions := map[statechart.State]func(context.Context) statechart.Event{
 		stateDetached: a.chooseAddress,
@@ -101,7 +101,7 @@
 		}
 		next, err := attachmentChart.Next(a.current(), event)
 		if err != nil {
-			panic(err) // an action returned an event that the chart does not have
+			panic(err) // an action returned an event that its state does not handle
 		}
 		a.state.Store(next)
 	}
@@ -122,7 +122,7 @@
 		if !a.isExcluded(targets[a.nextTarget%len(targets)]) {
 			break
 		}
-		a.nextTarget++ // all of them, if none is left
+		a.nextTarget++ // if all are excluded, this ends where it began
 	}
 	a.address = targets[a.nextTarget%len(targets)]
 	a.nextTarget++
@@ -130,8 +130,8 @@
 	return eventDial
 }
 
-// exclude keeps an address from costing another time-out: an instance that stands still accepts connections, and others that
-// do not know it yet redirect to it.
+// exclude prevents further timeouts at an address: a process that hangs accepts connections, and nodes that have not noticed yet
+// redirect to it.
 func (a *attachment) exclude(address string, wait time.Duration) {
 	a.excludedUntil[address] = time.Now().Add(wait)
 }
@@ -140,7 +140,7 @@
 	return time.Now().Before(a.excludedUntil[address])
 }
 
-// allTargets has the learned addresses and those of the settings, which may both be outdated.
+// allTargets returns the learned addresses followed by those of the settings; either list may be outdated.
 func (a *attachment) allTargets() []string {
 	known, _ := a.learnedTargets.Load().([]ControlAddress)
 	learned := lo.Map(known, func(c ControlAddress, _ int) string { return c.Address })
@@ -148,13 +148,14 @@
 	return lo.Uniq(slices.Concat(learned, targets))
 }
 
-// localFirst sorts the control instances of a data centre to the front.
+// localFirst moves the control instances of the given data centre to the front.
 func localFirst(controls []ControlAddress, home core.DataCentre) []ControlAddress {
 	own, others := lo.FilterReject(controls, func(c ControlAddress, _ int) bool { return c.DataCentre == home })
 	return append(own, others...)
 }
 
-// redirectToLocal leads a node that has attached directly to a control instance elsewhere to those of its own data centre, now and then.
+// redirectToLocal redirects a node that is attached directly to a control instance of another data centre to those of its own, at
+// most once every localRetryInterval.
 func (a *attachment) redirectToLocal(message accept) (redirect, bool) {
 	if a.localDataCentre == "" || len(message.Path) > 0 || time.Since(a.lastLocalAttempt) < localRetryInterval {
 		return redirect{}, false
@@ -177,7 +178,7 @@
 	conn, err := a.hub.network.Dial(dialing, a.address)
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("dial failed")
-		if isTimeout(err) { // a refusal costs no time
+		if isTimeout(err) { // a refused connection fails at once and needs no exclusion
 			a.exclude(a.address, unansweredExclusion)
 		}
 		a.backOff()
@@ -212,8 +213,8 @@
 		kind:    typeHello,
 		message: greeting,
 	}); err != nil {
-		// A parent that is short of handshakes answers without reading, so its answer may be there all the same.
-		a.logger.Debug().Err(err).Msg("send hello")
+		// A parent without a free handshake slot answers and closes without reading, so its answer may have arrived all the same.
+		a.logger.Debug().Err(err).Msg("sending hello failed")
 	}
 	answer, err := a.hub.receive(a.conn, helloTimeout)
 	if err != nil {
@@ -252,7 +253,7 @@
 	a.redirects++
 	if a.redirects > maxRedirects || len(message.Addresses) == 0 || len(message.Addresses) > maxDirectChildren {
 		a.redirectQueue = nil
-		return errors.Errorf("redirect %d to %d addresses", a.redirects, len(message.Addresses))
+		return errors.Errorf("redirect %d lists %d addresses: too many redirects or a bad number of addresses", a.redirects, len(message.Addresses))
 	}
 	a.redirectQueue = message.Addresses
 	return nil
@@ -290,8 +291,8 @@
 	}
 }
 
-// backOff sets a wait with full jitter: any time up to a bound that doubles once all targets have been tried, so that
-// nodes that lost a parent together spread out, and still find another control instance before they are given up.
+// backOff sets a wait with full jitter: a random time up to a bound that doubles once all targets have been tried. Nodes that
+// lost a parent together spread out and still find another control instance before their endpoints are removed.
 func (a *attachment) backOff() {
 	bound := min(minBackoff<<min(a.attempts/len(a.allTargets()), 10), maxBackoff)
 	a.attempts++
--- a/io/distribution/batch.go
+++ b/io/distribution/batch.go
@@ -8,27 +8,29 @@
 )
 
 const (
-	// endpointBytesPerSecond is how many bytes a second a link may spend on changes of endpoints for long; endpointBurstBytes may go beyond.
-	// With a burst left, changes wait batchInterval at most. It covers the start of 60 nodes: with 512 bytes, the endpoints
-	// of 40 nodes that started together were not known to all within 3 s.
+	// endpointBytesPerSecond is the long-term rate, in bytes a second, at which a link may send endpoint changes, and
+	// endpointBurstBytes the size of its token bucket. While the bucket is not exhausted, changes wait for batchInterval at most. It
+	// covers the start of 60 nodes: with 512 bytes, the endpoints of 40 nodes that started together were not known to all
+	// within 3 s.
 	endpointBytesPerSecond = 30
 	endpointBurstBytes     = 4 << 10
-	// A change passes up to 7 links: 3 up, 1 between control instances and 3 down. On all of them together, one that takes a
-	// backend server out of use waits 2.1 s at most of the 3 s that it has, and any other 10.5 s of 14 s.
+	// throttledUrgentInterval and throttledInterval apply to a link over its budget. A change crosses up to 7 links: 3 up, 1
+	// between control instances and 3 down. Over all of them, a change that takes a backend server out of use waits for 2.1 s of
+	// the 3 s allowed for it, and any other change for 10.5 s of 14 s.
 	throttledUrgentInterval = 300 * time.Millisecond
 	throttledInterval       = 1500 * time.Millisecond
-	// What a message and a change cost, about.
+	// Approximate sizes in bytes of a message without changes, of an endpoint, and of a state change.
 	messageOverheadBytes = 16
 	endpointChangeBytes  = 65
 	stateChangeBytes     = 15
 )
 
-// batcher spaces the messages about changed endpoints of one link. A link that exceeds its budget waits longer, so that
-// more changes share a message and changes that follow each other at one endpoint become one.
+// batcher paces the endpoint changes of one link. A link over its budget waits longer, so that more changes share a message and
+// successive changes of one endpoint are merged.
 type batcher struct {
-	nextUrgent  time.Time // when changes that must not wait may be sent
-	nextRegular time.Time // when all others may be
-	debtBytes   float64   // bytes at the time below
+	nextUrgent  time.Time // when urgent changes may be sent
+	nextRegular time.Time // when other changes may be sent
+	debtBytes   float64   // bytes sent over the budget as of debtAt
 	debtAt      time.Time
 }
 
@@ -42,7 +44,7 @@
 	}
 }
 
-// wait returns when changes may be sent that are not due yet.
+// dueAt returns the earliest time at which the changes may be sent.
 func (b *batcher) dueAt(changes lease.ChangeSet) time.Time {
 	if len(changes.Removals) > 0 {
 		return b.nextUrgent
--- a/io/distribution/confirmer.go
+++ b/io/distribution/confirmer.go
@@ -2,11 +2,12 @@
 
 import "parsleyport/core"
 
-// ownLink is the waiter of the node itself; links of children start at 1.
+// ownLink is the link ID under which the node itself waits; IDs of links to children start at 1.
 const ownLink uint64 = 0
 
-// confirmer joins the confirmation requests of several children into one request upwards or one confirmed read. A
-// request that arrives while a read is under way waits for the next one: the read may have begun before an accepted change.
+// confirmer combines the confirmation requests of several children into one request to the parent or one confirmed read. A
+// request that arrives during a read waits for the next read, since the current one may have begun before the latest change
+// was accepted.
 type confirmer struct {
 	number   uint64
 	inFlight bool
@@ -14,8 +15,8 @@
 }
 
 type waiter struct {
-	number    uint64 // the child's number
-	coveredBy uint64 // the number of the read that began after the request, zero for none yet
+	number    uint64 // of the child's request
+	coveredBy uint64 // number of the read that began after the request, zero if none has begun
 	confirmed bool
 	observed  configVersion
 }
@@ -32,7 +33,7 @@
 	}
 }
 
-// begin starts the next read if a request waits for one and none is under way.
+// begin starts the next read if a request is waiting and no read is under way, and returns the number of the read.
 func (c *confirmer) begin() (uint64, bool) {
 	if c.inFlight {
 		return 0, false
@@ -52,7 +53,7 @@
 	return c.number, true
 }
 
-// finish notes the configuration that the read with the given number saw.
+// finish records the version of the configuration that the read with the given number observed.
 func (c *confirmer) finish(number uint64, saw configVersion) {
 	if !c.inFlight || number != c.number {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// abandon makes unanswered requests wait for a new read, after a read failed or its link was lost.
+// abandon returns unanswered requests to the queue after a read failed or the link that carried it was lost.
 func (c *confirmer) abandon() {
 	c.inFlight = false
 	for _, w := range c.waiters {
@@ -75,7 +76,7 @@
 	}
 }
 
-// take returns a link's answer once the given revision covers it.
+// takeAnswer returns a link's answer once held, the revision that the link has, is at least the one observed.
 func (c *confirmer) takeAnswer(link uint64, held core.Revision) (confirm, bool) {
 	w := c.waiters[link]
 	if w == nil || !w.confirmed || w.observed.revision > held {
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -9,7 +9,7 @@
 	"parsleyport/io/frame"
 )
 
-// The message types of the protocol; a number is never used again for another message.
+// The message types of the protocol. The number of a removed message is not reused.
 const (
 	typeHello frame.Type = iota + 1
 	typeAccept
@@ -40,7 +40,7 @@
 	kindControl linkKind = "control"
 )
 
-// hello opens a link; revision and hash say what the child holds, so that it can resume with a delta.
+// hello opens a link. Revision and Hash identify the configuration that the child holds, so that it can be sent a delta.
 type hello struct {
 	Kind         linkKind           `msgpack:"kind"`
 	ID           core.NodeID        `msgpack:"id"`
@@ -50,20 +50,20 @@
 	Schema       core.SchemaVersion `msgpack:"schema-version"`
 	Revision     core.Revision      `msgpack:"revision"`
 	Hash         core.Hash          `msgpack:"hash"`
-	Packing      frame.PackingID    `msgpack:"packing,omitempty"` // that the child reads
+	Packing      frame.PackingID    `msgpack:"packing,omitempty"` // compression that the child can read
 }
 
-// accept names the nodes from the parent up to the control instance; it is sent again when they change. Stale says that the
-// control instance knows no leader, so that it may be cut off from the others and miss new revisions.
+// accept lists the nodes from the parent up to the control instance; it is sent again when they change. Stale means that the
+// control instance knows no leader, so that it may be partitioned from the others and miss new revisions.
 type accept struct {
 	Path    []core.NodeID  `msgpack:"path"`
 	Control core.ControlID `msgpack:"control"`
 	Stale   bool           `msgpack:"stale,omitempty"`
-	Rows    bool           `msgpack:"rows,omitempty"` // the sender reads rows of sums
+	Rows    bool           `msgpack:"rows,omitempty"` // the sender can read sums in rows
 
-	Packing frame.PackingID `msgpack:"packing,omitempty"` // that both ends use from then on
+	Packing frame.PackingID `msgpack:"packing,omitempty"` // compression that both ends use from then on
 
-	Controls []ControlAddress `msgpack:"controls,omitempty"` // where nodes can attach
+	Controls []ControlAddress `msgpack:"controls,omitempty"` // at which nodes can attach
 }
 
 type redirect struct {
@@ -86,19 +86,20 @@
 	Number uint64 `msgpack:"number"`
 }
 
-// subscribe adds services, or all of them, and ends the subscription of the dropped ones; AwayMS is how long the child was
-// without a parent, negative for a fresh child. Fresh names those of the services whose endpoints the child has never had.
+// subscribe adds services, or all of them, and ends the subscription of the services in Drop. AwayMS is how long the child had
+// no parent, in milliseconds, and negative for a child that had none before. Fresh lists those of the services whose endpoints
+// the child has never received.
 type subscribe struct {
 	Drop     []core.ServiceName `msgpack:"drop,omitempty"`
 	Fresh    []core.ServiceName `msgpack:"fresh,omitempty"`
 	All      bool               `msgpack:"all"`
 	Services []core.ServiceName `msgpack:"services"`
 	AwayMS   int64              `msgpack:"away-ms"`
-	States   bool               `msgpack:"states,omitempty"` // the sender reads state changes
+	States   bool               `msgpack:"states,omitempty"` // the sender can read state changes
 }
 
-// announce carries changes upwards; Complete says that the upserts are all endpoints that the sender vouches for. Left
-// comes with the first announcement of a link, for a control instance that has restarted.
+// announce carries endpoint changes to the parent or to another control instance. Complete means that the upserts are all
+// endpoints of the sender. The first announcement of a link carries Tombstones, since the receiver may have restarted.
 type announce struct {
 	Tombstones []tombstone     `msgpack:"left,omitempty"`
 	Complete   bool            `msgpack:"complete,omitempty"`
@@ -106,9 +107,9 @@
 	Removals   []lease.Removal `msgpack:"removals,omitempty"`
 }
 
-// endpoints carries changes downwards. Reset names services whose endpoints are all among the upserts; with Partial, the
-// sender may not know all of them yet, and the receiver removes none. Digest covers all services of the subscription.
-// Answer marks the answer to an endpoints-request.
+// endpoints carries endpoint changes to a child. Reset lists services whose endpoints are all among the upserts; with Partial,
+// the sender may not know all of them yet, and the receiver removes none. Digest covers all services of the subscription.
+// Answer marks the answer to an endpointsRequest.
 type endpoints struct {
 	Answer     bool               `msgpack:"answer,omitempty"`
 	Reset      []core.ServiceName `msgpack:"reset,omitempty"`
@@ -116,12 +117,13 @@
 	HasDigest  bool               `msgpack:"has-digest,omitempty"`
 	Digest     core.Hash          `msgpack:"digest,omitempty"`
 	Upserts    upserts            `msgpack:"upserts,omitempty"`
-	States     []stateChange      `msgpack:"s,omitempty"` // for a child that reads them
+	States     []stateChange      `msgpack:"s,omitempty"` // only to a child that can read them
 	Removals   []lease.Removal    `msgpack:"removals,omitempty"`
 	Tombstones []tombstone        `msgpack:"left,omitempty"`
 }
 
-// keep leaves out what crossed with the end of a subscription: no later message would bring it up to date.
+// filterServices drops services that are no longer wanted: the message was sent before the parent learned that the
+// subscription had ended, and no later message would update them.
 func (e *endpoints) filterServices(wanted func(core.ServiceName) bool) {
 	e.Reset = lo.Filter(e.Reset, func(service core.ServiceName, _ int) bool { return wanted(service) })
 	e.Upserts = lo.Filter(e.Upserts, func(endpoint core.Endpoint, _ int) bool { return wanted(endpoint.Service) })
@@ -129,24 +131,24 @@
 	e.Tombstones = lo.Filter(e.Tombstones, func(each tombstone, _ int) bool { return wanted(each.Endpoint.Service) })
 }
 
-// left is an endpoint that left its service some time ago; an age needs no common clock.
+// tombstone is an endpoint that left its service; AgeMS is how long ago, in milliseconds, since clocks may differ.
 type tombstone struct {
 	Endpoint core.Endpoint `msgpack:"endpoint"`
 	AgeMS    int64         `msgpack:"age-ms"`
 }
 
-// endpointsRequest asks for the services whose digests differ from those of the parent.
+// endpointsRequest asks for the endpoints of the services whose digests differ from those of the parent.
 type endpointsRequest struct {
 	Digests map[core.ServiceName]core.Hash `msgpack:"digests"`
 }
 
-// evidence carries a control instance's own cumulative sums to the others, and how late they are by move.
+// evidence carries a control instance's own cumulative sums to the other instances, and how late the sums of each move are.
 type evidence struct {
 	Counts []core.EvidenceCount   `msgpack:"counts"`
 	Late   map[core.MoveID]uint64 `msgpack:"late,omitempty"`
 }
 
-// acknowledge describes the sender's subtree, the sender included; Revision and Hash are what the sender itself holds.
+// acknowledge summarises the sender's subtree, the sender included. Revision and Hash identify the sender's own configuration.
 type acknowledge struct {
 	Revision core.Revision      `msgpack:"revision"`
 	Hash     core.Hash          `msgpack:"hash"`
@@ -155,13 +157,13 @@
 	Schema   core.SchemaVersion `msgpack:"schema-version"`
 }
 
-// subtree leaves out what only the sender holds.
+// subtreeOnly clears the fields that describe the sender alone.
 func (a acknowledge) subtreeOnly() acknowledge {
 	a.Revision, a.Hash = 0, 0
 	return a
 }
 
-// and adds another subtree and keeps the first one's sender.
+// merge adds another subtree and keeps the Revision and Hash of the receiver a.
 func (a acknowledge) merge(other acknowledge) acknowledge {
 	if a.Nodes == 0 {
 		return other
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -15,61 +15,64 @@
 	"parsleyport/core/record"
 )
 
-// Intervals and limits of the protocol; the design page gives the reasons for those that it names.
+// Intervals and limits of the protocol.
 const (
 	pingInterval = 600 * time.Millisecond
-	// linkTimeout allows for two lost pings. A node has to find another control instance and catch up within 3 s.
+	// linkTimeout tolerates two lost pings. After it, a node still has to find another control instance and catch up within 3 s.
 	linkTimeout  = 3 * pingInterval
 	writeTimeout = linkTimeout
-	// dialTimeout and helloTimeout are a few times the longest way between regions; an instance without power answers nothing,
-	// and one that stands still accepts a connection.
+	// dialTimeout and helloTimeout are a few times the longest round trip between regions. A host without power does not answer
+	// a dial; a process that hangs accepts the connection and does not answer the hello.
 	dialTimeout      = 700 * time.Millisecond
 	helloTimeout     = dialTimeout
 	finalSendTimeout = 500 * time.Millisecond
 	tickInterval     = 200 * time.Millisecond
 
-	// A change that follows another one waits this long, so that a burst goes out in one frame. One endpoint change costs
-	// each node that sees it about 63 bytes, or 15 if only the state changes.
+	// batchInterval is how long a change that follows another one waits, so that a burst is sent in one frame. One endpoint
+	// change costs about 63 bytes for each node that receives it, or 15 if only the state changes.
 	batchInterval    = 100 * time.Millisecond
 	evidenceInterval = time.Second
 
-	// startupGrace is how long a control instance that has just started sends no removals.
+	// startupGrace is how long a control instance sends no removals after its start.
 	startupGrace = 10 * time.Second
-	// brokenLinkGrace is how long the node at the other end of a broken link stays listed. It may be a short cut of the
-	// connection; a silent link has used up its time already.
+	// brokenLinkGrace is how long the node at the other end of a broken link stays listed: the interruption may be short. A
+	// link that timed out gets no grace period, since the timeout has served as one.
 	brokenLinkGrace = 2 * time.Second
-	// lostSubtreeGrace is how long nodes behind a lost relay stay listed: the longest wait between two attempts to attach is 5 s.
+	// lostSubtreeGrace is how long nodes below a lost relay stay listed; the longest wait between two attempts to attach is 5 s.
 	lostSubtreeGrace = 10 * time.Second
-	// lostControlGrace is how long the nodes of a lost control instance stay listed while they attach elsewhere.
+	// lostControlGrace is how long the nodes of a lost control instance stay listed while they attach to another one.
 	lostControlGrace = 30 * time.Second
 
-	// subscriptionTTL is how long a node gets the endpoints of a service after its last use: the window of the idempotency
-	// keys, so that it sees the holders of every key that it claimed.
+	// subscriptionTTL is how long a node receives the endpoints of a service after its last use. It equals the window of the
+	// idempotency keys, so that the node sees the holders of every key that it claimed.
 	subscriptionTTL = lease.TombstoneAge
-	// lostChildSubscriptionTTL is how long a relay keeps the subscriptions of a child whose link broke, which is likely to come back or
-	// to have moved to another relay.
+	// lostChildSubscriptionTTL is how long a relay keeps the subscriptions of a child whose link broke. The child probably
+	// reconnects or attaches to another relay.
 	lostChildSubscriptionTTL = lostSubtreeGrace
 
-	// leaderlessTimeout is how long a control instance may know no leader before its children look for another one. An election
-	// takes about half as long once the leader is missed; children that leave during a slow one find that the others know no
-	// leader either, and stay with one of them.
+	// leaderlessTimeout is how long a control instance may know no leader before its children look for another instance. An
+	// election takes about half as long once the loss of the leader is noticed. Children that leave during a slow election find
+	// that the other instances know no leader either, and stay with one of them.
 	leaderlessTimeout = 700 * time.Millisecond
-	// staleLinkTimeout is how long a node stays with a control instance without a leader, if it found no better one, before it looks again.
+	// staleLinkTimeout is how long a node stays with a leaderless control instance, if it found no better one, before it tries
+	// the others again.
 	staleLinkTimeout = 30 * time.Second
 
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// redirectWindow is how long a redirected node counts as a child of the relay that it was sent to.
+	// redirectWindow is how long a redirected node counts as a child of the relay to which it was redirected.
 	redirectWindow = 5 * time.Second
-	// localRetryInterval is how long a node stays with a control instance of another data centre after an attempt to attach in its own.
+	// localRetryInterval is how long a node stays with a control instance of another data centre after it tried to attach in
+	// its own data centre.
 	localRetryInterval = 5 * time.Second
-	// silentExclusion is how long an address whose link went silent is left out, in which all others are tried.
+	// silentExclusion is how long an address is excluded after its link timed out; all others are tried in that time.
 	silentExclusion = 5 * time.Second
-	// unansweredExclusion is how long one is left out that did not answer in time: it may have been a part of the network.
+	// unansweredExclusion is how long an address is excluded after a dial or handshake timed out. It is shorter, since a
+	// partition of the network may have been the cause.
 	unansweredExclusion = 2 * time.Second
 
 	maxDirectPerDataCentre = 2
-	maxDirectChildren      = 128 // 64 data centres
+	maxDirectChildren      = 128 // for 64 data centres
 	maxRelayChildren       = 16
 	maxHandshakes          = 32
 	maxPathNodes           = 12
@@ -77,13 +80,13 @@
 	maxSubscriptions       = 4096
 )
 
-// Peer is another control instance and the address where nodes attach to it.
+// Peer names another control instance and the address on which it accepts nodes and other control instances.
 type Peer struct {
 	ID      core.ControlID
 	Address string
 }
 
-// ControlAddress is where nodes attach to a control instance.
+// ControlAddress is an address at which nodes attach to a control instance, and the instance's data centre.
 type ControlAddress struct {
 	Address    string          `msgpack:"address"`
 	DataCentre core.DataCentre `msgpack:"data-centre"`
@@ -101,30 +104,30 @@
 	ListenAddress    string // nodes and other control instances attach here
 	DataCentre       core.DataCentre
 	Peers            []Peer
-	DirectNodes      int           // of one data centre that may attach, zero for 2; others are redirected to those
-	EvidenceInterval time.Duration // between two reports of evidence to the other control instances, zero for 1 s
+	DirectNodes      int           // that may attach directly, for each data centre, zero for 2; further nodes are redirected to them
+	EvidenceInterval time.Duration // of evidence reports to the other control instances, zero for 1 s
 	Catalog          record.Source
-	Replicator       core.Replicator // its status must name the leader while there is one
+	Replicator       core.Replicator // its status names the leader whenever there is one
 	Logger           zerolog.Logger
 	Metrics          *metrics.Set // optional
 	Network          Network      // optional, TCP by default
 }
 
-// SubscriberOptions configure a node's place in the tree.
+// SubscriberOptions configure a Subscriber.
 type SubscriberOptions struct {
 	ID                core.NodeID
 	Incarnation       core.Incarnation
 	DataCentre        core.DataCentre
-	RelayAddress      string // nodes below attach here
+	RelayAddress      string // children attach here
 	ControlAddresses  []string
-	OnCrash           func(at time.Time, report core.CrashReport) // optional; gets each report once and must not block
-	OnDemandEndpoints bool                                        // receive only the endpoints of services in use, see Subscribe; default is all services
+	OnCrash           func(at time.Time, report core.CrashReport) // optional; called once for each report, must not block
+	OnDemandEndpoints bool                                        // receive only the endpoints of services in use, see Subscribe; the default is all services
 	Logger            zerolog.Logger
 	Metrics           *metrics.Set       // optional
 	Network           Network            // optional, TCP by default
 	Random            func() float64     // optional, in [0, 1)
-	Schema            core.SchemaVersion // optional, the newest schema version that the program supports
-	EvidenceInterval  time.Duration      // between two reports of evidence to the parent, zero for 1 s
+	Schema            core.SchemaVersion // the newest schema version that the program supports, zero for record.NewestSchema
+	EvidenceInterval  time.Duration      // of evidence reports to the parent, zero for 1 s
 }
 
 func (o *SourceOptions) validate() error {
@@ -136,7 +139,7 @@
 	}
 	for _, peer := range o.Peers {
 		if peer.ID == "" || peer.ID == o.ID || peer.Address == "" {
-			return errors.Errorf("distribution source: control instance %q at %q: expected another id and an address", peer.ID, peer.Address)
+			return errors.Errorf("distribution source: control instance %q at %q: id must not be empty or the own one, and address is required", peer.ID, peer.Address)
 		}
 	}
 	if o.DirectNodes == 0 {
