--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -14,29 +14,29 @@
 	"parsleyport/io/frame"
 )
 
-// child is a link that another process opened: a node below, or another control instance that reports what is announced to it.
+// child is a link that another process opened: a node below, or another control instance that forwards what is announced to it.
 type child struct {
 	id    uint64
 	hello hello
 	conn  *frame.Conn
-	// packing is zero if messages on the link are not packed.
+	// packing is zero if messages on the link are not compressed.
 	packing frame.PackingID
 	owner   lease.Owner
 	wake    *ring.Ring[struct{}]
 
 	// What follows is guarded by hub.mu.
 	acknowledged     acknowledge
-	recentRedirects  []time.Time // recent redirects to this child
+	recentRedirects  []time.Time // times of recent redirects to this child
 	held             configVersion
-	reported         configVersion // what the child has said that it holds
-	diverged         bool          // it holds another content of the same revision
+	reported         configVersion // configuration that the child last acknowledged
+	diverged         bool          // the child holds other content of the current revision
 	wantsFull        bool
-	offerFull        bool // the child decides whether the content that it holds is the accepted one
+	offerFull        bool // the child finds out which content of the revision was accepted
 	pongsDue         int
 	crashesAt        uint64
 	series           []series
-	rows             []row                  // the last one of each series
-	late             map[core.MoveID]uint64 // of another control instance
+	rows             []row                  // last row of each series
+	late             map[core.MoveID]uint64 // reported by another control instance
 	reporting        map[core.MoveID]int
 	pathVersion      uint64
 	subscribed       bool
@@ -45,17 +45,18 @@
 	cursor           uint64
 	batch            batcher
 	readsStates      bool
-	sentChecks       map[core.NodeID]uint16 // what it was sent, see checkOf
+	sentChecks       map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checkOf
 	digestDue        bool
 	digestFinal      bool
 	tombstonesSince  time.Time
-	requestedDigests map[core.ServiceName]core.Hash // of an unanswered request for endpoints
+	requestedDigests map[core.ServiceName]core.Hash // of an endpointsRequest without an answer yet
 	newServices      []core.ServiceName
-	// tombstonesPending are services subscribed to later, whose endpoints that left have not been sent by a parent that knows all.
+	// tombstonesPending lists services of later subscriptions whose tombstones have not been sent by a parent with a complete
+	// table.
 	tombstonesPending map[core.ServiceName]bool
 }
 
-// serve answers a listener until the context ends.
+// serve accepts links until the context ends.
 func (h *hub) serve(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -63,7 +64,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			sleepContext(ctx, tickInterval) // out of file descriptors, for example; accepting again at once would spin
+			sleepContext(ctx, tickInterval) // avoids a busy loop, for example without free file descriptors
 			continue
 		}
 		select {
@@ -75,7 +76,7 @@
 	}
 }
 
-// rejectBusy answers without reading, so that a crowd of reconnecting nodes costs one small frame for each attempt.
+// rejectBusy answers without reading the hello, so that each attempt of many nodes that reconnect at once costs one small frame.
 func (h *hub) rejectBusy(conn *frame.Conn) {
 	h.meters.retryAfters.Inc()
 	_ = h.send(conn, finalSendTimeout/10, outgoing{
@@ -103,7 +104,7 @@
 	return received, err
 }
 
-// greet holds a handshake slot until the child has been sent what it lacks.
+// handshake holds a handshake slot until the child has been sent all that it lacks.
 func (h *hub) handshake(ctx context.Context, conn *frame.Conn) {
 	defer conn.Close()
 	slot := newHandshakeSlot(h.handshakeSlots)
@@ -133,7 +134,7 @@
 	done := make(chan struct{})
 	h.start(func() {
 		defer close(done)
-		defer c.conn.Close() // ends the receiver
+		defer c.conn.Close() // unblocks the receiver
 		_ = h.sender(sending, c.wake, func(m outgoing) error {
 			return h.send(c.conn, writeTimeout, m)
 		}, func(now time.Time) ([]outgoing, time.Time) {
@@ -148,7 +149,7 @@
 	cancel()
 	_ = c.conn.Close()
 	<-done
-	if ctx.Err() == nil { // a process that stops closes its links itself; its children have not died
+	if ctx.Err() == nil { // a process that stops closes its links itself; its children are alive
 		h.childLost(time.Now(), c, err)
 	}
 }
@@ -165,7 +166,7 @@
 	}
 }
 
-// lose starts the grace periods of what the child announced.
+// childLost starts the grace periods of the endpoints that the child announced.
 func (h *hub) childLost(now time.Time, c *child, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -190,7 +191,7 @@
 	id := core.ControlID(c.hello.ID)
 	report := h.peerReports[id]
 	if report.linkID != c.id {
-		return // it is back on another link
+		return // the instance has reconnected on another link
 	}
 	report.expiresAt = now.Add(lostControlGrace)
 	h.peerReports[id] = report
@@ -202,7 +203,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// handleFromChild ignores message types that a later program may have added.
+// handleFromChild handles one message; it counts and ignores unknown message types, which a newer program may send.
 func (h *hub) handleFromChild(now time.Time, c *child, received frame.Frame) error {
 	switch received.Type {
 	case typePing:
@@ -316,7 +317,7 @@
 	h.publishAndWake()
 }
 
-// completeFor reports whether what a child is sent is final.
+// completeFor reports whether the table has all endpoints that the child wants, so that digests and removals are final.
 func (h *hub) completeFor(c *child) bool {
 	if !h.complete || h.unsyncedAll {
 		return false
@@ -329,7 +330,7 @@
 	return true
 }
 
-// acceptance is the path that a child gets; mu is held.
+// acceptMessage returns the accept message for a child; mu is held.
 func (h *hub) acceptMessage(packing frame.PackingID) accept {
 	path := h.path
 	if h.relay != "" {
--- a/io/distribution/content.go
+++ b/io/distribution/content.go
@@ -2,8 +2,8 @@
 
 import "parsleyport/core/record"
 
-// compareContent notes whether a child holds another content of the same revision than this process, as after a control
-// instance was restored from an old copy of its data folder. The child is offered the full configuration; mu is held.
+// compareContent checks whether a child holds the current revision with other content, as happens after a control instance was
+// restored from an old copy of its data folder. Such a child is offered the full configuration; mu is held.
 func (h *hub) compareContent(c *child) {
 	if c.hello.Kind == kindControl {
 		return
@@ -22,20 +22,20 @@
 		c.wake.TryPush(struct{}{})
 	}
 	event.Str("event", "content-compared").Str("node", string(c.hello.ID)).Uint64("revision", uint64(own.revision)).
-		Bool("differs", diverged).Msg("content of a child's revision compared")
+		Bool("differs", diverged).Msg("compared the content of a child's configuration")
 }
 
-// consider keeps another content of the revision in force until a confirmed read says which one was accepted. Neither
-// this node nor its parent can know: the parent may be the one that is wrong.
+// holdCandidate keeps the current configuration until a confirmed read tells which content of its revision was accepted.
+// Neither this node nor its parent can tell: the parent may hold the wrong one.
 func (s *Subscriber) holdCandidate(candidate *record.Configuration) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	s.candidate, s.accepted = candidate, configVersion{}
-	s.hub.confirmer.request(ownLink, 1) // the number is not sent: requests are joined
+	s.hub.confirmer.request(ownLink, 1) // the number is not sent, since requests are combined
 	s.hub.publishAndWake()
 }
 
-// repair replaces the content in force if the confirmed read saw the other one. It runs on the attachment's goroutine.
+// resolveCandidate switches to the candidate if the confirmed read observed its content. It runs on the attachment's goroutine.
 func (s *Subscriber) resolveCandidate() {
 	s.hub.mu.Lock()
 	candidate, accepted := s.candidate, s.accepted
@@ -51,6 +51,6 @@
 	}
 	s.hub.meters.repairs.Inc()
 	s.logger.Error().Str("event", "content-replaced").Uint64("revision", uint64(accepted.revision)).
-		Msg("content of the revision in force was not the accepted one")
+		Msg("replaced a configuration whose content was not the accepted one")
 	s.switchTo(candidate)
 }
--- a/io/distribution/crashes.go
+++ b/io/distribution/crashes.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxCrashReports bounds the reports held; the oldest are dropped first. A report is about 60 bytes on a link.
+	// maxCrashReports bounds the stored reports; the oldest are dropped first. A report takes about 60 bytes on a link.
 	maxCrashReports   = 1024
 	maxCrashName      = 256
 	maxCrashesInFrame = 256
 )
 
-// crashReport is a report on its way; AgeMS is the time since the crash, since clocks differ.
+// crashReport is a report in transit; AgeMS is the time since the crash in milliseconds, since clocks may differ.
 type crashReport struct {
 	Report core.CrashReport `msgpack:"report"`
 	AgeMS  int64            `msgpack:"age-ms"`
@@ -30,19 +30,19 @@
 	from   crashOrigin
 }
 
-// crashOrigin says over which link a report came, so that it is not sent back: above for the parent, remote for another
-// control instance, link for a child.
+// crashOrigin identifies the link over which a report arrived, so that it is not sent back: parent for the parent, remote for
+// another control instance, link for a child. It is zero for a report of this node.
 type crashOrigin struct {
 	parent bool
 	remote bool
 	link   uint64
 }
 
-// crashStore holds the reports of the last idempotency.Window. Positions count all reports ever added, so that a link
-// can tell which ones it has passed on.
+// crashStore holds the reports of the last idempotency.Window. A report's position is its number among all reports ever added,
+// so that each link remembers up to which position it has forwarded them.
 type crashStore struct {
 	items         []storedCrash // oldest first
-	firstPosition uint64        // position of items[0]
+	firstPosition uint64        // of items[0]
 	known         map[core.CrashReport]bool
 	onCrash       func(at time.Time, report core.CrashReport) // optional
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// add returns false if the report is known or malformed.
+// add stores a report and returns false if it is known, too old or has too long a name.
 func (s *crashStore) add(now, at time.Time, report core.CrashReport, from crashOrigin) bool {
 	s.expire(now)
 	if s.known[report] || len(report.Node)+len(report.Run) > maxCrashName || now.Sub(at) > idempotency.Window {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// forget drops reports from the front; a late report with an old age waits there until those before it are gone.
+// expire drops old reports from the front. A report that arrived late and old stays until those before it have expired.
 func (s *crashStore) expire(now time.Time) {
 	for len(s.items) > 0 && now.Sub(s.items[0].at) > idempotency.Window {
 		s.dropOldest()
@@ -91,7 +91,7 @@
 	return s.firstPosition + uint64(len(s.items))
 }
 
-// since returns the reports behind a position that pass, at most maxCrashesInFrame, and the position behind them.
+// since returns at most maxCrashesInFrame reports from a position on whose origin passes, and the position after the last one.
 func (s *crashStore) since(now time.Time, at uint64, pass func(crashOrigin) bool) ([]crashReport, uint64) {
 	at = max(at, s.firstPosition)
 	var reports []crashReport
@@ -108,7 +108,7 @@
 	return reports, at
 }
 
-// crashed adds what a link brought; mu is held.
+// handleCrashes stores the reports that a link delivered; mu is held.
 func (h *hub) handleCrashes(now time.Time, message crashes, from crashOrigin) {
 	added := false
 	for _, each := range message.Reports {
@@ -120,14 +120,14 @@
 	}
 }
 
-// crashesForParent collects what the parent or another control instance has not heard from here.
+// crashesForParent returns the reports that the parent or another control instance has not been sent.
 func (h *hub) crashesForParent(u *uplink, now time.Time) []outgoing {
 	reports, at := h.crashes.since(now, u.crashesAt, func(from crashOrigin) bool { return !from.parent && !from.remote })
 	u.crashesAt = at
 	return crashMessages(reports)
 }
 
-// crashesForChild collects what a child has not heard.
+// crashesForChild returns the reports that a child has not been sent.
 func (h *hub) crashesForChild(c *child, now time.Time) []outgoing {
 	reports, at := h.crashes.since(now, c.crashesAt, func(from crashOrigin) bool { return from.link != c.id })
 	c.crashesAt = at
@@ -146,7 +146,7 @@
 	}}
 }
 
-// ReportCrash tells the whole fleet that a request was running when a backend server's process ended.
+// ReportCrash reports to all nodes that a request was running when a backend server's process ended.
 func (s *Subscriber) ReportCrash(report core.CrashReport) {
 	now := time.Now()
 	s.hub.mu.Lock()
--- a/io/distribution/downlink.go
+++ b/io/distribution/downlink.go
@@ -12,7 +12,7 @@
 	return c.all || c.services[service]
 }
 
-// dueToChild collects what the child should be sent now.
+// dueToChild returns the messages that are due to a child, and when to check again.
 func (h *hub) dueToChild(c *child, now time.Time) ([]outgoing, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,7 +47,7 @@
 
 func (h *hub) configurationDue(c *child) []outgoing {
 	if !c.wantsFull && !c.offerFull && h.current.Revision() <= c.held.revision {
-		return nil // a child may hold a newer one than a parent that is behind
+		return nil // a parent may be older than its child
 	}
 	held := c.held
 	if c.wantsFull || c.offerFull {
@@ -95,7 +95,7 @@
 		return due, now
 	}
 	if !h.completeFor(c) {
-		changes.Removals = nil // the digest that ends the grace period shows what left
+		changes.Removals = nil // the digest at the end of the grace period covers the removals
 	}
 	if changes.Empty() {
 		c.cursor = changes.Next
@@ -139,7 +139,7 @@
 	}
 }
 
-// differing names the services whose digests the child does not share, those that only one side has included.
+// differingServices returns the services whose digests differ from the child's, and those that only one side has.
 func (h *hub) differingServices(c *child) []core.ServiceName {
 	own := h.table.Digests(c.wants)
 	var services []core.ServiceName
@@ -173,7 +173,7 @@
 	}
 }
 
-// newServicesMessage answers a later subscription.
+// newServicesMessage returns the endpoints and tombstones of services that were added after the first subscription.
 func (h *hub) newServicesMessage(c *child, now time.Time) outgoing {
 	reset := h.resetMessage(c, c.newServices, false)
 	message := reset.message.(endpoints)
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -8,11 +8,11 @@
 
 const (
 	// maxEvidence bounds the sums that a control instance keeps. A move has a few routes and two releases in each data centre
-	// below each control instance; the sums that changed least recently are dropped first.
+	// below each control instance. The sum that changed least recently is evicted first.
 	maxEvidence = 65_536
-	// maxEvidenceName bounds the names in a count, so that maxEvidence bounds the memory too.
+	// maxEvidenceName bounds the average length of a count's names in bytes, so that maxEvidence also bounds the memory.
 	maxEvidenceName = 256
-	// maxCountsPerFrame keeps a frame of evidence under about 100 KB.
+	// maxCountsPerFrame keeps an evidence frame below about 100 KB.
 	maxCountsPerFrame = 500
 )
 
@@ -38,15 +38,15 @@
 
 type evidenceItem struct {
 	count  core.EvidenceCount
-	remote bool // came from another control instance
+	remote bool // received from another control instance
 	change uint64
 }
 
-// evidenceStore is what a control instance knows: its own cumulative sums, and those of the others, of which the one with
-// more calls replaces the other.
+// evidenceStore holds the evidence of a control instance: its own cumulative sums and those of the other instances. Of two
+// versions of another instance's sum, the one with more calls replaces the other.
 type evidenceStore struct {
 	items    map[evidenceKey]*list.Element
-	byChange *list.List // of *evidenceItem, by change
+	byChange *list.List // of *evidenceItem, least recently changed first
 	changes  uint64
 	dropped  uint64
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// add adds what was counted since an earlier report to a cumulative sum.
+// add adds the counts since an earlier report to a cumulative sum.
 func (s *evidenceStore) add(count core.EvidenceCount) {
 	if element := s.items[keyOf(count)]; element != nil {
 		count = sumOf(count, element.Value.(*evidenceItem).count)
@@ -103,7 +103,7 @@
 	s.byChange.MoveToBack(element)
 }
 
-// supersedes compares cumulative counters of one run, none of which ever falls.
+// supersedes compares the cumulative counters of one run; none of them decreases.
 func supersedes(count, held core.EvidenceCount) bool {
 	return count.Calls+count.Crashes+count.Failures > held.Calls+held.Crashes+held.Failures
 }
@@ -116,7 +116,8 @@
 	s.dropped++
 }
 
-// since returns counts that changed after a position, oldest change first, at most maxCountsPerFrame, and the position behind them.
+// since returns at most maxCountsPerFrame own counts that changed after a position, in order of change, and the position of the
+// last change that it covers.
 func (s *evidenceStore) since(at uint64) ([]core.EvidenceCount, uint64) {
 	element := s.byChange.Back()
 	for element != nil && element.Value.(*evidenceItem).change > at {
--- a/io/distribution/history.go
+++ b/io/distribution/history.go
@@ -8,7 +8,7 @@
 // maxHistory bounds the configurations kept as bases of deltas. They share the bodies of unchanged records.
 const maxHistory = 16
 
-// position identifies a configuration.
+// configVersion identifies a configuration by revision and content.
 type configVersion struct {
 	revision core.Revision
 	hash     core.Hash
@@ -21,7 +21,7 @@
 	}
 }
 
-// history keeps the latest configurations, oldest first, and the deltas from them to the newest.
+// history keeps the latest configurations, oldest first, and caches the deltas from them to the newest one.
 type history struct {
 	kept   []*record.Configuration
 	deltas map[configVersion]record.Delta
@@ -29,7 +29,7 @@
 
 func (h *history) add(configuration *record.Configuration) {
 	if last := len(h.kept) - 1; last >= 0 && h.kept[last].Revision() == configuration.Revision() {
-		h.kept = h.kept[:last] // its content was not the accepted one
+		h.kept = h.kept[:last] // replaced: its content was not the accepted one
 	}
 	if last := len(h.kept) - 1; last >= 0 && h.kept[last].Revision() > configuration.Revision() {
 		return
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// delta is computed once for all children that hold the same base.
+// delta returns the delta between two configurations; it is computed once for all children that hold the same base.
 func (h *history) delta(base, current *record.Configuration) record.Delta {
 	at := configVersionOf(base)
 	if delta, cached := h.deltas[at]; cached && delta.ToRevision == current.Revision() {
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -16,31 +16,31 @@
 	"parsleyport/io/frame"
 )
 
-// hub is what a Source and a Subscriber have in common: the state that they pass on, and the links to their children.
+// hub is the part that a Source and a Subscriber share: the state that they distribute and the links to their children.
 type hub struct {
 	logger      zerolog.Logger
 	meters      *meters
 	network     Network
-	packing     *frame.Packing // between data centres
-	relay       core.NodeID    // empty on a control instance
+	packing     *frame.Packing // compression of links between data centres
+	relay       core.NodeID    // the node's ID; empty on a control instance
 	schema      core.SchemaVersion
 	dataCentre  core.DataCentre
-	incarnation core.Incarnation // of a node
-	// confirms wakes the goroutine that runs confirmed reads; nil on a node, which asks its parent instead.
+	incarnation core.Incarnation // only of a node
+	// confirmWake wakes the goroutine that runs confirmed reads. It is nil on a node, which asks its parent instead.
 	confirmWake *ring.Ring[struct{}]
 
 	endpointsByService atomic.Pointer[map[core.ServiceName][]core.Endpoint]
 	handshakeSlots     chan struct{}
 	goroutines         sync.WaitGroup
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	table       *lease.Table
-	evidenceRun core.Incarnation // of a control instance: distinguishes its sums from those of earlier runs
-	evidence    *evidenceStore   // of a control instance
+	evidenceRun core.Incarnation // only of a control instance: tells its sums from those of earlier runs
+	evidence    *evidenceStore   // only of a control instance
 	pending     pendingSums
-	late        lateness // of a control instance
+	late        lateness // only of a control instance
 	steps       map[core.MoveID]time.Time
-	ownMoves    []core.MoveID // on which this node reports
+	ownMoves    []core.MoveID // moves on which this node reports
 	nodes       *nodeStore
 	crashes     *crashStore
 	confirmer   *confirmer
@@ -49,33 +49,34 @@
 	children    map[uint64]*child
 	lastLinkID  uint64
 	uplinks     map[*uplink]bool
-	path        []core.NodeID // from the parent up
-	// watchers are closed at the next change of a service's endpoints.
+	path        []core.NodeID // from the parent up to the control instance
+	// watchers hold one channel for each service, which is closed at the next change of its endpoints.
 	watchers    map[core.ServiceName]chan struct{}
 	control     core.ControlID
 	stale       bool   // the control instance knows no leader
 	pathVersion uint64 // counts changes of the path
 	attached    bool
-	// parentReadsRows says which form of sums the parent reads.
+	// parentReadsRows means that the parent can read sums in rows.
 	parentReadsRows bool
 	all             bool // this node wants the endpoints of all services
 	services        map[core.ServiceName]bool
-	// linger has the subscriptions of lost children, and those that ended while there was no parent, and when they end.
+	// lingering holds subscriptions of lost children, and subscriptions that ended while the node had no parent, with their
+	// expiry times.
 	lingering     map[core.ServiceName]time.Time
-	subscriptions uint64 // counts changes of what this node and its children want
+	subscriptions uint64 // counts changes of the services that this node and its children want
 	complete      bool   // the table has all endpoints, so that digests and removals are final
-	// unsynced are services that this node or its children want and whose endpoints the parent has not sent yet; the value says that the
-	// parent's next digest covers the service. unsyncedAll stands for all services.
+	// unsynced holds the services that this node or its children want and whose endpoints the parent has not sent yet; the value
+	// means that the parent's next digest covers the service. unsyncedAll stands for all services.
 	unsynced    map[core.ServiceName]bool
 	unsyncedAll bool
 	peerReports map[core.ControlID]peerReport
 	peers       map[core.ControlID]bool
-	// controls are the addresses of the control instances where nodes can attach, if they may differ from the settings.
+	// controls lists the addresses at which nodes can attach to control instances; if empty, nodes use those of their settings.
 	controls       []ControlAddress
-	maxDirectNodes int // nodes of one data centre that may attach to this control instance
+	maxDirectNodes int // that may attach to this control instance, for each data centre
 }
 
-// peerReport is the last acknowledgement of another control instance; until is set once its link is lost.
+// peerReport is the last acknowledgement of another control instance; expiresAt is set when its link is lost.
 type peerReport struct {
 	acknowledge acknowledge
 	linkID      uint64
@@ -111,12 +112,12 @@
 	return h
 }
 
-// start runs a duty on its own goroutine, which the clean-up function waits for.
+// start runs a function on its own goroutine, for which the clean-up function waits.
 func (h *hub) start(duty func()) {
 	h.goroutines.Go(duty)
 }
 
-// changed publishes what changed and wakes the senders; mu is held.
+// publishAndWake publishes changed endpoints and wakes the senders of all links; mu is held.
 func (h *hub) publishAndWake() {
 	h.publish()
 	for _, c := range h.children {
@@ -152,7 +153,7 @@
 	}
 }
 
-// signal wakes those who wait for a change of a service's endpoints; mu is held.
+// notifyWatchers closes the channel that was handed out for the next change of a service's endpoints; mu is held.
 func (h *hub) notifyWatchers(service core.ServiceName) {
 	if watcher, exists := h.watchers[service]; exists {
 		close(watcher)
@@ -171,7 +172,7 @@
 	return watcher
 }
 
-// hold makes a configuration the one that children get; mu is held.
+// setCurrent makes a configuration the one that children are sent; mu is held.
 func (h *hub) setCurrent(configuration *record.Configuration) {
 	h.noteSteps(time.Now(), configuration)
 	h.current = configuration
@@ -197,7 +198,7 @@
 	return list
 }
 
-// subtree adds up the acknowledgements of the children; mu is held.
+// subtreeAcknowledgement merges the acknowledgements of the children; mu is held.
 func (h *hub) subtreeAcknowledgement() acknowledge {
 	var sum acknowledge
 	for _, c := range h.children {
@@ -206,7 +207,7 @@
 	return sum
 }
 
-// tick ends grace periods.
+// tick ends grace periods every tickInterval; also runs with mu held.
 func (h *hub) tick(ctx context.Context, also func(now time.Time)) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -229,7 +230,7 @@
 	}
 }
 
-// sender runs steps of a link's sending side: step returns what to send now and when to look again.
+// sender runs the sending side of a link: step returns the messages that are due and when to check again.
 func (h *hub) sender(ctx context.Context, wake *ring.Ring[struct{}], send func(outgoing) error, step func(now time.Time) ([]outgoing, time.Time)) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -241,7 +242,7 @@
 			}
 		}
 		if len(messages) > 0 {
-			continue // something may have changed while the link was slow
+			continue // state may have changed during the sends
 		}
 		timer.Reset(time.Until(again))
 		select {
@@ -253,7 +254,7 @@
 	}
 }
 
-// pacer spaces the messages of one kind.
+// pacer spaces the messages of one kind by a minimum interval.
 type pacer struct {
 	interval time.Duration
 	next     time.Time
