--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -160,15 +160,15 @@
 	if a.localDataCentre == "" || len(message.Path) > 0 || time.Since(a.lastLocalAttempt) < localRetryInterval {
 		return redirect{}, false
 	}
-	atHome := func(c ControlAddress) bool { return c.DataCentre == a.localDataCentre }
-	own := lo.Filter(message.Controls, func(c ControlAddress, _ int) bool { return atHome(c) && !a.isExcluded(c.Address) })
-	here := lo.ContainsBy(own, func(c ControlAddress) bool { return c.Address == a.address })
-	if here || len(own) == 0 {
+	isLocal := func(c ControlAddress) bool { return c.DataCentre == a.localDataCentre }
+	localControls := lo.Filter(message.Controls, func(c ControlAddress, _ int) bool { return isLocal(c) && !a.isExcluded(c.Address) })
+	alreadyLocal := lo.ContainsBy(localControls, func(c ControlAddress) bool { return c.Address == a.address })
+	if alreadyLocal || len(localControls) == 0 {
 		return redirect{}, false
 	}
 	a.lastLocalAttempt = time.Now()
 	return redirect{
-		Addresses: lo.Map(own, func(c ControlAddress, _ int) string { return c.Address }),
+		Addresses: lo.Map(localControls, func(c ControlAddress, _ int) string { return c.Address }),
 	}, true
 }
 
@@ -226,8 +226,8 @@
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		if home, elsewhere := a.redirectToLocal(message); elsewhere {
-			return eventRedirected, a.followRedirect(home)
+		if local, redirected := a.redirectToLocal(message); redirected {
+			return eventRedirected, a.followRedirect(local)
 		}
 		a.conn.Pack(message.Packing)
 		return eventAccepted, a.accept(message)
@@ -242,8 +242,8 @@
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		asked := time.Duration(min(max(message.Milliseconds, 0), maxBackoff.Milliseconds())) * time.Millisecond
-		a.wait = asked + time.Duration(a.random()*float64(asked))
+		requested := time.Duration(min(max(message.Milliseconds, 0), maxBackoff.Milliseconds())) * time.Millisecond
+		a.wait = requested + time.Duration(a.random()*float64(requested))
 		return eventRetryAfter, nil
 	}
 	return "", errors.Errorf("unexpected answer of type %d to hello", answer.Type)
--- a/io/distribution/batch_test.go
+++ b/io/distribution/batch_test.go
@@ -10,8 +10,8 @@
 	"parsleyport/core/lease"
 )
 
-// Guards against a leaving backend server that gets calls for more than 3 s, and a new one that gets none for 14 s, because
-// its change waits on crowded links, and against bytes that grow with each change there.
+// Guards against throttled links that delay a change: a leaving backend server would get calls for more than 3 s and a new one
+// none for 14 s. Also guards against traffic on such links that grows with every change.
 func TestThrottledLinksDeliverLeavingInTime(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog, "c2")
@@ -28,7 +28,7 @@
 		churn(200)
 		before := bytesOf(nodes)
 		churn(200)
-		// A change: 15 B on 17 links and an announcement on 2; besides, a frame of 16 B every 1.5 s on each link and 0.8 KB/s idle.
+		// A change takes 15 B on 17 links and an announcement on 2. Each link also has a frame of 16 B every 1.5 s and 0.8 KB/s idle.
 		for i, after := range bytesOf(nodes) {
 			c.Assert(after-before[i] < 10*9_400, qt.IsTrue, qt.Commentf("node %d: %d B/s", i, (after-before[i])/10))
 		}
@@ -38,7 +38,7 @@
 			churn(54) // 2.7 s
 			c.Assert(allSeeLeaving(nodes, leaving.options.ID)(), qt.IsTrue)
 		}
-		// What the changes of state are based on is lost, so digests have to be compared.
+		// Without its table, the node cannot apply state changes and has to compare digests.
 		nodes[38].hub.mu.Lock()
 		nodes[38].hub.table = lease.New()
 		nodes[38].hub.mu.Unlock()
--- a/io/distribution/content_test.go
+++ b/io/distribution/content_test.go
@@ -8,13 +8,14 @@
 	"parsleyport/core"
 )
 
-// divergedCatalog is what a control instance restored from an old copy may accept under a revision number that nodes hold.
+// divergedCatalog holds other content under a revision number that nodes already have, as a control instance restored from an
+// old copy may accept.
 func divergedCatalog(number core.Revision) *fakeCatalog {
 	return newFakeCatalog(configuration(number, testRecords(4, 77)))
 }
 
-// Guards against nodes that hold another content than the control instances for as long as the revision stays, unseen
-// because the numbers agree.
+// Guards against nodes that hold other content than the control instances for as long as the revision stays, unnoticed because
+// the revision numbers are equal.
 func TestDivergedContentIsReplaced(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.catalog.set(revision(5))
@@ -49,7 +50,7 @@
 	})
 }
 
-// Guards against a node that takes over the content of a parent which is itself the one that is wrong.
+// Guards against a node that takes over the content of its parent when the parent holds the wrong one.
 func TestDivergedContentNeedsAConfirmedRead(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("c1")
--- a/io/distribution/crashes_test.go
+++ b/io/distribution/crashes_test.go
@@ -9,8 +9,8 @@
 	"parsleyport/core"
 )
 
-// Guards against a request that crashes backend servers again and again because only one node knows of the crashes, and
-// against reports that are counted twice or sent round for ever.
+// Guards against a request that repeatedly crashes backend servers because only one node knows of the crashes, and against
+// reports that are counted twice or forwarded in a loop.
 func TestCrashReportsReachEveryNodeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t)
@@ -18,14 +18,14 @@
 		w.source("c1", w.catalog, "c2")
 		w.source("c2", w.catalog, "c1")
 		var mu sync.Mutex // guards heard
-		heard := make(map[core.NodeID]int)
+		received := make(map[core.NodeID]int)
 		start := func(id core.NodeID, control string) *Subscriber {
 			return w.subscriberWith(id, func(o *SubscriberOptions) {
 				o.ControlAddresses = []string{control}
 				o.OnCrash = func(time.Time, core.CrashReport) {
 					mu.Lock()
 					defer mu.Unlock()
-					heard[id]++
+					received[id]++
 				}
 			})
 		}
@@ -34,25 +34,25 @@
 			start(id, "c1") // the fourth node of the data centre is below a relay
 		}
 		start("n5", "c2")
-		everybody := func(nodes int) func() bool {
+		receivedOnceBy := func(nodes int) func() bool {
 			return func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				for _, count := range heard {
+				for _, count := range received {
 					if count != 1 {
 						return false
 					}
 				}
-				return len(heard) == nodes
+				return len(received) == nodes
 			}
 		}
 		report := core.CrashReport{Node: "n1", Run: "r1", Fingerprint: 7}
 		w.eventually(5*time.Second, "attached", reporter.Confirmed)
 		reporter.ReportCrash(report)
 		reporter.ReportCrash(report)
-		w.eventually(3*time.Second, "every node has heard once", everybody(5))
+		w.eventually(3*time.Second, "every node has received the report once", receivedOnceBy(5))
 		time.Sleep(5 * time.Second)
 		start("n6", "c2")
-		w.eventually(5*time.Second, "a node that starts later has heard too", everybody(6))
+		w.eventually(5*time.Second, "a node that starts later has received the report", receivedOnceBy(6))
 	})
 }
--- a/io/distribution/distribution_test.go
+++ b/io/distribution/distribution_test.go
@@ -14,7 +14,7 @@
 	"parsleyport/core/record"
 )
 
-// convergenceTimeout is the target for a change on all nodes, and the time within which a fleet is expected to attach.
+// convergenceTimeout is the target for a change to take effect on all nodes, and the time within which all nodes should attach.
 const convergenceTimeout = 14 * time.Second
 
 func runTest(t *testing.T, test func(c *qt.C, w *cluster)) {
@@ -25,9 +25,9 @@
 	})
 }
 
-// Guards against a pair that does not pass configuration, endpoints and acknowledgements on at all, against a schema version
-// that is retired while a node deep in the tree needs it, and against a fresh node that picks other key holders because it
-// does not know which nodes left before it came.
+// Guards against a source and subscribers that do not pass on configuration, endpoints and acknowledgements; against a schema
+// version that is retired while a node deep in the tree needs it; and against a new node that selects other key holders because
+// it does not know which nodes left before it started.
 func TestSourceAndSubscribers(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
@@ -41,7 +41,7 @@
 		w.eventually(3*time.Second, "endpoints at all nodes", allHaveEndpoints(nodes, 40))
 		time.Sleep(startupGrace)
 		w.stop("n003")
-		w.eventually(3*time.Second, "withdrawn endpoint gone", allHaveEndpoints(nodes[4:], 39))
+		w.eventually(3*time.Second, "withdrawn endpoint removed", allHaveEndpoints(nodes[4:], 39))
 		c.Assert(nodes[39].Tombstones("service-0"), qt.HasLen, 1)
 		c.Assert(every(nodes, (*Subscriber).Confirmed)(), qt.IsTrue)
 
@@ -53,7 +53,7 @@
 	})
 }
 
-// Guards against a reliance on the timing or buffering of the network fake.
+// Guards against behaviour that depends on the timing or buffering of the fake network.
 func TestLoopbackTCP(t *testing.T) {
 	f := newFleet(t, 25)
 	defer f.close()
@@ -83,13 +83,13 @@
 	})
 }
 
-// Guards against a node that takes the configuration of the only reachable parent although that parent is behind.
+// Guards against a node that takes over the older configuration of the only parent that it can reach.
 func TestStaleParentNeverRollsBack(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		behind := newFakeCatalog(revision(3))
+		staleCatalog := newFakeCatalog(revision(3))
 		w.catalog.set(revision(5))
 		w.source("c1", w.catalog)
-		w.source("c2", behind)
+		w.source("c2", staleCatalog)
 		w.net.block("c2", true)
 		node := w.subscriber("n", "c1", "c2")
 		w.eventually(convergenceTimeout, "revision 5", allAtRevision([]*Subscriber{node}, 5))
@@ -97,13 +97,13 @@
 		w.net.block("c2", false)
 		w.eventually(convergenceTimeout, "attached to c2", func() bool { return node.Status().Control == "c2" })
 		w.always(time.Minute, "at revision 5", allAtRevision([]*Subscriber{node}, 5))
-		behind.set(revision(6))
+		staleCatalog.set(revision(6))
 		w.eventually(time.Second, "revision 6", allAtRevision([]*Subscriber{node}, 6))
 	})
 }
 
-// Guards against a delta that is applied to another configuration than it was made for, and against a node that stays
-// behind after such a delta.
+// Guards against a delta that is applied to another base than it was computed from, and against a node that stays at an old
+// revision after such a delta.
 func TestDeltaMismatchFetchesTheFullConfiguration(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
@@ -128,7 +128,7 @@
 	})
 }
 
-// Guards against a configuration with a route that points nowhere, in force as a whole or in part.
+// Guards against a configuration with a dangling reference that takes effect in whole or in part.
 func TestDanglingReferenceIsNeverInForce(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
@@ -141,7 +141,7 @@
 
 		dangling := good.Full()
 		dangling.Revision = 2
-		dangling.Records = dangling.Records[:len(dangling.Records)-3] // without the upstreams
+		dangling.Records = dangling.Records[:len(dangling.Records)-3] // drops the upstreams
 		parent.send(typeConfigFull, dangling)
 		delta := revision(2).DeltaFrom(good)
 		delta.Deletes = []core.RecordKey{{Kind: core.KindService, Name: "service-1", SchemaVersion: 1}}
@@ -153,13 +153,13 @@
 	})
 }
 
-// Guards against a fresh node that serves callers by a read that may be older than what its earlier run served.
+// Guards against a new node that serves callers after a read that may be older than what its previous run served.
 func TestConfirmedOnlyByAReadThatBeganLater(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		release := make(chan struct{})
+		finishRead := make(chan struct{})
 		w.catalog.read = func(ctx context.Context) error {
 			select {
-			case <-release:
+			case <-finishRead:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
@@ -168,21 +168,21 @@
 		w.source("c1", w.catalog)
 		first := w.subscriber("first", "c1")
 		w.eventually(convergenceTimeout, "read for the first node", func() bool { return w.catalog.reads.Load() == 1 })
-		// One is attached beside the first node and one below; the read under way proves nothing for either.
+		// One attaches beside the first node and one below it; the read under way may not confirm either.
 		late := []*Subscriber{w.subscriber("second", "c1"), w.subscriber("third", "c1")}
 		time.Sleep(time.Second)
 		c.Assert(allAtRevision(append(late, first), 1)(), qt.IsTrue)
 		c.Assert(first.Confirmed() || late[0].Confirmed() || late[1].Confirmed(), qt.IsFalse)
 		c.Assert(w.catalog.reads.Load(), qt.Equals, int64(1))
-		release <- struct{}{}
+		finishRead <- struct{}{}
 		w.eventually(time.Second, "first confirmed", first.Confirmed)
 		time.Sleep(time.Second)
 		c.Assert(late[0].Confirmed() || late[1].Confirmed(), qt.IsFalse)
 		c.Assert(w.catalog.reads.Load(), qt.Equals, int64(2))
-		release <- struct{}{}
-		w.eventually(convergenceTimeout, "the others confirmed", func() bool {
+		finishRead <- struct{}{}
+		w.eventually(convergenceTimeout, "second and third confirmed", func() bool {
 			select {
-			case release <- struct{}{}: // the request from below may have missed the second read on its way up
+			case finishRead <- struct{}{}: // the child's request may have arrived after the second read began
 			default:
 			}
 			return every(late, (*Subscriber).Confirmed)()
@@ -190,7 +190,7 @@
 	})
 }
 
-// Guards against a confirmation that counts before the node holds the confirmed revision.
+// Guards against a confirmation that takes effect before the node holds the confirmed revision.
 func TestConfirmedOnlyWithTheRevisionInForce(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
@@ -206,9 +206,9 @@
 	})
 }
 
-// Guards against nodes that stop serving, lose endpoints or trust a fresh start while all control instances are away, against
-// a restarted control instance that removes endpoints which have not been announced to it yet, and against an endpoint that
-// died during the outage and is kept for ever.
+// Guards against nodes that stop serving, lose endpoints or count a new start as confirmed while all control instances are down;
+// against a restarted control instance that removes endpoints which have not been announced to it yet; and against an endpoint
+// that failed during the outage and is never removed.
 func TestAllControlInstancesDown(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
@@ -220,8 +220,8 @@
 		c.Assert(allAtRevision(nodes, 1)(), qt.IsTrue)
 		c.Assert(fresh.Confirmed(), qt.IsFalse)
 
-		dead, rest := nodes[29], append(nodes[:29:29], fresh)
-		w.net.dropPackets(dead)
+		failed, rest := nodes[29], append(nodes[:29:29], fresh)
+		w.net.dropPackets(failed)
 		time.Sleep(time.Minute)
 		w.source("c1", w.catalog)
 		w.always(startupGrace+convergenceTimeout, "endpoints kept", every(nodes[:29], func(n *Subscriber) bool { return len(n.Endpoints("service-0")) >= 29 }))
@@ -230,8 +230,8 @@
 	})
 }
 
-// Guards against a relay whose death costs its subtree the configuration, or the fleet the endpoints below it, and against
-// a dead node that stays listed.
+// Guards against a relay failure that loses the configuration of its subtree or the endpoints below it, and against a failed
+// node that stays listed.
 func TestRelayFailure(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
@@ -243,23 +243,23 @@
 			}
 			return sum + source.hub.meters.fulls.Get()
 		}
-		dead := 0
-		for len(nodes[dead].Status().Path) > 0 {
-			dead++
+		failed := 0
+		for len(nodes[failed].Status().Path) > 0 {
+			failed++
 		}
-		c.Assert(len(nodes[dead].Status().Children) > 1, qt.IsTrue)
-		rest := append(nodes[:dead:dead], nodes[dead+1:]...)
+		c.Assert(len(nodes[failed].Status().Children) > 1, qt.IsTrue)
+		rest := append(nodes[:failed:failed], nodes[failed+1:]...)
 		before := fulls()
 
-		w.net.dropPackets(nodes[dead])
+		w.net.dropPackets(nodes[failed])
 		lost, gone := time.Now(), time.Duration(0)
-		w.always(30*time.Second, "39 endpoints at least", func() bool {
+		w.always(30*time.Second, "at least 39 endpoints", func() bool {
 			if gone == 0 && allHaveEndpoints(rest, 39)() {
 				gone = time.Since(lost)
 			}
 			return len(source.Endpoints("service-0")) >= 39
 		})
-		// Silence is noticed after 3 s; orphans learn of it once they have attached again.
+		// The link timeout takes up to 3 s; orphaned nodes learn of the removal once they have attached again.
 		c.Assert(gone > 0 && gone < convergenceTimeout, qt.IsTrue, qt.Commentf("gone after %v", gone))
 		w.catalog.set(revision(2))
 		w.eventually(time.Second, "revision 2 on the rest", allAtRevision(rest, 2))
@@ -268,19 +268,19 @@
 	})
 }
 
-// Guards against a loop of relays that have no way to a control instance but each other.
+// Guards against a loop of relays that are attached to each other and to no control instance.
 func TestRelayLoopsAreRefused(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		parent := w.rawParent("raw")
 		node := w.subscriber("n", "raw")
 		parent.attach(accept{Path: []core.NodeID{"m", "n"}, Control: "c1"})
 		_, err := parent.conn.Receive(time.Now().Add(time.Second))
-		c.Assert(err, qt.IsNotNil) // the node has closed the link
+		c.Assert(err, qt.IsNotNil) // the node closed the link
 
 		// A detached relay takes no children.
 		w.rawChild("relay-n", hello{ID: "k"}, nil).receive(typeRetryAfter, &retryAfter{})
 
-		// A relay does not take its own ancestor, and leaves a parent that has moved below it.
+		// A relay does not accept its own ancestor, and leaves a parent that has moved below it.
 		parent.attach(accept{Path: []core.NodeID{"m"}, Control: "c1"})
 		w.eventually(time.Second, "attached", func() bool { return node.Status().State == string(stateAttached) })
 		w.rawChild("relay-n", hello{ID: "m"}, nil).receive(typeRetryAfter, &retryAfter{})
@@ -292,15 +292,15 @@
 	})
 }
 
-// Guards against a restarted control instance that hundreds of reconnecting nodes overload with handshakes and full
-// configurations, or keep from bringing a change into force in time.
+// Guards against hundreds of reconnecting nodes that overload a restarted control instance with handshakes and full
+// configurations, or that delay a configuration change.
 func TestReconnectStorm(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		const crowd = 300
+		const nodeCount = 300
 		w.source("c1", w.catalog)
-		nodes := w.startNodes(crowd, func(_ int, o *SubscriberOptions) {
+		nodes := w.startNodes(nodeCount, func(_ int, o *SubscriberOptions) {
 			o.OnDemandEndpoints = true
-			o.Random = func() float64 { return rand.Float64() / 10 } // closer together than the protocol has them
+			o.Random = func() float64 { return rand.Float64() / 10 } // shortens backoff, so that the nodes reconnect closer together
 		})
 		w.eventually(time.Minute, "first revision in force", allAtRevision(nodes, 1))
 		w.stop("c1")
@@ -318,13 +318,13 @@
 		sent, received := source.Bytes()
 		handshakes, turnedAway := source.hub.meters.handshakes.Get(), source.hub.meters.retryAfters.Get()
 		c.Logf("%d nodes: in force after %v, %d dials, %d handshakes at the source, %d at once, %d turned away, %d bytes sent, %d received",
-			crowd, took, w.net.dials.Load()-dials, handshakes, peak, turnedAway, sent, received)
+			nodeCount, took, w.net.dials.Load()-dials, handshakes, peak, turnedAway, sent, received)
 		c.Assert(peak <= 32, qt.IsTrue)
 		c.Assert(turnedAway > 0, qt.IsTrue)
-		// A node comes to the source once, and again if its relay was full or detached.
-		c.Assert(handshakes <= 3*crowd, qt.IsTrue)
+		// A node contacts the source once, and again if its relay was full or detached.
+		c.Assert(handshakes <= 3*nodeCount, qt.IsTrue)
 		c.Assert(source.hub.meters.fulls.Get(), qt.Equals, uint64(0))
-		c.Assert(sent+received <= crowd*4096, qt.IsTrue)
+		c.Assert(sent+received <= nodeCount*4096, qt.IsTrue)
 		w.eventually(convergenceTimeout, "at most three hops from the control instance", every(nodes, func(n *Subscriber) bool {
 			status := n.Status()
 			return status.State == string(stateAttached) && len(status.Path) <= 2
@@ -332,7 +332,7 @@
 	})
 }
 
-// Guards against a crowd that occupies a goroutine and memory for each connection that has not said hello.
+// Guards against connections that take a goroutine and memory each without having sent a hello.
 func TestHandshakesAreBounded(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
@@ -351,21 +351,21 @@
 // Guards against a relay that drops or changes records of a schema version or kind that it does not know.
 func TestUnknownSchemaPassesThroughARelay(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		with := configuration(2, append(testRecords(3, 1),
+		withUnknown := configuration(2, append(testRecords(3, 1),
 			core.Record{Kind: core.KindRoute, Name: "service-0", SchemaVersion: 7, Version: 2, Body: []byte("{\"later\":  [1, 2]}")},
 			core.Record{Kind: "mirror", Name: "new-kind", SchemaVersion: 1, Version: 1, Body: []byte(`"any"`)}))
 		w.source("c1", w.catalog)
 		pair := []*Subscriber{w.subscriber("relay", "c1"), w.subscriber("below", "relay-relay")}
 		w.eventually(convergenceTimeout, "revision 1", allAtRevision(pair, 1))
-		w.catalog.set(with)
+		w.catalog.set(withUnknown)
 		w.eventually(time.Second, "revision 2", allAtRevision(pair, 2))
-		c.Assert(pair[1].Current().Records(), qt.DeepEquals, with.Records())
+		c.Assert(pair[1].Current().Records(), qt.DeepEquals, withUnknown.Records())
 		c.Assert(pair[1].Status().Path, qt.DeepEquals, []core.NodeID{"relay"})
 	})
 }
 
-// Guards against a leaving or dead backend server that gets new work for longer than the target, over two control
-// instances and two data centres.
+// Guards against a leaving or failed backend server that gets new calls for longer than the target, across two control instances
+// and two data centres.
 func TestLeavingIsKnownWithinThreeSeconds(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source, other := w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")
@@ -388,13 +388,13 @@
 			rest = rest[1:]
 		}
 		w.net.dropPackets(rest[0])
-		took = w.eventually(4*time.Second, "death known", allHaveEndpoints(rest[1:], 98))
-		c.Logf("silent death known after %v", took)
+		took = w.eventually(4*time.Second, "failure known", allHaveEndpoints(rest[1:], 98))
+		c.Logf("failure of a silent node known after %v", took)
 	})
 }
 
-// Guards against endpoints that vanish from the rest of the fleet while the nodes of a lost control instance attach elsewhere,
-// and against the acknowledgements of that instance that stay for ever.
+// Guards against endpoints that other nodes lose while the nodes of a failed control instance attach to another one, and against
+// acknowledgements of the failed instance that are counted for ever.
 func TestControlInstanceFails(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog, "c2")
@@ -410,23 +410,23 @@
 	})
 }
 
-// Guards against nodes that stay behind for as long as their control instance is cut off from the others, and against
-// nodes that stay detached because no control instance has a leader.
+// Guards against nodes that keep an old revision for as long as their control instance is partitioned from the others, and
+// against nodes that stay detached because no control instance knows a leader.
 func TestControlInstanceWithoutLeader(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		cutOff := newFakeCatalog(revision(1))
+		partitioned := newFakeCatalog(revision(1))
 		source := w.source("c1", w.catalog, "c2")
-		w.source("c2", cutOff, "c1")
+		w.source("c2", partitioned, "c1")
 		nodes := w.startNodes(20, withControlAddresses("c1", "c2"))
 		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 20))
-		cutOff.leaderless.Store(true)
+		partitioned.leaderless.Store(true)
 		w.catalog.set(revision(2))
 		w.eventually(convergenceTimeout, "revision 2 everywhere", allAtRevision(nodes, 2))
 
 		w.catalog.leaderless.Store(true)
 		w.stop("c2")
 		w.always(2*time.Minute, "endpoints kept", allHaveEndpoints(nodes, 20))
-		w.eventually(3*time.Second, "attached to the one that is left", func() bool { return source.Fleet().Nodes == 20 })
+		w.eventually(3*time.Second, "attached to the remaining control instance", func() bool { return source.Fleet().Nodes == 20 })
 		nodes[0].Announce(endpoint("service-0", core.EndpointLeaving))
 		w.eventually(3*time.Second, "leaving known", allSeeLeaving(nodes, "n000"))
 		w.catalog.leaderless.Store(false)
@@ -435,7 +435,7 @@
 	})
 }
 
-// Guards against a child that does not read and so delays its siblings.
+// Guards against a child that does not read and thereby delays its siblings.
 func TestSlowChildDoesNotDelaySiblings(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
@@ -451,7 +451,8 @@
 	})
 }
 
-// Guards against a node at large sizes that gets, or does not get, the endpoints of services it did not ask for.
+// Guards against a node with on-demand endpoints that receives endpoints of services it did not ask for, or misses those of
+// services it did.
 func TestEndpointsOnDemand(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
@@ -464,7 +465,7 @@
 			}
 		}
 		leaf.Announce(endpoint("service-1", core.EndpointReady))
-		w.always(time.Second, "only its own", func() bool { return leaf.hub.liveEndpoints() == 1 })
+		w.always(time.Second, "only its own endpoint", func() bool { return leaf.hub.liveEndpoints() == 1 })
 		leaf.Subscribe("service-0")
 		w.eventually(2*time.Second, "endpoints of the service", allHaveEndpoints([]*Subscriber{leaf}, 5))
 		for _, n := range nodes {
@@ -476,7 +477,7 @@
 	})
 }
 
-// Guards against a relay that has not asked for a service itself and passes for one that knows it to have no endpoints.
+// Guards against a relay that has not subscribed to a service yet and answers its child that the service has no endpoints.
 func TestReattachKeepsEndpoints(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
--- a/io/distribution/fakes_test.go
+++ b/io/distribution/fakes_test.go
@@ -22,16 +22,16 @@
 
 const (
 	fakeDelay  = 5 * time.Millisecond // one way
-	fakeBuffer = 16                   // writes that a connection holds, as a kernel's buffers do
+	fakeBuffer = 16                   // writes that a connection buffers, like a kernel
 )
 
-// fakeNet joins processes by name within the test.
+// fakeNet connects the processes of a test by name.
 type fakeNet struct {
 	mu        sync.Mutex
 	listeners map[string]*fakeListener
 	conns     map[*fakeConn]bool
-	blocked   map[string]bool // addresses that cannot be dialed, and processes that cannot dial
-	frozen    map[string]bool // addresses that accept connections and answer nothing
+	blocked   map[string]bool // addresses that refuse connections, and processes that cannot dial
+	frozen    map[string]bool // addresses that accept connections and do not answer
 	dials     atomic.Int64
 }
 
@@ -67,15 +67,15 @@
 // fakeConn is one end of a connection.
 type fakeConn struct {
 	net.Conn
-	from, to          string // the process that dialed, and the address
+	from, to          string // the dialing process and the dialed address
 	peer              *fakeConn
 	in                chan packet
 	unread            []byte
 	closed            chan struct{}
 	close             func()
 	deadline, writeBy atomic.Value // time.Time
-	silent            atomic.Bool  // loses what is written, as a dead host does
-	stalled           atomic.Bool  // its process does not read
+	silent            atomic.Bool  // drops writes, like a host without power
+	stalled           atomic.Bool  // the process does not read
 	extraDelay        atomic.Int64 // added to the delay
 }
 
@@ -94,7 +94,7 @@
 		} else if c.peer.silent.Load() {
 			end = nil
 		} else if len(in) > 0 {
-			end = nil // what was written before the end comes first
+			end = nil // data written before the close is read first
 		}
 		select {
 		case <-c.closed:
@@ -147,7 +147,7 @@
 	return c
 }
 
-// network is what the process with the given name uses.
+// network returns the Network of the process with the given name.
 func (n *fakeNet) network(name string) Network {
 	return Network{
 		Listen: func(address string) (net.Listener, error) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// between returns both ends of the connections that a process dialed or that were dialed to it, of all if the name is empty.
+// connsOf returns both ends of all connections that a process dialed or accepted, or of all connections if the name is empty.
 func (n *fakeNet) connsOf(name string) []*fakeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -201,7 +201,7 @@
 	n.blocked[name] = blocked
 }
 
-// freeze stops a process: its connections stay, and others are opened to it, but it neither sends nor accepts any.
+// freeze stops a process: it neither sends nor accepts anything, but its connections stay open and it can still be dialed.
 func (n *fakeNet) freeze(name string) {
 	n.mu.Lock()
 	n.frozen[name] = true
@@ -211,7 +211,7 @@
 	}
 }
 
-// silence makes a node vanish without closing its connections.
+// dropPackets makes a node unreachable without closing its connections.
 func (n *fakeNet) dropPackets(s *Subscriber) {
 	n.block(s.options.RelayAddress, true)
 	for _, c := range n.connsOf(s.options.RelayAddress) {
@@ -219,7 +219,7 @@
 	}
 }
 
-// fakeCatalog is a record.Source and core.Replicator whose confirmed reads the test can hold up.
+// fakeCatalog is a record.Source and core.Replicator whose confirmed reads a test can block.
 type fakeCatalog struct {
 	core.Replicator
 	mu         sync.Mutex
@@ -269,7 +269,7 @@
 	return core.ReplicatorStatus{Leader: "c1"}
 }
 
-// testRecords are services with an upstream, a policy and a route each; the number is the version of the first record.
+// testRecords returns services with an upstream, a policy and a route each; number is the version of the first record.
 func testRecords(services int, number core.Revision) []core.Record {
 	var records []core.Record
 	add := func(kind core.Kind, name string, body any) {
@@ -303,7 +303,7 @@
 	return configuration(number, testRecords(3, number))
 }
 
-// world starts sources and subscribers on one network and stops what is left at the end of the test.
+// cluster starts sources and subscribers on one network and stops the remaining ones at the end of the test.
 type cluster struct {
 	t       testing.TB
 	net     *fakeNet
@@ -317,7 +317,7 @@
 	return &cluster{t: t, net: fake, network: fake.network, catalog: newFakeCatalog(revision(1)), stops: make(map[string]func())}
 }
 
-// loopback makes the network TCP, with a port for each name.
+// loopback replaces the fake network by TCP, with a port for each name.
 func (w *cluster) loopback() {
 	var ports sync.Map
 	w.network = func(string) Network {
@@ -385,7 +385,7 @@
 	return s
 }
 
-// nodes starts nodes n000, n001 and so on, all of which announce service-0.
+// startNodes starts nodes n000, n001 and so on, each of which announces service-0.
 func (w *cluster) startNodes(count int, change func(i int, o *SubscriberOptions)) []*Subscriber {
 	var list []*Subscriber
 	for i := range count {
@@ -396,12 +396,12 @@
 	return list
 }
 
-// knowing gives nodes the addresses of control instances.
+// withControlAddresses sets the addresses of the control instances in the options of a node.
 func withControlAddresses(controls ...string) func(int, *SubscriberOptions) {
 	return func(_ int, o *SubscriberOptions) { o.ControlAddresses = controls }
 }
 
-// eventually waits, in the time of the test, until a condition holds and returns how long that took.
+// eventually waits until a condition holds and returns how long that took by the clock of the test.
 func (w *cluster) eventually(limit time.Duration, what string, holds func() bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
@@ -439,7 +439,7 @@
 	return every(list, func(s *Subscriber) bool { return s.Current().Revision() == number })
 }
 
-// allHaveEndpoints counts the endpoints of service-0.
+// allHaveEndpoints compares the number of endpoints of service-0.
 func allHaveEndpoints(list []*Subscriber, count int) func() bool {
 	return every(list, func(s *Subscriber) bool { return len(s.Endpoints("service-0")) == count })
 }
@@ -459,7 +459,7 @@
 	})
 }
 
-// rawPeer is one end of a link whose messages the test chooses.
+// rawPeer is one end of a link that sends and receives the messages that the test chooses.
 type rawPeer struct {
 	t        testing.TB
 	listener net.Listener
@@ -491,7 +491,7 @@
 	}
 	greeting.Kind, greeting.RelayAddress = kindNode, "raw-child"
 	p := &rawPeer{t: w.t, conn: frame.New(conn, packing)}
-	// A parent that is short of handshakes answers and closes without reading; what the test receives tells.
+	// A parent without a free handshake slot answers and closes without reading; the message that the test receives shows it.
 	_ = p.conn.Send(time.Time{}, typeHello, greeting)
 	return p
 }
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -113,8 +113,8 @@
 }
 
 // start runs a function on its own goroutine, for which the clean-up function waits.
-func (h *hub) start(duty func()) {
-	h.goroutines.Go(duty)
+func (h *hub) start(run func()) {
+	h.goroutines.Go(run)
 }
 
 // publishAndWake publishes changed endpoints and wakes the senders of all links; mu is held.
@@ -207,8 +207,8 @@
 	return sum
 }
 
-// tick ends grace periods every tickInterval; also runs with mu held.
-func (h *hub) tick(ctx context.Context, also func(now time.Time)) {
+// tick ends grace periods every tickInterval; onTick runs with mu held.
+func (h *hub) tick(ctx context.Context, onTick func(now time.Time)) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -224,7 +224,7 @@
 			if before != h.table.Position(lease.All)+h.table.Position(lease.Local) {
 				h.publishAndWake()
 			}
-			also(now)
+			onTick(now)
 			h.mu.Unlock()
 		}
 	}
