--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -184,7 +184,7 @@
 		a.backOff()
 		return eventFailed
 	}
-	a.conn = frame.New(conn, a.hub.packing)
+	a.conn = frame.New(conn, a.hub.compressor)
 	return eventConnected
 }
 
@@ -208,7 +208,7 @@
 
 func (a *attachment) exchangeHello() (statechart.Event, error) {
 	greeting := a.hello()
-	greeting.Packing, greeting.DataCentre = a.hub.packing.ID(), a.hub.dataCentre
+	greeting.Compressor, greeting.DataCentre = a.hub.compressor.ID(), a.hub.dataCentre
 	if err := a.hub.send(a.conn, helloTimeout, outgoing{
 		kind:    typeHello,
 		message: greeting,
@@ -229,7 +229,7 @@
 		if local, redirected := a.redirectToLocal(message); redirected {
 			return eventRedirected, a.followRedirect(local)
 		}
-		a.conn.Pack(message.Packing)
+		a.conn.SetPeerCompressor(message.Compressor)
 		return eventAccepted, a.accept(message)
 	case typeRedirect:
 		var message redirect
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -19,10 +19,10 @@
 	id    uint64
 	hello hello
 	conn  *frame.Conn
-	// packing is zero if messages on the link are not compressed.
-	packing frame.PackingID
-	owner   lease.Owner
-	wake    *ring.Ring[struct{}]
+	// compressorID is zero if messages on the link are not compressed.
+	compressorID frame.CompressorID
+	owner        lease.Owner
+	wake         *ring.Ring[struct{}]
 
 	// What follows is guarded by hub.mu.
 	acknowledged     acknowledge
@@ -69,7 +69,7 @@
 		}
 		select {
 		case h.handshakeSlots <- struct{}{}:
-			h.start(func() { h.handshake(ctx, frame.New(conn, h.packing)) })
+			h.start(func() { h.handshake(ctx, frame.New(conn, h.compressor)) })
 		default:
 			h.rejectBusy(frame.New(conn, nil))
 		}
@@ -331,17 +331,17 @@
 }
 
 // acceptMessage returns the accept message for a child; mu is held.
-func (h *hub) acceptMessage(packing frame.PackingID) accept {
+func (h *hub) acceptMessage(compressorID frame.CompressorID) accept {
 	path := h.path
 	if h.relay != "" {
 		path = append([]core.NodeID{h.relay}, h.path...)
 	}
 	return accept{
-		Path:    path,
-		Control: h.control,
-		Stale:   h.stale,
-		Rows:    true,
-		Packing: packing,
+		Path:       path,
+		Control:    h.control,
+		Stale:      h.stale,
+		Rows:       true,
+		Compressor: compressorID,
 
 		Controls: h.controls,
 	}
@@ -368,9 +368,9 @@
 	if greeting.Kind == kindControl {
 		c.owner = peerOwner(core.ControlID(greeting.ID))
 	}
-	if greeting.DataCentre != h.dataCentre && greeting.Packing == h.packing.ID() {
-		c.packing = greeting.Packing
-		conn.Pack(c.packing)
+	if greeting.DataCentre != h.dataCentre && greeting.Compressor == h.compressor.ID() {
+		c.compressorID = greeting.Compressor
+		conn.SetPeerCompressor(c.compressorID)
 	}
 	h.children[c.id] = c
 	c.reported = c.held
--- a/io/distribution/downlink.go
+++ b/io/distribution/downlink.go
@@ -21,7 +21,7 @@
 		c.pathVersion = h.pathVersion
 		due = append(due, outgoing{
 			kind:    typeAccept,
-			message: h.acceptMessage(c.packing),
+			message: h.acceptMessage(c.compressorID),
 		})
 	}
 	for ; c.pongsDue > 0; c.pongsDue-- {
--- a/io/distribution/fakes_test.go
+++ b/io/distribution/fakes_test.go
@@ -484,7 +484,7 @@
 }
 
 // rawChild says hello to a parent.
-func (w *cluster) rawChild(address string, greeting hello, packing *frame.Packing) *rawPeer {
+func (w *cluster) rawChild(address string, greeting hello, packing *frame.Compressor) *rawPeer {
 	conn, err := w.net.network("raw-child").Dial(context.Background(), address)
 	if err != nil {
 		w.t.Fatal(err)
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -21,8 +21,8 @@
 	logger      zerolog.Logger
 	meters      *meters
 	network     Network
-	packing     *frame.Packing // compression of links between data centres
-	relay       core.NodeID    // the node's ID; empty on a control instance
+	compressor  *frame.Compressor // compression of links between data centres
+	relay       core.NodeID       // the node's ID; empty on a control instance
 	schema      core.SchemaVersion
 	dataCentre  core.DataCentre
 	incarnation core.Incarnation // only of a node
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -50,7 +50,7 @@
 	Schema       core.SchemaVersion `msgpack:"schema-version"`
 	Revision     core.Revision      `msgpack:"revision"`
 	Hash         core.Hash          `msgpack:"hash"`
-	Packing      frame.PackingID    `msgpack:"packing,omitempty"` // compression that the child can read
+	Compressor   frame.CompressorID `msgpack:"packing,omitempty"` // compression that the child can read
 }
 
 // accept lists the nodes from the parent up to the control instance; it is sent again when they change. Stale means that the
@@ -61,7 +61,7 @@
 	Stale   bool           `msgpack:"stale,omitempty"`
 	Rows    bool           `msgpack:"rows,omitempty"` // the sender can read sums in rows
 
-	Packing frame.PackingID `msgpack:"packing,omitempty"` // compression that both ends use from then on
+	Compressor frame.CompressorID `msgpack:"packing,omitempty"` // compression that both ends use from then on
 
 	Controls []ControlAddress `msgpack:"controls,omitempty"` // at which nodes can attach
 }
--- a/io/distribution/packing.go
+++ b/io/distribution/packing.go
@@ -7,9 +7,9 @@
 )
 
 // newPacking returns the packing of messages on the links of the tree. Configurations repeat themselves and need no sample.
-func newPacking() (*frame.Packing, error) {
+func newPacking() (*frame.Compressor, error) {
 	endpoint := core.Endpoint{State: core.EndpointReady}
-	return frame.NewPacking(
+	return frame.NewCompressor(
 		hello{Kind: kindNode},
 		accept{Controls: []ControlAddress{{}}},
 		subscribe{Services: []core.ServiceName{""}, States: true},
--- a/io/distribution/packing_test.go
+++ b/io/distribution/packing_test.go
@@ -20,7 +20,7 @@
 		w.source("c1", w.catalog) // in no data centre
 		for name, test := range map[string]struct {
 			dataCentre core.DataCentre
-			reads      frame.PackingID
+			reads      frame.CompressorID
 			packed     bool
 		}{
 			"another data centre":        {dataCentre: "dc-b", reads: packing.ID(), packed: true},
@@ -28,10 +28,10 @@
 			"a child without packing":    {dataCentre: "dc-b"},
 			"a child of another version": {dataCentre: "dc-b", reads: packing.ID() + 2},
 		} {
-			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Packing: test.reads}, packing)
+			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.reads}, packing)
 			var accepted accept
 			child.receive(typeAccept, &accepted)
-			c.Check(accepted.Packing != 0, qt.Equals, test.packed, qt.Commentf(name))
+			c.Check(accepted.Compressor != 0, qt.Equals, test.packed, qt.Commentf(name))
 			child.receive(typeConfigFull, &struct{}{})
 			_, received := child.conn.Bytes()
 			c.Check(received < 600, qt.Equals, test.packed, qt.Commentf("%s: %d bytes", name, received))
@@ -46,7 +46,7 @@
 		packing, err := newPacking()
 		c.Assert(err, qt.IsNil)
 		for name, test := range map[string]struct {
-			agreed frame.PackingID
+			agreed frame.CompressorID
 			packed bool
 		}{
 			"agreed":             {agreed: packing.ID(), packed: true},
@@ -56,7 +56,7 @@
 			parent := w.rawParent("parent-" + name)
 			child := w.subscriber(core.NodeID("n-"+name), "parent-"+name)
 			child.Announce(endpoint("service-0", core.EndpointReady))
-			parent.attach(accept{Packing: test.agreed})
+			parent.attach(accept{Compressor: test.agreed})
 			// The test's end reads no packed messages.
 			for err = nil; err == nil; {
 				_, err = parent.conn.Receive(time.Now().Add(linkTimeout))
--- a/io/distribution/source.go
+++ b/io/distribution/source.go
@@ -60,7 +60,7 @@
 		confirms: ring.New[struct{}](1),
 		links:    make(map[core.ControlID]peerLink),
 	}
-	s.hub.packing, s.hub.dataCentre = packing, options.DataCentre
+	s.hub.compressor, s.hub.dataCentre = packing, options.DataCentre
 	s.hub.maxDirectNodes = options.DirectNodes
 	s.hub.control = options.ID
 	s.hub.evidenceRun = core.Incarnation(time.Now().UnixNano())
--- a/io/frame/frame.go
+++ b/io/frame/frame.go
@@ -20,35 +20,35 @@
 const (
 	lengthBytes = 4
 	typeBytes   = 2
-	// readBytes is the only buffer that an idle connection holds. A longer message is read into its own memory, so the size
-	// only decides how many short frames one system call can read.
-	readBytes = 512
-	bulkBytes = 64 << 10
-	// trustedBytes is the length up to which memory for a message is taken before it has arrived.
-	trustedBytes = 64 << 10
-	// maxEncoderBytes is the size above which the buffer of a message is not kept for the next one.
-	maxEncoderBytes = 64 << 10
+	// readBufferBytes is the size of the only buffer that an idle connection holds. A longer message is read into memory of its
+	// own, so the size only determines how many short frames one system call can read.
+	readBufferBytes     = 512
+	bulkReadBufferBytes = 64 << 10
+	// maxPreallocatedBytes is the message length up to which memory is allocated before the message has arrived.
+	maxPreallocatedBytes = 64 << 10
+	// maxPooledBufferBytes is the capacity above which an encoding buffer is not returned to the pool.
+	maxPooledBufferBytes = 64 << 10
 )
 
-// Errors of a connection; all of them leave the connection unusable.
+// Errors of a connection; each of them leaves the connection unusable.
 const (
-	// ErrTooLong means that a frame's length is over core.MaxFrameBytes.
-	ErrTooLong = errors.ConstError("frame is too long")
+	// ErrTooLong means that a frame is longer than core.MaxFrameBytes.
+	ErrTooLong = errors.ConstError("frame too long")
 	// ErrMalformed means that a frame or its message cannot be decoded.
-	ErrMalformed = errors.ConstError("frame is malformed")
+	ErrMalformed = errors.ConstError("malformed frame")
 )
 
-// Type numbers the messages of one protocol.
+// Type identifies a message type within one protocol.
 type Type uint16
 
-// Frame is one received message that is not decoded yet.
+// Frame is a received message that has not been decoded yet.
 type Frame struct {
 	Type Type
 	body []byte
 }
 
-// Decode decodes the message into target, a pointer; it returns ErrMalformed. The msgpack library panics on some input,
-// such as nil in the place of a time, which must not end the process.
+// Decode decodes the message into target, a pointer, or returns ErrMalformed. It recovers from panics of the msgpack library,
+// which some input causes, such as nil in place of a time, since a message must not end the process.
 func (f Frame) Decode(target any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -66,53 +66,55 @@
 	return len(f.body)
 }
 
-// Conn sends and receives frames; Send may be called from any goroutine, Receive from one.
+// Conn sends and receives frames. Send is safe for concurrent use; Receive may be called from one goroutine at a time.
 type Conn struct {
-	conn     net.Conn
-	reader   *bufio.Reader
-	mu       sync.Mutex    // guards writer and broken
-	writer   *bufio.Writer // borrowed, nil unless it holds frames that a waiting sender is going to flush
-	broken   error         // of a failed write, which may have sent a part of a frame
-	waiting  atomic.Int32
-	sent     atomic.Uint64
-	received atomic.Uint64
-	packing  *Packing // nil if packed messages are not read
-	packs    atomic.Bool
+	conn           net.Conn
+	reader         *bufio.Reader
+	mu             sync.Mutex    // guards writer and writeErr
+	writer         *bufio.Writer // borrowed; nil unless it holds frames that a waiting sender will flush
+	writeErr       error         // of a failed write, which may have sent a partial frame
+	waitingSenders atomic.Int32
+	sent           atomic.Uint64
+	received       atomic.Uint64
+	compressor     *Compressor // nil if compressed messages cannot be read
+	compress       atomic.Bool
 }
 
-// New wraps a connection, one of many of its process. With a packing, which may be nil, it reads packed messages.
-func New(conn net.Conn, packing *Packing) *Conn {
-	return newSize(conn, packing, readBytes)
+// New wraps one of many connections of a process. With a compressor, which may be nil, it can read compressed messages.
+func New(conn net.Conn, compressor *Compressor) *Conn {
+	return newWithReadBuffer(conn, compressor, readBufferBytes)
 }
 
-// NewBulk wraps one of few connections that carry many messages; it keeps a read buffer of 64 KiB for its whole life.
-func NewBulk(conn net.Conn, packing *Packing) *Conn {
-	return newSize(conn, packing, bulkBytes)
+// NewBulk wraps one of a few connections that carry many messages; it holds a read buffer of 64 KiB.
+func NewBulk(conn net.Conn, compressor *Compressor) *Conn {
+	return newWithReadBuffer(conn, compressor, bulkReadBufferBytes)
 }
 
-func newSize(conn net.Conn, packing *Packing, bytes int) *Conn {
+func newWithReadBuffer(conn net.Conn, compressor *Compressor, bytes int) *Conn {
 	return &Conn{
-		conn:    conn,
-		reader:  bufio.NewReaderSize(conn, bytes),
-		packing: packing,
+		conn:       conn,
+		reader:     bufio.NewReaderSize(conn, bytes),
+		compressor: compressor,
 	}
 }
 
-// Pack has messages packed from now on if the peer reads them, which it does if it has a packing of the same id.
-func (c *Conn) Pack(peer PackingID) {
-	c.packs.Store(peer != 0 && peer == c.packing.ID())
+// SetPeerCompressor turns compression on for the messages sent from now on if the peer's compressor has the ID of this one, and
+// off otherwise.
+func (c *Conn) SetPeerCompressor(peer CompressorID) {
+	c.compress.Store(peer != 0 && peer == c.compressor.ID())
 }
 
-var encoders = sync.Pool{
+var encodeBuffers = sync.Pool{
 	New: func() any { return new(bytes.Buffer) },
 }
 
-// Send writes one message before the deadline (zero for none) and flushes unless another sender is waiting to do so.
+// Send writes one message before the deadline (zero for none). It flushes unless another sender is waiting, which then does so. It
+// returns ErrTooLong for a message that does not fit in a frame; after a failed write, every call returns that write's error.
 func (c *Conn) Send(deadline time.Time, kind Type, message any) error {
-	buffer := encoders.Get().(*bytes.Buffer)
+	buffer := encodeBuffers.Get().(*bytes.Buffer)
 	defer func() {
-		if buffer.Cap() <= maxEncoderBytes {
-			encoders.Put(buffer)
+		if buffer.Cap() <= maxPooledBufferBytes {
+			encodeBuffers.Put(buffer)
 		}
 	}()
 	buffer.Reset()
@@ -129,36 +131,36 @@
 	head := buffer.Bytes()
 	binary.BigEndian.PutUint32(head, uint32(buffer.Len()-lengthBytes))
 	binary.BigEndian.PutUint16(head[lengthBytes:], uint16(kind))
-	if c.packs.Load() {
-		head = c.packing.pack(head)
+	if c.compress.Load() {
+		head = c.compressor.compress(head)
 	}
 	return c.write(deadline, head)
 }
 
 func (c *Conn) write(deadline time.Time, bytes []byte) error {
-	c.waiting.Add(1)
+	c.waitingSenders.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	last := c.waiting.Add(-1) == 0
-	if c.broken != nil {
-		return errors.Trace(c.broken)
+	last := c.waitingSenders.Add(-1) == 0
+	if c.writeErr != nil {
+		return errors.Trace(c.writeErr)
 	}
 	if err := c.conn.SetWriteDeadline(deadline); err != nil {
 		return errors.Trace(err)
 	}
-	if err := c.put(bytes, last); err != nil {
-		c.broken = err
-		c.release()
+	if err := c.writeOrBuffer(bytes, last); err != nil {
+		c.writeErr = err
+		c.releaseWriter()
 		return errors.Trace(err)
 	}
 	c.sent.Add(uint64(len(bytes)))
 	return nil
 }
 
-// put collects frames while senders wait, so that a burst costs one system call. The last of them flushes.
-func (c *Conn) put(bytes []byte, last bool) error {
+// writeOrBuffer buffers frames while other senders wait, so that a burst costs one system call; the last sender flushes.
+func (c *Conn) writeOrBuffer(bytes []byte, last bool) error {
 	if c.writer == nil && !last {
-		c.writer = borrow(c.conn)
+		c.writer = borrowWriter(c.conn)
 	}
 	if c.writer == nil {
 		_, err := c.conn.Write(bytes)
@@ -167,30 +169,30 @@
 	if _, err := c.writer.Write(bytes); err != nil || !last {
 		return err
 	}
-	defer c.release()
+	defer c.releaseWriter()
 	return c.writer.Flush()
 }
 
-func (c *Conn) release() {
+func (c *Conn) releaseWriter() {
 	if c.writer != nil {
-		giveBack(c.writer)
+		returnWriter(c.writer)
 		c.writer = nil
 	}
 }
 
-// Receive reads one frame before the deadline (zero for none); it returns io.EOF at the end between two frames,
-// io.ErrUnexpectedEOF for a cut frame, ErrTooLong or ErrMalformed.
+// Receive reads one frame before the deadline (zero for none). It returns io.EOF at the end of the stream between two frames,
+// io.ErrUnexpectedEOF for a truncated frame, ErrTooLong or ErrMalformed.
 func (c *Conn) Receive(deadline time.Time) (Frame, error) {
-	_ = c.conn.SetReadDeadline(deadline) // fails only on a closed connection, which the read reports better
+	_ = c.conn.SetReadDeadline(deadline) // fails only on a closed connection, for which the read returns a clearer error
 	frame, size, err := Read(c.reader)
 	c.received.Add(uint64(size))
-	if err != nil || frame.Type&packedType == 0 {
+	if err != nil || frame.Type&compressedFlag == 0 {
 		return frame, err
 	}
-	if c.packing == nil {
-		return Frame{}, errors.Annotatef(ErrMalformed, "packed message of type %d", frame.Type&^packedType)
+	if c.compressor == nil {
+		return Frame{}, errors.Annotatef(ErrMalformed, "compressed message of type %d on a connection without compression", frame.Type&^compressedFlag)
 	}
-	return c.packing.unpack(frame)
+	return c.compressor.decompress(frame)
 }
 
 // Read reads one frame and returns its size on the wire in bytes; its errors are those of Conn.Receive.
@@ -216,22 +218,22 @@
 	}, lengthBytes + int(length), nil
 }
 
-// readPayload grows its buffer with the bytes that arrive, so that a false length costs no memory.
+// readPayload grows its buffer as bytes arrive, so that a false length does not allocate memory.
 func readPayload(reader io.Reader, length int) ([]byte, error) {
-	if length <= trustedBytes {
+	if length <= maxPreallocatedBytes {
 		payload := make([]byte, length)
 		_, err := io.ReadFull(reader, payload)
-		return payload, cut(err)
+		return payload, unexpectedEOF(err)
 	}
 	var payload bytes.Buffer
 	n, err := io.CopyN(&payload, reader, int64(length))
 	if n < int64(length) {
-		return nil, cut(err)
+		return nil, unexpectedEOF(err)
 	}
 	return payload.Bytes(), nil
 }
 
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -248,7 +250,7 @@
 	return c.conn.RemoteAddr()
 }
 
-// Bytes returns how many bytes were sent and received.
+// Bytes returns the numbers of bytes sent and received so far, as they are on the wire.
 func (c *Conn) Bytes() (sent, received uint64) {
 	return c.sent.Load(), c.received.Load()
 }
--- a/io/frame/frame_test.go
+++ b/io/frame/frame_test.go
@@ -16,17 +16,17 @@
 	"parsleyport/io/frame"
 )
 
-type note struct {
+type textMessage struct {
 	Text string `msgpack:"text"`
 }
 
-// Guards against a frame whose type or content changes on the way, in either buffer size class.
+// Guards against a frame whose type or content changes in transit, with short messages and with long ones.
 func TestSendAndReceive(t *testing.T) {
 	c := qt.New(t)
 	near, far := net.Pipe()
 	sender, receiver := frame.New(near, nil), frame.New(far, nil)
 	for _, size := range []int{0, 100, 200_000} {
-		want := note{
+		want := textMessage{
 			Text: strings.Repeat("x", size),
 		}
 		sent := make(chan error, 1)
@@ -35,7 +35,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(<-sent, qt.IsNil)
 		c.Assert(got.Type, qt.Equals, frame.Type(7))
-		var message note
+		var message textMessage
 		c.Assert(got.Decode(&message), qt.IsNil)
 		c.Assert(message == want, qt.IsTrue)
 	}
@@ -44,8 +44,8 @@
 	c.Assert(err, qt.Equals, io.EOF)
 }
 
-// Guards against memory exhaustion by a false length and against a cut frame that passes for a whole one.
-func TestReadRefusesBrokenFrames(t *testing.T) {
+// Guards against memory exhaustion by a false length, and against a truncated frame that is accepted.
+func TestReadRejectsMalformedFrames(t *testing.T) {
 	c := qt.New(t)
 	tooLong := binary.BigEndian.AppendUint32(nil, core.MaxFrameBytes+1)
 	_, _, err := frame.Read(bytes.NewReader(tooLong))
@@ -56,8 +56,8 @@
 	c.Assert(errors.Is(err, frame.ErrMalformed), qt.IsTrue)
 
 	for _, length := range []uint32{10, 1 << 20} {
-		cut := append(binary.BigEndian.AppendUint32(nil, length), 0, 1, 2)
-		_, _, err = frame.Read(bytes.NewReader(cut))
+		truncated := append(binary.BigEndian.AppendUint32(nil, length), 0, 1, 2)
+		_, _, err = frame.Read(bytes.NewReader(truncated))
 		c.Assert(err, qt.Equals, io.ErrUnexpectedEOF)
 	}
 }
@@ -74,12 +74,12 @@
 		if size > len(input) {
 			t.Fatalf("frame of %d bytes read from %d bytes", size, len(input))
 		}
-		var message note
+		var message textMessage
 		_ = received.Decode(&message) // must not panic
 	})
 }
 
-// Guards against a peer that ends the process with a message on which the msgpack library panics.
+// Guards against a message that ends the process because the msgpack library panics on it.
 func TestDecodeTurnsPanicsIntoErrors(t *testing.T) {
 	c := qt.New(t)
 	body := []byte{0x81, 0xa2, 'a', 't', 0xc0} // {"at": nil}
--- a/io/frame/lend_test.go
+++ b/io/frame/writerpool_test.go
@@ -9,12 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against frames that are mixed, lost or sent after a cut one, and against a buffer that is never given back, with
-// and without buffers to borrow.
-func TestManySenders(t *testing.T) {
-	for _, taken := range []int32{0, maxLent} {
+// Guards against frames that are interleaved, lost or sent after a truncated one, and against write buffers that are not returned,
+// both with and without buffers left to borrow.
+func TestConcurrentSenders(t *testing.T) {
+	for _, taken := range []int32{0, maxBorrowedWriters} {
 		c := qt.New(t)
-		lent.Store(taken)
+		borrowedWriters.Store(taken)
 		near, far := net.Pipe()
 		sender, receiver := New(near, nil), New(far, nil)
 		var senders sync.WaitGroup
@@ -33,6 +33,6 @@
 		c.Assert(lengths, qt.HasLen, 200)
 		c.Assert(sender.Send(time.Now(), 1, "times out"), qt.IsNotNil)
 		c.Assert(sender.Send(time.Time{}, 1, "after it"), qt.IsNotNil)
-		c.Assert(lent.Swap(0), qt.Equals, taken)
+		c.Assert(borrowedWriters.Swap(0), qt.Equals, taken)
 	}
 }
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -99,7 +99,7 @@
 	return p.options.Headers
 }
 
-func (p *process) newPacking(do.Injector) (*frame.Packing, error) {
+func (p *process) newPacking(do.Injector) (*frame.Compressor, error) {
 	return nodepeer.NewPacking(p.headers())
 }
 
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	packing, err := do.Invoke[*frame.Packing](injector)
+	packing, err := do.Invoke[*frame.Compressor](injector)
 	if err != nil {
 		return nil, err
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	packing, err := do.Invoke[*frame.Packing](injector)
+	packing, err := do.Invoke[*frame.Compressor](injector)
 	if err != nil {
 		return nil, err
 	}
--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -321,7 +321,7 @@
 	if !c.startedBy.IsZero() {
 		return errors.Annotate(errProtocol, "second welcome")
 	}
-	c.frames.Pack(message.Packing)
+	c.frames.SetPeerCompressor(message.Packing)
 	c.startedBy = time.Now().Add(-time.Duration(message.RunningUS) * time.Microsecond)
 	close(c.greeted)
 	return nil
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -20,7 +20,7 @@
 	Local              core.Backend
 	ConnectionsPerPeer int // zero for 2
 	DataCentre         core.DataCentre
-	Packing            *frame.Packing // for peers in other data centres; nil for none
+	Packing            *frame.Compressor // for peers in other data centres; nil for none
 	Logger             zerolog.Logger
 	Metrics            *metrics.Set
 	Dial               func(ctx context.Context, address string) (net.Conn, error)
--- a/io/nodepeer/messages.go
+++ b/io/nodepeer/messages.go
@@ -34,15 +34,15 @@
 
 // helloMessage says which packing the dialer reads, and where it is.
 type helloMessage struct {
-	Connection uint64          `msgpack:"connection"`
-	Packing    frame.PackingID `msgpack:"packing,omitempty"`
-	DataCentre core.DataCentre `msgpack:"data-centre,omitempty"`
+	Connection uint64             `msgpack:"connection"`
+	Packing    frame.CompressorID `msgpack:"packing,omitempty"`
+	DataCentre core.DataCentre    `msgpack:"data-centre,omitempty"`
 }
 
 // welcomeMessage names the packing that both ends use from then on; zero if none.
 type welcomeMessage struct {
-	RunningUS int64           `msgpack:"running-us"`
-	Packing   frame.PackingID `msgpack:"packing,omitempty"`
+	RunningUS int64              `msgpack:"running-us"`
+	Packing   frame.CompressorID `msgpack:"packing,omitempty"`
 }
 
 type openMessage struct {
--- a/io/nodepeer/packing.go
+++ b/io/nodepeer/packing.go
@@ -28,11 +28,11 @@
 }
 
 // NewPacking returns the packing of messages between nodes. Names are those of the headers of calls.
-func NewPacking(names core.HeaderNames) (*frame.Packing, error) {
+func NewPacking(names core.HeaderNames) (*frame.Compressor, error) {
 	// The order of a map's entries differs from one encoding to the next, so that samples hold no map.
 	named := lo.Compact([]string{names.Outcome, names.Release, names.CallerService, names.Deadline, names.CallID})
 	header := append(lo.Map(named, func(name string, _ int) any { return []any{name, []string{""}} }), usualHeaders...)
-	return frame.NewPacking(
+	return frame.NewCompressor(
 		lo.Ternary(names.IdempotencyKey == "", any(nil), any(keyMessage{})),
 		sequenceMessage{}, creditMessage{}, bodyMessage{}, answerEndMessage{},
 		refusedMessage{Outcome: core.OutcomeNotRun, Cause: core.CauseQueueFull},
--- a/io/nodepeer/packing_test.go
+++ b/io/nodepeer/packing_test.go
@@ -60,14 +60,14 @@
 	plain := bytesOfCalls(c, "here", "here", packing, packing)
 	packed := bytesOfCalls(c, "here", "there", packing, packing)
 	c.Assert(packed*2 < plain, qt.IsTrue, qt.Commentf("%d bytes, %d plain", packed, plain))
-	for name, dialers := range map[string]*frame.Packing{"no packing": nil, "another packing": other} {
+	for name, dialers := range map[string]*frame.Compressor{"no packing": nil, "another packing": other} {
 		bytes := bytesOfCalls(c, "here", "there", dialers, packing)
 		c.Assert(bytes > plain*9/10, qt.IsTrue, qt.Commentf("%s: %d bytes, %d plain", name, bytes, plain))
 	}
 }
 
 // bytesOfCalls makes calls between two nodes.
-func bytesOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Packing) int64 {
+func bytesOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Compressor) int64 {
 	backend := &handledBackend{}
 	server, stop, err := NewServer(ServerOptions{
 		Address:    "127.0.0.1:0",
--- a/io/nodepeer/server.go
+++ b/io/nodepeer/server.go
@@ -33,7 +33,7 @@
 	MaxCalls int // zero for 4096
 
 	DataCentre core.DataCentre
-	Packing    *frame.Packing // for dialers in other data centres; nil for none
+	Packing    *frame.Compressor // for dialers in other data centres; nil for none
 }
 
 // Server takes calls from other nodes and hands them to a core.Backend.
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -131,7 +131,7 @@
 		return errors.Annotate(errProtocol, "hello")
 	}
 	c.id, c.ponged = message.Connection, time.Now()
-	packing := frame.PackingID(0)
+	packing := frame.CompressorID(0)
 	if message.DataCentre != s.options.DataCentre && message.Packing == s.options.Packing.ID() {
 		packing = message.Packing
 	}
@@ -139,7 +139,7 @@
 		RunningUS: time.Since(s.started).Microseconds(),
 		Packing:   packing,
 	})
-	c.frames.Pack(packing)
+	c.frames.SetPeerCompressor(packing)
 	if leaving {
 		c.send(typeGoaway, emptyMessage{})
 	}
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -207,7 +207,7 @@
 	if err := received.Decode(&pong); err != nil {
 		return err
 	}
-	conn.Pack(pong.Packing)
+	conn.SetPeerCompressor(pong.Packing)
 	return nil
 }
 
--- a/io/raftpeer/packing.go
+++ b/io/raftpeer/packing.go
@@ -6,8 +6,8 @@
 )
 
 // newPacking returns the packing of messages between control instances.
-func newPacking() (*frame.Packing, error) {
-	return frame.NewPacking(
+func newPacking() (*frame.Compressor, error) {
+	return frame.NewCompressor(
 		raft.Hello{},
 		topicMessage{},
 		raft.Message{Kind: raft.KindAppend, Entries: []raft.Entry{{}}},
@@ -17,5 +17,5 @@
 
 // pingMessage names the packing that the sender of a ping, or of its answer, reads.
 type pingMessage struct {
-	Packing frame.PackingID `msgpack:"packing,omitempty"`
+	Packing frame.CompressorID `msgpack:"packing,omitempty"`
 }
--- a/io/raftpeer/packing_test.go
+++ b/io/raftpeer/packing_test.go
@@ -26,7 +26,7 @@
 	}
 	plain := uint64(0)
 	for _, test := range []struct {
-		reads  frame.PackingID
+		reads  frame.CompressorID
 		packed bool
 	}{
 		{reads: 0},
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -32,7 +32,7 @@
 
 // Replica is one control instance's replica of the log; it implements core.Replicator.
 type Replica struct {
-	packing  *frame.Packing
+	packing  *frame.Compressor
 	options  Options
 	counters counters
 	engine   *engine
