--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -41,40 +41,40 @@
 	eventStop       statechart.Event = "stop"
 )
 
-// errGoHome ends a link to a control instance of another data centre.
-const errGoHome = errors.ConstError("the own data centre has a control instance")
+// errLocalControlAvailable closes a link to a control instance of another data centre.
+const errLocalControlAvailable = errors.ConstError("a control instance in the node's own data centre is available")
 
-// attachment opens one upward link at a time and opens another when it is lost; one goroutine runs it.
+// attachment keeps one link to a parent open and replaces it when it is lost; a single goroutine runs it.
 type attachment struct {
 	hub     *hub
 	logger  zerolog.Logger
-	targets atomic.Value // []string: where to start, in turn
+	targets atomic.Value // []string: addresses of control instances, tried in turn
 	random  func() float64
 	hello   func() hello
-	accept  func(accept) error // checks the path before the link is used
-	// serve uses the link until it ends.
+	accept  func(accept) error // checks the parent's path before the link is used
+	// serve runs the link until it ends.
 	serve func(ctx context.Context, conn *frame.Conn, address string) error
 
-	learned   atomic.Value // []ControlAddress: where to start, as the parent says; tried before targets
-	home      core.DataCentre
-	homes     []string     // control instances of the own data centre, when errGoHome ends a link
-	wentHome  time.Time    // latest attempt to attach in the own data centre in place of another one
-	state     atomic.Value // statechart.State
-	turn      int
-	queue     []string // addresses from a redirect, best first
-	redirects int
-	attempts  int
-	wait      time.Duration
-	address   string
-	leftOut   map[string]time.Time // addresses that went silent or did not answer, and until when they are left out
-	conn      *frame.Conn
+	learnedTargets   atomic.Value // []ControlAddress: addresses sent by the parent, tried before targets
+	localDataCentre  core.DataCentre
+	localAddresses   []string     // control instances of the own data centre to try after errLocalControlAvailable
+	lastLocalAttempt time.Time    // when the node last left another data centre to attach in its own
+	state            atomic.Value // statechart.State
+	nextTarget       int
+	redirectQueue    []string // addresses of the latest redirect, least loaded first
+	redirects        int
+	attempts         int
+	wait             time.Duration
+	address          string
+	excludedUntil    map[string]time.Time // by address: the end of the exclusion after a timeout
+	conn             *frame.Conn
 }
 
 func newAttachment(targets []string, a attachment) *attachment {
 	a.targets.Store(targets)
 	a.state.Store(attachmentChart.Initial())
-	a.leftOut = make(map[string]time.Time)
-	a.turn = int(a.random() * float64(len(a.allTargets())))
+	a.excludedUntil = make(map[string]time.Time)
+	a.nextTarget = int(a.random() * float64(len(a.allTargets())))
 	return &a
 }
 
@@ -82,14 +82,14 @@
 	return a.state.Load().(statechart.State)
 }
 
-// run interprets the chart: each state has one action, and its result is the next event.
+// run executes the state chart: each state has one action, which returns the next event.
 func (a *attachment) run(ctx context.Context) {
 	actions := map[statechart.State]func(context.Context) statechart.Event{
-		stateDetached: a.choose,
+		stateDetached: a.chooseAddress,
 		stateDialing:  a.dial,
-		stateGreeting: a.greet,
-		stateAttached: a.use,
-		stateWaiting:  a.pause,
+		stateGreeting: a.handshake,
+		stateAttached: a.runLink,
+		stateWaiting:  a.waitBackoff,
 	}
 	for !attachmentChart.IsFinal(a.current()) {
 		event := eventStop
@@ -101,7 +101,7 @@
 		}
 		next, err := attachmentChart.Next(a.current(), event)
 		if err != nil {
-			panic(err) // an action returned an event that the chart does not have
+			panic(err) // an action returned an event that its state does not handle
 		}
 		a.state.Store(next)
 	}
@@ -110,64 +110,65 @@
 	}
 }
 
-func (a *attachment) choose(context.Context) statechart.Event {
-	maps.DeleteFunc(a.leftOut, func(_ string, until time.Time) bool { return !time.Now().Before(until) })
-	a.queue = lo.Reject(a.queue, func(address string, _ int) bool { return a.isLeftOut(address) })
-	if len(a.queue) > 0 {
-		a.address, a.queue = a.queue[0], a.queue[1:]
+func (a *attachment) chooseAddress(context.Context) statechart.Event {
+	maps.DeleteFunc(a.excludedUntil, func(_ string, until time.Time) bool { return !time.Now().Before(until) })
+	a.redirectQueue = lo.Reject(a.redirectQueue, func(address string, _ int) bool { return a.isExcluded(address) })
+	if len(a.redirectQueue) > 0 {
+		a.address, a.redirectQueue = a.redirectQueue[0], a.redirectQueue[1:]
 		return eventDial
 	}
 	targets := a.allTargets()
 	for range targets {
-		if !a.isLeftOut(targets[a.turn%len(targets)]) {
+		if !a.isExcluded(targets[a.nextTarget%len(targets)]) {
 			break
 		}
-		a.turn++ // all of them, if none is left
+		a.nextTarget++ // if all are excluded, this ends where it began
 	}
-	a.address = targets[a.turn%len(targets)]
-	a.turn++
+	a.address = targets[a.nextTarget%len(targets)]
+	a.nextTarget++
 	a.redirects = 0
 	return eventDial
 }
 
-// leaveOut keeps an address from costing another time-out: an instance that stands still accepts connections, and others that
-// do not know it yet redirect to it.
-func (a *attachment) leaveOut(address string, wait time.Duration) {
-	a.leftOut[address] = time.Now().Add(wait)
+// exclude prevents further timeouts at an address: a process that hangs accepts connections, and nodes that have not noticed yet
+// redirect to it.
+func (a *attachment) exclude(address string, wait time.Duration) {
+	a.excludedUntil[address] = time.Now().Add(wait)
 }
 
-func (a *attachment) isLeftOut(address string) bool {
-	return time.Now().Before(a.leftOut[address])
+func (a *attachment) isExcluded(address string) bool {
+	return time.Now().Before(a.excludedUntil[address])
 }
 
-// allTargets has the learned addresses and those of the settings, which may both be outdated.
+// allTargets returns the learned addresses followed by those of the settings; either list may be outdated.
 func (a *attachment) allTargets() []string {
-	known, _ := a.learned.Load().([]ControlAddress)
+	known, _ := a.learnedTargets.Load().([]ControlAddress)
 	learned := lo.Map(known, func(c ControlAddress, _ int) string { return c.Address })
 	targets, _ := a.targets.Load().([]string)
 	return lo.Uniq(slices.Concat(learned, targets))
 }
 
-// homeFirst sorts the control instances of a data centre to the front.
-func homeFirst(controls []ControlAddress, home core.DataCentre) []ControlAddress {
+// localFirst moves the control instances of the given data centre to the front.
+func localFirst(controls []ControlAddress, home core.DataCentre) []ControlAddress {
 	own, others := lo.FilterReject(controls, func(c ControlAddress, _ int) bool { return c.DataCentre == home })
 	return append(own, others...)
 }
 
-// goHome leads a node that has attached directly to a control instance elsewhere to those of its own data centre, now and then.
-func (a *attachment) goHome(message accept) (redirect, bool) {
-	if a.home == "" || len(message.Path) > 0 || time.Since(a.wentHome) < homePause {
+// redirectToLocal redirects a node that is attached directly to a control instance of another data centre to those of its own, at
+// most once every localRetryInterval.
+func (a *attachment) redirectToLocal(message accept) (redirect, bool) {
+	if a.localDataCentre == "" || len(message.Path) > 0 || time.Since(a.lastLocalAttempt) < localRetryInterval {
 		return redirect{}, false
 	}
-	atHome := func(c ControlAddress) bool { return c.DataCentre == a.home }
-	own := lo.Filter(message.Controls, func(c ControlAddress, _ int) bool { return atHome(c) && !a.isLeftOut(c.Address) })
-	here := lo.ContainsBy(own, func(c ControlAddress) bool { return c.Address == a.address })
-	if here || len(own) == 0 {
+	isLocal := func(c ControlAddress) bool { return c.DataCentre == a.localDataCentre }
+	localControls := lo.Filter(message.Controls, func(c ControlAddress, _ int) bool { return isLocal(c) && !a.isExcluded(c.Address) })
+	alreadyLocal := lo.ContainsBy(localControls, func(c ControlAddress) bool { return c.Address == a.address })
+	if alreadyLocal || len(localControls) == 0 {
 		return redirect{}, false
 	}
-	a.wentHome = time.Now()
+	a.lastLocalAttempt = time.Now()
 	return redirect{
-		Addresses: lo.Map(own, func(c ControlAddress, _ int) string { return c.Address }),
+		Addresses: lo.Map(localControls, func(c ControlAddress, _ int) string { return c.Address }),
 	}, true
 }
 
@@ -177,24 +178,24 @@
 	conn, err := a.hub.network.Dial(dialing, a.address)
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("dial failed")
-		if isTimeout(err) { // a refusal costs no time
-			a.leaveOut(a.address, unansweredFor)
+		if isTimeout(err) { // a refused connection fails at once and needs no exclusion
+			a.exclude(a.address, unansweredExclusion)
 		}
 		a.backOff()
 		return eventFailed
 	}
-	a.conn = frame.New(conn, a.hub.packing)
+	a.conn = frame.New(conn, a.hub.compressor)
 	return eventConnected
 }
 
-func (a *attachment) greet(ctx context.Context) statechart.Event {
+func (a *attachment) handshake(ctx context.Context) statechart.Event {
 	stop := context.AfterFunc(ctx, func() { _ = a.conn.Close() })
 	defer stop()
-	event, err := a.exchange()
+	event, err := a.exchangeHello()
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("handshake failed")
 		if isTimeout(err) {
-			a.leaveOut(a.address, unansweredFor)
+			a.exclude(a.address, unansweredExclusion)
 		}
 		a.backOff()
 		event = eventFailed
@@ -205,15 +206,15 @@
 	return event
 }
 
-func (a *attachment) exchange() (statechart.Event, error) {
+func (a *attachment) exchangeHello() (statechart.Event, error) {
 	greeting := a.hello()
-	greeting.Packing, greeting.DataCentre = a.hub.packing.ID(), a.hub.dataCentre
+	greeting.Compressor, greeting.DataCentre = a.hub.compressor.ID(), a.hub.dataCentre
 	if err := a.hub.send(a.conn, helloTimeout, outgoing{
 		kind:    typeHello,
 		message: greeting,
 	}); err != nil {
-		// A parent that is short of handshakes answers without reading, so its answer may be there all the same.
-		a.logger.Debug().Err(err).Msg("send hello")
+		// A parent without a free handshake slot answers and closes without reading, so its answer may have arrived all the same.
+		a.logger.Debug().Err(err).Msg("sending hello failed")
 	}
 	answer, err := a.hub.receive(a.conn, helloTimeout)
 	if err != nil {
@@ -225,63 +226,63 @@
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		if home, elsewhere := a.goHome(message); elsewhere {
-			return eventRedirected, a.follow(home)
+		if local, redirected := a.redirectToLocal(message); redirected {
+			return eventRedirected, a.followRedirect(local)
 		}
-		a.conn.Pack(message.Packing)
+		a.conn.SetPeerCompressor(message.Compressor)
 		return eventAccepted, a.accept(message)
 	case typeRedirect:
 		var message redirect
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		return eventRedirected, a.follow(message)
+		return eventRedirected, a.followRedirect(message)
 	case typeRetryAfter:
 		var message retryAfter
 		if err := answer.Decode(&message); err != nil {
 			return "", err
 		}
-		asked := time.Duration(min(max(message.Milliseconds, 0), maxBackoff.Milliseconds())) * time.Millisecond
-		a.wait = asked + time.Duration(a.random()*float64(asked))
+		requested := time.Duration(min(max(message.Milliseconds, 0), maxBackoff.Milliseconds())) * time.Millisecond
+		a.wait = requested + time.Duration(a.random()*float64(requested))
 		return eventRetryAfter, nil
 	}
 	return "", errors.Errorf("unexpected answer of type %d to hello", answer.Type)
 }
 
-func (a *attachment) follow(message redirect) error {
+func (a *attachment) followRedirect(message redirect) error {
 	a.redirects++
 	if a.redirects > maxRedirects || len(message.Addresses) == 0 || len(message.Addresses) > maxDirectChildren {
-		a.queue = nil
-		return errors.Errorf("redirect %d to %d addresses", a.redirects, len(message.Addresses))
+		a.redirectQueue = nil
+		return errors.Errorf("redirect %d lists %d addresses: too many redirects or a bad number of addresses", a.redirects, len(message.Addresses))
 	}
-	a.queue = message.Addresses
+	a.redirectQueue = message.Addresses
 	return nil
 }
 
-func (a *attachment) use(ctx context.Context) statechart.Event {
+func (a *attachment) runLink(ctx context.Context) statechart.Event {
 	began := time.Now()
 	err := a.serve(ctx, a.conn, a.address)
 	_ = a.conn.Close()
-	if time.Since(began) >= silenceLimit {
+	if time.Since(began) >= linkTimeout {
 		a.attempts = 0
 	}
-	a.queue = nil
+	a.redirectQueue = nil
 	a.backOff()
-	if errors.Is(err, errGoHome) {
-		a.wait, a.queue = 0, a.homes
+	if errors.Is(err, errLocalControlAvailable) {
+		a.wait, a.redirectQueue = 0, a.localAddresses
 	} else if isTimeout(err) {
-		a.leaveOut(a.address, lostFor)
+		a.exclude(a.address, silentExclusion)
 	}
 	a.logger.Info().Err(err).Str("address", a.address).Msg("link lost")
 	return eventLost
 }
 
-func (a *attachment) pause(ctx context.Context) statechart.Event {
-	pauseFor(ctx, a.wait)
+func (a *attachment) waitBackoff(ctx context.Context) statechart.Event {
+	sleepContext(ctx, a.wait)
 	return eventWaitOver
 }
 
-func pauseFor(ctx context.Context, wait time.Duration) {
+func sleepContext(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -290,8 +291,8 @@
 	}
 }
 
-// backOff sets a wait with full jitter: any time up to a bound that doubles once all targets have been tried, so that
-// nodes that lost a parent together spread out, and still find another control instance before they are given up.
+// backOff sets a wait with full jitter: a random time up to a bound that doubles once all targets have been tried. Nodes that
+// lost a parent together spread out and still find another control instance before their endpoints are removed.
 func (a *attachment) backOff() {
 	bound := min(minBackoff<<min(a.attempts/len(a.allTargets()), 10), maxBackoff)
 	a.attempts++
--- a/io/distribution/confirmer.go
+++ b/io/distribution/confirmer.go
@@ -2,11 +2,12 @@
 
 import "parsleyport/core"
 
-// ownLink is the waiter of the node itself; links of children start at 1.
+// ownLink is the link ID under which the node itself waits; IDs of links to children start at 1.
 const ownLink uint64 = 0
 
-// confirmer joins the confirmation requests of several children into one request upwards or one confirmed read. A
-// request that arrives while a read is under way waits for the next one: the read may have begun before an accepted change.
+// confirmer combines the confirmation requests of several children into one request to the parent or one confirmed read. A
+// request that arrives during a read waits for the next read, since the current one may have begun before the latest change
+// was accepted.
 type confirmer struct {
 	number   uint64
 	inFlight bool
@@ -14,10 +15,10 @@
 }
 
 type waiter struct {
-	number    uint64 // the child's number
-	covered   uint64 // the number of the read that began after the request, zero for none yet
+	number    uint64 // of the child's request
+	coveredBy uint64 // number of the read that began after the request, zero if none has begun
 	confirmed bool
-	saw       position
+	observed  configVersion
 }
 
 func newConfirmer() *confirmer {
@@ -32,15 +33,15 @@
 	}
 }
 
-// begin starts the next read if a request waits for one and none is under way.
+// begin starts the next read if a request is waiting and no read is under way, and returns the number of the read.
 func (c *confirmer) begin() (uint64, bool) {
 	if c.inFlight {
 		return 0, false
 	}
 	started := false
 	for _, w := range c.waiters {
-		if w.covered == 0 {
-			w.covered = c.number + 1
+		if w.coveredBy == 0 {
+			w.coveredBy = c.number + 1
 			started = true
 		}
 	}
@@ -52,43 +53,43 @@
 	return c.number, true
 }
 
-// finish notes the configuration that the read with the given number saw.
-func (c *confirmer) finish(number uint64, saw position) {
+// finish records the version of the configuration that the read with the given number observed.
+func (c *confirmer) finish(number uint64, saw configVersion) {
 	if !c.inFlight || number != c.number {
 		return
 	}
 	c.inFlight = false
 	for _, w := range c.waiters {
-		if w.covered != 0 && w.covered <= number && !w.confirmed {
-			w.confirmed, w.saw = true, saw
+		if w.coveredBy != 0 && w.coveredBy <= number && !w.confirmed {
+			w.confirmed, w.observed = true, saw
 		}
 	}
 }
 
-// abandon makes unanswered requests wait for a new read, after a read failed or its link was lost.
+// abandon returns unanswered requests to the queue after a read failed or the link that carried it was lost.
 func (c *confirmer) abandon() {
 	c.inFlight = false
 	for _, w := range c.waiters {
 		if !w.confirmed {
-			w.covered = 0
+			w.coveredBy = 0
 		}
 	}
 }
 
-// take returns a link's answer once the given revision covers it.
-func (c *confirmer) take(link uint64, held core.Revision) (confirm, bool) {
+// takeAnswer returns a link's answer once held, the revision that the link has, is at least the one observed.
+func (c *confirmer) takeAnswer(link uint64, held core.Revision) (confirm, bool) {
 	w := c.waiters[link]
-	if w == nil || !w.confirmed || w.saw.revision > held {
+	if w == nil || !w.confirmed || w.observed.revision > held {
 		return confirm{}, false
 	}
 	delete(c.waiters, link)
 	return confirm{
 		Number:   w.number,
-		Revision: w.saw.revision,
-		Hash:     w.saw.hash,
+		Revision: w.observed.revision,
+		Hash:     w.observed.hash,
 	}, true
 }
 
-func (c *confirmer) drop(link uint64) {
+func (c *confirmer) remove(link uint64) {
 	delete(c.waiters, link)
 }
--- a/io/distribution/packing_test.go
+++ b/io/distribution/packing_test.go
@@ -14,13 +14,13 @@
 // Guards against links between data centres that are not packed, against packed messages to a child that does not read them,
 // and against work for packing within a data centre.
 func TestLinksBetweenDataCentresArePacked(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		packing, err := newPacking()
 		c.Assert(err, qt.IsNil)
 		w.source("c1", w.catalog) // in no data centre
 		for name, test := range map[string]struct {
 			dataCentre core.DataCentre
-			reads      frame.PackingID
+			reads      frame.CompressorID
 			packed     bool
 		}{
 			"another data centre":        {dataCentre: "dc-b", reads: packing.ID(), packed: true},
@@ -28,10 +28,10 @@
 			"a child without packing":    {dataCentre: "dc-b"},
 			"a child of another version": {dataCentre: "dc-b", reads: packing.ID() + 2},
 		} {
-			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Packing: test.reads}, packing)
+			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.reads}, packing)
 			var accepted accept
 			child.receive(typeAccept, &accepted)
-			c.Check(accepted.Packing != 0, qt.Equals, test.packed, qt.Commentf(name))
+			c.Check(accepted.Compressor != 0, qt.Equals, test.packed, qt.Commentf(name))
 			child.receive(typeConfigFull, &struct{}{})
 			_, received := child.conn.Bytes()
 			c.Check(received < 600, qt.Equals, test.packed, qt.Commentf("%s: %d bytes", name, received))
@@ -42,11 +42,11 @@
 
 // Guards against a child that goes on with plain messages although its parent has agreed to packed ones, and the reverse.
 func TestChildPacksWhatItsParentReads(t *testing.T) {
-	run(t, func(c *qt.C, w *world) {
+	runTest(t, func(c *qt.C, w *cluster) {
 		packing, err := newPacking()
 		c.Assert(err, qt.IsNil)
 		for name, test := range map[string]struct {
-			agreed frame.PackingID
+			agreed frame.CompressorID
 			packed bool
 		}{
 			"agreed":             {agreed: packing.ID(), packed: true},
@@ -56,10 +56,10 @@
 			parent := w.rawParent("parent-" + name)
 			child := w.subscriber(core.NodeID("n-"+name), "parent-"+name)
 			child.Announce(endpoint("service-0", core.EndpointReady))
-			parent.attach(accept{Packing: test.agreed})
+			parent.attach(accept{Compressor: test.agreed})
 			// The test's end reads no packed messages.
 			for err = nil; err == nil; {
-				_, err = parent.conn.Receive(time.Now().Add(silenceLimit))
+				_, err = parent.conn.Receive(time.Now().Add(linkTimeout))
 			}
 			c.Check(errors.Is(err, frame.ErrMalformed), qt.Equals, test.packed, qt.Commentf("%s: %v", name, err))
 			w.stop("n-" + name)
