--- a/core/callreplay/doc.go
+++ b/core/callreplay/doc.go
@@ -1,4 +1,3 @@
-// Package callreplay replays recorded calls and events through the decision modules that the nodes run (balancer,
-// limiter, retry), without sockets or sleeping, and measures what the callers would have seen. Equal traces and policies
-// give equal measures.
+// Package callreplay replays recorded calls and events through the modules that balance, limit and retry calls in the nodes, with
+// simulated time and no sockets, and measures what the callers would have seen. Equal traces, policies and seeds give equal measures.
 package callreplay
--- a/core/callreplay/event_queue.go
+++ b/core/callreplay/event_queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// schedule is a queue of actions ordered by time, then by the order in which they were added.
+// eventQueue runs actions in the order of their times, and those of the same time in the order in which they were added.
 type eventQueue struct {
 	now   time.Time
 	items actionHeap
@@ -18,23 +18,23 @@
 	run   func()
 }
 
-func (s *eventQueue) at(when time.Time, run func()) {
-	s.added++
-	heap.Push(&s.items, scheduledAction{
+func (q *eventQueue) at(when time.Time, run func()) {
+	q.added++
+	heap.Push(&q.items, scheduledAction{
 		at:    when,
-		order: s.added,
+		order: q.added,
 		run:   run,
 	})
 }
 
-func (s *eventQueue) after(wait time.Duration, run func()) {
-	s.at(s.now.Add(wait), run)
+func (q *eventQueue) after(wait time.Duration, run func()) {
+	q.at(q.now.Add(wait), run)
 }
 
-func (s *eventQueue) runAll() {
-	for len(s.items) > 0 {
-		next := heap.Pop(&s.items).(scheduledAction)
-		s.now = next.at
+func (q *eventQueue) runAll() {
+	for len(q.items) > 0 {
+		next := heap.Pop(&q.items).(scheduledAction)
+		q.now = next.at
 		next.run()
 	}
 }
--- a/core/callreplay/file.go
+++ b/core/callreplay/file.go
@@ -11,13 +11,13 @@
 	"parsleyport/core/balancer"
 )
 
-// ErrOutcome means that the default policy did not meet the stated outcome of a trace.
+// ErrOutcome is returned if the default policy does not meet the expectations of a trace.
 const ErrOutcome = errors.ConstError("outcome differs from the stated one")
 
-// fileSeed fixes the durations and failures of the runs of a replayed file.
+// fileSeed is the seed of the replays of a file.
 const fileSeed = 1
 
-// ReadFile reads a trace file.
+// ReadFile reads a trace file. An error names the file.
 func ReadFile(path string) (Trace, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return trace, errors.Annotatef(err, "%s", path)
 }
 
-// RunFile replays a trace file with each policy and prints the measures; it returns ErrOutcome if the default policy
-// does not meet the stated outcome.
+// RunFile replays a trace file with each policy and prints the measures. It returns ErrOutcome if the default policy does not meet
+// the expectations of the trace.
 func RunFile(path string, out io.Writer) error {
 	trace, err := ReadFile(path)
 	if err != nil {
--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -19,7 +19,7 @@
 	maxLatencyUS    = int64(time.Minute / time.Microsecond)
 )
 
-// Measures are what the callers of a replayed trace saw.
+// Measures holds what the callers of a replayed trace saw.
 type Measures struct {
 	Policy   balancer.Policy
 	Calls    int
@@ -31,12 +31,12 @@
 	RunTwice int // calls that are not idempotent and ran more than once
 	Runs     int
 	Hedges   int
-	BusyMS   float64 // time of all backend servers' slots
+	BusyMS   float64 // total time for which slots were busy
 	P50US    int64
 	P99US    int64
 }
 
-// AnsweredPerMille returns the share of successful answers in thousandths.
+// AnsweredPerMille returns how many of 1,000 calls had a successful answer before the deadline.
 func (m Measures) AnsweredPerMille() int64 {
 	if m.Calls == 0 {
 		return 0
@@ -44,7 +44,7 @@
 	return int64(m.Answered) * 1000 / int64(m.Calls)
 }
 
-// Meets reports whether the measures meet the stated outcome.
+// Meets reports whether the measures meet the expectations of a trace.
 func (m Measures) Meets(e Expectations) bool {
 	return m.AnsweredPerMille() >= e.MinAnsweredPerMille && m.RunTwice <= e.MaxRunTwice
 }
@@ -56,7 +56,7 @@
 	status  int // of a failed answer
 }
 
-// result collects what happens to one call over its attempts.
+// runState holds the state of one call over all its attempts.
 type runState struct {
 	runs  int
 	ended bool
@@ -79,7 +79,7 @@
 	ticket limiter.Ticket
 }
 
-// entryNode is a node at which callers enter, with its own view of the endpoints.
+// entryNode is a node at which calls enter, with its own view of the endpoints.
 type entryNode struct {
 	spec     Entry
 	balancer *balancer.Balancer
@@ -98,14 +98,14 @@
 	measures Measures
 }
 
-// Options configure a replay.
+// Options configures a replay.
 type Options struct {
 	Policy    balancer.Policy
-	Seed      uint64 // equal seeds give equal measures
+	Seed      uint64 // of the random durations and failures of the runs
 	NoHedging bool
 }
 
-// Run replays a trace.
+// Run replays a trace and returns its measures.
 func Run(trace Trace, options Options) Measures {
 	start, policy, seed := time.Unix(0, 0), options.Policy, options.Seed
 	r := &simulation{
@@ -203,7 +203,7 @@
 	}
 }
 
-// hedge makes a second attempt if the first one of the call still runs.
+// hedge makes a second attempt if the first one has not been answered.
 func (c *callState) hedge() {
 	now := c.simulation.queue.now
 	allowed := func() bool { return c.entry.hedging.Allowed(now) && c.entry.budget.TakeHedge(now) }
@@ -247,7 +247,7 @@
 
 func (c *callState) receiveReply(a *attempt, r reply) {
 	if !lo.Contains(c.openAttempts, a) {
-		return // it was cancelled
+		return // the attempt was cancelled
 	}
 	now := c.simulation.queue.now
 	c.openAttempts = lo.Without(c.openAttempts, a)
@@ -291,7 +291,7 @@
 	}
 }
 
-// end counts the call once, under its first final result.
+// end adds the call to a counter, unless the call has already ended.
 func (c *callState) end(counter *int) {
 	if c.result.ended {
 		return
@@ -333,7 +333,7 @@
 	return time.Duration(r.trace.OneWayUS) * time.Microsecond
 }
 
-// sortedAttempts orders by ticket, since the order of a map would make replays differ.
+// sortedAttempts returns the attempts in the order of their tickets; in the order of the map, replays would differ.
 func sortedAttempts(pending map[limiter.Ticket]*attempt) []*attempt {
 	tickets := lo.Keys(pending)
 	sort.Slice(tickets, func(i, j int) bool { return tickets[i] < tickets[j] })
--- a/core/callreplay/replay_test.go
+++ b/core/callreplay/replay_test.go
@@ -17,7 +17,7 @@
 	"parsleyport/core/callreplay"
 )
 
-// smallTrace has the size of the court transcript records service: 7 backend servers with 9 slots in 4 data centres.
+// smallTrace returns calls to 7 backend servers with 9 slots each in 4 data centres, the size of the transcripts service.
 func smallTrace(seed uint64, seconds int, callsPerSecond float64, events ...callreplay.Event) callreplay.Trace {
 	random := rand.New(rand.NewPCG(seed, seed))
 	trace := callreplay.Trace{
@@ -57,7 +57,7 @@
 	return core.DataCentre(fmt.Sprintf("dc%d", i))
 }
 
-// Guards against measures that depend on anything but the trace, so that two runs could not be compared.
+// Guards against measures that differ between two replays of the same trace, so that policies could not be compared.
 func TestEqualTracesGiveEqualMeasures(t *testing.T) {
 	c := qt.New(t)
 	trace := smallTrace(1, 5, 1000, callreplay.Event{AtMS: 1000, Node: "n1", Kind: callreplay.EventCrash})
@@ -77,8 +77,8 @@
 	c.Assert(read, qt.DeepEquals, trace)
 }
 
-// Guards against a faulty trace that is replayed in part.
-func TestReadRefusesFaultyTraces(t *testing.T) {
+// Guards against a malformed trace that is replayed in part.
+func TestReadRefusesMalformedTraces(t *testing.T) {
 	c := qt.New(t)
 	for source, want := range map[string]string{
 		`{"colour": 1}`: `.*unknown field "colour"`,
@@ -136,9 +136,9 @@
 	}
 }
 
-// Guards against a change of balancer, limiter or retry rules that breaks the stated outcome of a kept trace. The arrivals
-// were recorded from running processes, at the sizes of both users.
-func TestKeptTracesMeetTheirStatedOutcome(t *testing.T) {
+// Guards against a change of balancer, limiter or retry rules after which a stored trace does not meet its expectations. The
+// arrivals were recorded from running processes, at the sizes of both deployments.
+func TestStoredTracesMeetTheirExpectations(t *testing.T) {
 	c := qt.New(t)
 	files, err := filepath.Glob("testdata/*.calls")
 	c.Assert(err, qt.IsNil)
@@ -148,16 +148,16 @@
 	}
 }
 
-// Guards against hedging that does not shorten the longest waits, or that adds load, most of all to a service in overload.
-func TestHedgingOnKeptTraces(t *testing.T) {
+// Guards against hedging that does not reduce the tail latency, or that adds load, above all to an overloaded service.
+func TestHedgingOnStoredTraces(t *testing.T) {
 	c := qt.New(t)
-	for _, user := range []string{"pamoja", "vavlaget"} {
+	for _, deployment := range []string{"pamoja", "vavlaget"} {
 		for _, name := range []string{"calm", "slow-server", "crash-and-cold-start", "all-shed-with-503", "overload"} {
 			file := name
 			if name == "overload" {
 				file = "calm"
 			}
-			trace, err := callreplay.ReadFile("testdata/" + file + "-" + user + ".calls")
+			trace, err := callreplay.ReadFile("testdata/" + file + "-" + deployment + ".calls")
 			c.Assert(err, qt.IsNil)
 			if name == "overload" {
 				for _, endpoint := range trace.Endpoints {
@@ -175,9 +175,9 @@
 					sum.Answered += m.Answered
 				}
 			}
-			comment := qt.Commentf("%s %s: with hedging %+v, without %+v", name, user, with, without)
+			comment := qt.Commentf("%s %s: with hedging %+v, without %+v", name, deployment, with, without)
 			t.Log(comment)
-			c.Check(float64(with.Runs) <= 1.05*float64(without.Runs), qt.IsTrue, comment) // half of the retry budget
+			c.Check(float64(with.Runs) <= 1.05*float64(without.Runs), qt.IsTrue, comment) // hedges may use half of the retry budget
 			c.Check(with.BusyMS <= 1.05*without.BusyMS, qt.IsTrue, comment)
 			if name == "slow-server" || name == "crash-and-cold-start" {
 				c.Check(with.P99US < without.P99US, qt.IsTrue, comment)
--- a/core/callreplay/server.go
+++ b/core/callreplay/server.go
@@ -11,8 +11,8 @@
 	"parsleyport/core/retry"
 )
 
-// coldRunFactor is how much longer the runs of a cold backend server take.
-const coldRunFactor = 4
+// coldLatencyFactor is the factor by which the runs of a cold backend server take longer.
+const coldLatencyFactor = 4
 
 // server is a backend server with the limiter of its node.
 type server struct {
@@ -23,21 +23,21 @@
 	pending map[limiter.Ticket]*attempt
 
 	up           bool
-	run          int // grows with each start, so that runs of an earlier process do not finish
+	run          int // incremented when a process ends, so that its runs do not finish
 	leaving      bool
 	slowPerMille int64
 	failPerMille int64
 	failStatus   int
 	slots        int
-	shedStatus   int // answer to a call beyond the slots; 0 refuses the connection
+	shedStatus   int // status of the answer to a call beyond the slots, or 0 if its connection is refused
 	coldUntil    time.Time
 	incarnation  core.Incarnation
 }
 
-func newServer(spec EndpointSpec, clock *eventQueue, random *rand.Rand) *server {
+func newServer(spec EndpointSpec, queue *eventQueue, random *rand.Rand) *server {
 	return &server{
 		spec:         spec,
-		queue:        clock,
+		queue:        queue,
 		random:       random,
 		limiter:      limiter.New(spec.Slots),
 		pending:      make(map[limiter.Ticket]*attempt),
@@ -83,7 +83,7 @@
 	}
 }
 
-// crash loses the running calls; the node is alive and truthfully refuses the waiting ones.
+// crash ends the process: running calls have an unknown outcome, and the node refuses the waiting ones as not run.
 func (s *server) crash() {
 	s.up = false
 	s.run++
@@ -143,19 +143,19 @@
 	took := time.Duration(s.spec.WorkUS*s.slowPerMille/1000) * time.Microsecond
 	took = time.Duration(float64(took) * (0.5 + s.random.ExpFloat64()/2))
 	if s.queue.now.Before(s.coldUntil) {
-		took *= coldRunFactor
+		took *= coldLatencyFactor
 	}
 	failed := s.random.Int64N(1000) < s.failPerMille
 	end := reply{outcome: core.OutcomeAnswered, failed: failed}
 	if failed {
-		took /= 10 // a broken backend server often fails fast
+		took /= 10 // a faulty backend server often fails fast
 		end.status = s.failStatus
 	}
 	run := s.run
 	s.queue.after(took, func() { s.finish(run, ticket, took, end) })
 }
 
-// shed is what a backend server says to a call beyond its slots, which are fewer than announced.
+// overloadReply returns the reply to a call beyond the slots of a backend server that has fewer than it announces.
 func (s *server) overloadReply() reply {
 	if s.shedStatus == 0 {
 		return reply{outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused}
@@ -163,7 +163,7 @@
 	return reply{outcome: core.OutcomeAnswered, failed: true, status: s.shedStatus}
 }
 
-// cancel ends an attempt that nobody waits for; the backend server gives up its run.
+// cancel ends an attempt whose answer is no longer needed; the backend server stops its run.
 func (s *server) cancel(a *attempt) {
 	if s.pending[a.ticket] != a {
 		return
--- a/core/callreplay/trace.go
+++ b/core/callreplay/trace.go
@@ -21,7 +21,7 @@
 	maxTraceCalls = 1_000_000
 )
 
-// Trace is a recorded file of calls and events with its stated outcome.
+// Trace holds recorded calls and events, and the expectations that a replay with the default policy has to meet.
 type Trace struct {
 	Header
 	Calls []Call
@@ -40,12 +40,12 @@
 	Expectations Expectations   `json:"expect"`
 }
 
-// Entry is a node at which callers enter.
+// Entry is a node at which calls enter.
 type Entry struct {
 	DataCentre core.DataCentre `json:"data-centre"`
 }
 
-// EndpointSpec is a backend server with its node.
+// EndpointSpec describes a backend server and its node.
 type EndpointSpec struct {
 	Node       core.NodeID     `json:"node"`
 	DataCentre core.DataCentre `json:"data-centre"`
@@ -53,20 +53,20 @@
 	WorkUS     int64           `json:"work-us"`
 }
 
-// EventKind names what happens to a backend server.
+// EventKind is a kind of change of a backend server.
 type EventKind string
 
 // The kinds of events.
 const (
-	EventSlow    EventKind = "slow"    // runs take Value per mille of their time
+	EventSlow    EventKind = "slow"    // runs take Value per mille of their usual time
 	EventFail    EventKind = "fail"    // Value per mille of the runs fail and answer with Status (500 if it is 0)
-	EventShrink  EventKind = "shrink"  // only Value slots are left; further calls get no connection, or Status if it is set
+	EventShrink  EventKind = "shrink"  // only Value slots are left; further calls are refused a connection, or answered with Status if it is set
 	EventCrash   EventKind = "crash"   // the process ends; running calls are lost
-	EventStart   EventKind = "start"   // a new process starts, cold for Value milliseconds
-	EventLeaving EventKind = "leaving" // no new calls are taken
+	EventStart   EventKind = "start"   // a new process starts and is cold for Value milliseconds
+	EventLeaving EventKind = "leaving" // no new calls are accepted
 )
 
-// Event happens to one backend server at a point in time.
+// Event is a change of one backend server.
 type Event struct {
 	AtMS  int64       `json:"at-ms"`
 	Node  core.NodeID `json:"node"`
@@ -76,13 +76,13 @@
 	Status int `json:"status,omitempty"`
 }
 
-// Expectations are the stated outcome of a trace.
+// Expectations bound the measures of a replay with the default policy.
 type Expectations struct {
 	MinAnsweredPerMille int64 `json:"min-answered-per-mille"`
 	MaxRunTwice         int   `json:"max-run-twice"`
 }
 
-// Call is one recorded call; it is one line of the second part of a trace file.
+// Call is one recorded call, a line in the second part of a trace file.
 type Call struct {
 	At         time.Duration // since the start of the trace
 	Entry      int
@@ -91,7 +91,7 @@
 	Session    string
 }
 
-// Read reads a trace file; the error names the line of a faulty call.
+// Read reads and checks a trace. An error in a call names its line.
 func Read(reader io.Reader) (Trace, error) {
 	var trace Trace
 	scanner := bufio.NewScanner(reader)
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// parseCall reads "AT-US ENTRY idempotent|once TENANT SESSION", where SESSION is - for none.
+// parseCall reads "AT-US ENTRY idempotent|once TENANT SESSION", where SESSION is "-" for a call without a session.
 func parseCall(line string, entries int) (Call, error) {
 	var at int64
 	var entry int
@@ -171,7 +171,7 @@
 	}, nil
 }
 
-// Write writes a trace file that Read accepts.
+// Write writes the trace in the format that Read reads.
 func (t Trace) Write(writer io.Writer) error {
 	header, err := json.MarshalIndent(t.Header, "", "  ")
 	if err != nil {
--- a/core/replay/doc.go
+++ b/core/replay/doc.go
@@ -1,3 +1,3 @@
-// Package replay drives the decision modules of moves with recorded traces and measures their decisions, without
-// sockets and sleeping.
+// Package replay simulates recorded moves, drives the decision rules with their evidence and measures the decisions. It uses simulated
+// time and no sockets.
 package replay
--- a/core/replay/generate.go
+++ b/core/replay/generate.go
@@ -11,23 +11,23 @@
 	"parsleyport/core"
 )
 
-// User names one of the two users whose sizes the generator knows (design 1.2).
-type User string
+// Deployment names one of the deployments whose traces can be generated.
+type Deployment string
 
-// The users.
+// Deployments with a known size.
 const (
-	UserPamoja              User = "pamoja"
-	UserVavlaget            User = "vavlaget"
-	arrivalsIntervalSeconds      = 20 // seconds between two arrivals lines
+	DeploymentPamoja        Deployment = "pamoja"
+	DeploymentVavlaget      Deployment = "vavlaget"
+	arrivalsIntervalSeconds            = 20
 )
 
-// Users lists all users.
-var Users = []User{UserPamoja, UserVavlaget}
+// Deployments lists all deployments.
+var Deployments = []Deployment{DeploymentPamoja, DeploymentVavlaget}
 
-// Scenario names what a generated trace is about.
+// Scenario names the situation that a generated trace is about.
 type Scenario string
 
-// Scenarios lists all scenarios in a fixed order; new ones come last, since the kept traces alternate between the users.
+// Scenarios lists all scenarios. New ones are added at the end, since the stored traces alternate between the deployments.
 var Scenarios = []Scenario{
 	"good-calm", "good-churn", "good-low-traffic", "good-tight", "good-cold-start", "good-shared-slow", "good-shared-failures",
 	"good-leader-loss", "good-centre-overloaded", "good-crash-both", "good-failing-as-before", "good-restarts", "good-risk-limit",
@@ -49,17 +49,17 @@
 	routes    []core.RouteName
 }
 
-// sizes has the data centres, upstreams and slots of design 1.2. Rates and latencies are assumptions that use up to
-// half of the slots.
-var deploymentSizes = map[User]deploymentSize{
-	UserPamoja: {
+// deploymentSizes lists data centres, upstreams and slots of the deployments. Rates and latencies are assumptions under which up to
+// half of the slots are in use.
+var deploymentSizes = map[Deployment]deploymentSize{
+	DeploymentPamoja: {
 		dataCentres: 4, slots: 9,
 		services: []serviceSize{
 			{name: "transcripts", instances: 7, rate: 220, latencyMS: 110, routes: []core.RouteName{"read", "certify", "search"}},
 			{name: "sittings", instances: 4, rate: 180, latencyMS: 70, routes: []core.RouteName{"calendar", "hansard"}},
 		},
 	},
-	UserVavlaget: {
+	DeploymentVavlaget: {
 		dataCentres: 3, slots: 14,
 		services: []serviceSize{
 			{name: "orders", instances: 6, rate: 330, latencyMS: 80, routes: []core.RouteName{"status", "lodge", "price"}},
@@ -72,19 +72,19 @@
 	*rand.Rand
 	trace       *Trace
 	rate        float64
-	routeRatios []float64 // of the routes in the rate
+	routeRatios []float64 // parts of the rate
 }
 
-// Generate returns the trace that a seed gives for a user and a scenario; an unknown scenario is a calm one.
-func Generate(seed uint64, user User, scenario Scenario) *Trace {
-	random := rand.New(rand.NewPCG(seed, uint64(len(scenario))<<8|uint64(len(user))))
-	s := deploymentSizes[user]
+// Generate returns the trace for a seed, a deployment and a scenario. An unknown scenario gives a trace without disturbances.
+func Generate(seed uint64, deployment Deployment, scenario Scenario) *Trace {
+	random := rand.New(rand.NewPCG(seed, uint64(len(scenario))<<8|uint64(len(deployment))))
+	s := deploymentSizes[deployment]
 	service := s.services[random.IntN(len(s.services))]
 	g := &generator{
 		Rand: random,
 		trace: &Trace{Header: Header{
 			Format:           1,
-			Name:             fmt.Sprintf("%s-%s-%d", scenario, user, seed),
+			Name:             fmt.Sprintf("%s-%s-%d", scenario, deployment, seed),
 			Seed:             seed,
 			Service:          service.name,
 			From:             "v1",
@@ -149,7 +149,7 @@
 	g.trace.Events = append(g.trace.Events, e)
 }
 
-// arrivals writes the calls per second, which drift slowly around the mean.
+// arrivals adds the rates of calls, which drift slowly around their mean.
 func (g *generator) arrivals() {
 	drift := 1.0
 	for at := -g.trace.WarmSeconds; at < g.trace.DeadlineSeconds; at += arrivalsIntervalSeconds {
@@ -162,7 +162,7 @@
 	}
 }
 
-// at is a point in time as a part of the time until the deadline.
+// timeBetween returns a random time in seconds; low and high are parts of the time until the deadline.
 func (g *generator) timeBetween(low, high float64) float64 {
 	return g.between(low, high) * float64(g.trace.DeadlineSeconds)
 }
@@ -261,7 +261,7 @@
 	}
 }
 
-// rushed leaves less time than all steps need but much traffic, and starts the new release's backend servers just before the move.
+// rushed gives the move too little time for all steps but much traffic, and starts the new release's backend servers just before it.
 func (g *generator) rushed() {
 	g.rate = g.between(300, 800)
 	g.trace.DeadlineSeconds = 12 + g.IntN(20)
--- a/core/replay/replay.go
+++ b/core/replay/replay.go
@@ -16,22 +16,22 @@
 	"parsleyport/core/rollout"
 )
 
-// ErrOutcome means that the sequential test did not lead to the stated outcome of a trace.
+// ErrOutcome is returned if the sequential test leads to another outcome than a trace states.
 const ErrOutcome = errors.ConstError("outcome differs from the stated one")
 
-// tail is how long a replay goes on after the move has ended, so that calls under way to the new release are counted.
+// drainDuration is how long a replay continues after the end of the move, so that the last calls to the new release are counted.
 const drainDuration = 5 * time.Second
 
-// Measures is what one rule did with one trace. Calls are counted from the acceptance of the move until shortly after
+// Measures holds the results of one rule for one trace. Calls are counted from the acceptance of the move until drainDuration after
 // its end.
 type Measures struct {
 	Move            core.Move
 	Calls           int
 	NewCalls        int           // of the new release
 	CallsAfterFault int           // of the new release, on all routes, since its fault first showed
-	FaultyCalls     int           // that met the fault itself
-	FaultAt         time.Time     // of the first call that met the fault; zero if none did
-	TakeBackDelay   time.Duration // from FaultAt until the move was taken back; zero if it was not
+	FaultyCalls     int           // of the new release, affected by the fault
+	FaultAt         time.Time     // time of the first faulty call, zero if there was none
+	TakeBackDelay   time.Duration // from FaultAt until the move was taken back, zero if it was not
 	Steps           []core.MoveStep
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// CallsAfterFaultRatio is the share of the calls during the move that reached the new release after its fault had shown.
+// CallsAfterFaultRatio returns the ratio of CallsAfterFault to all calls.
 func (m *Measures) CallsAfterFaultRatio() float64 {
 	return float64(m.CallsAfterFault) / float64(max(1, m.Calls))
 }
@@ -65,41 +65,41 @@
 	return m.Move.State == want.State && strings.Contains(m.Move.Cause, want.Cause)
 }
 
-// Replay drives one rule with a trace; an error means that the rule proposed a step that the catalog would refuse.
+// Replay replays a trace with one rule. It returns an error if the rule proposed a step that the catalog would refuse.
 func Replay(trace *Trace, rule RuleName) (*Measures, error) {
 	m := &Measures{Move: newMove(trace)}
-	w := newSimulation(trace, m)
+	sim := newSimulation(trace, m)
 	events := trace.Events
-	judge := newRule(rule, m.Move, trace.From, trace.To)
+	decider := newRule(rule, m.Move, trace.From, trace.To)
 	var leaderless, ended time.Time
-	for ended.IsZero() || w.now.Before(ended.Add(drainDuration)) {
-		for len(events) > 0 && !w.now.Before(epoch.Add(time.Duration(events[0].At*float64(time.Second)))) {
+	for ended.IsZero() || sim.now.Before(ended.Add(drainDuration)) {
+		for len(events) > 0 && !sim.now.Before(epoch.Add(time.Duration(events[0].At*float64(time.Second)))) {
 			if events[0].Kind == "leader-loss" {
-				leaderless = w.now.Add(time.Duration(events[0].number(0)) * time.Second)
-				judge = newRule(rule, m.Move, trace.From, trace.To)
+				leaderless = sim.now.Add(time.Duration(events[0].number(0)) * time.Second)
+				decider = newRule(rule, m.Move, trace.From, trace.To)
 			}
-			w.apply(events[0])
+			sim.apply(events[0])
 			events = events[1:]
 		}
-		w.runTick()
-		evidence := w.takeArrivedEvidence()
-		if w.now.Before(epoch) || w.now.Before(leaderless) || !ended.IsZero() {
+		sim.runTick()
+		evidence := sim.takeArrivedEvidence()
+		if sim.now.Before(epoch) || sim.now.Before(leaderless) || !ended.IsZero() {
 			continue
 		}
-		if observer, ok := judge.(interface {
+		if observer, ok := decider.(interface {
 			ObserveEndpoints(time.Time, []core.Endpoint)
 		}); ok {
-			observer.ObserveEndpoints(w.now, w.endpoints())
+			observer.ObserveEndpoints(sim.now, sim.endpoints())
 		}
-		step, due := judge.Decide(w.now, m.Move, evidence)
+		step, due := decider.Decide(sim.now, m.Move, evidence)
 		if due {
 			if err := m.apply(step); err != nil {
 				return nil, err
 			}
-			w.setShare(m.Move.Share)
+			sim.setShare(m.Move.Share)
 		}
-		if rollout.IsFinal(m.Move.State) || w.now.After(m.Move.Request.Deadline) {
-			ended = w.now
+		if rollout.IsFinal(m.Move.State) || sim.now.After(m.Move.Request.Deadline) {
+			ended = sim.now
 		}
 	}
 	if m.Move.State == core.MoveTakenBack && !m.FaultAt.IsZero() {
@@ -222,17 +222,17 @@
 	}
 }
 
-// Score sums the measures of one rule over many traces.
+// Score sums up the measures of one rule over many traces.
 type Score struct {
 	Good, GoodFinished    int
 	GoodTakenBack         int
 	Bad, BadTakenBack     int
 	CallsAfterFaultRatios []float64
 	TakeBackSeconds       []float64
-	Matched               int // outcomes as the traces state
+	Matched               int // moves that ended as their trace states
 }
 
-// Add counts one replayed trace.
+// Add adds the measures of one trace.
 func (s *Score) Add(trace *Trace, m *Measures) {
 	if m.Matches(trace.Outcome) {
 		s.Matched++
@@ -261,7 +261,7 @@
 	}
 }
 
-// String prints the score on one line.
+// String returns the score in one line.
 func (s *Score) String() string {
 	return fmt.Sprintf("good done in time %d/%d, falsely taken back %d; bad taken back %d/%d, share of calls on bad median %.2f%% worst %.2f%%, under 2%% in %d/%d; fault to take-back median %.0f s worst %.0f s",
 		s.GoodFinished, s.Good, s.GoodTakenBack, s.BadTakenBack, s.Bad,
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -22,43 +22,44 @@
 	seeds       = flag.String("seeds", "", "print the scores of generated traces, as FIRST-LAST")
 )
 
-// kept lists the traces in testdata: each scenario for one user in turn, and those that are hardest to judge for both.
+// storedTraces generates the traces in testdata: each scenario for the deployments in turn, and the hardest ones for both.
 func storedTraces() []*replay.Trace {
 	var traces []*replay.Trace
 	for i, scenario := range replay.Scenarios {
-		for u, user := range replay.Users {
+		for u, deployment := range replay.Deployments {
 			hard := slices.Contains([]replay.Scenario{"bad-load-only", "bad-one-route", "bad-flaky", "bad-crash", "bad-late-flaky", "good-shared-slow"}, scenario)
-			if hard || u == i%len(replay.Users) {
-				traces = append(traces, replay.Generate(101, user, scenario))
+			if hard || u == i%len(replay.Deployments) {
+				traces = append(traces, replay.Generate(101, deployment, scenario))
 			}
 		}
 	}
-	// Traces that an earlier version of the judge decided wrongly.
+	// Traces that an earlier version of the sequential test decided wrongly.
 	return append(traces,
-		replay.Generate(2, replay.UserPamoja, "good-shared-failures"),       // expired: a burst blocked the accepting test
-		replay.Generate(3, replay.UserVavlaget, "good-shared-failures"),     // the same
-		replay.Generate(3, replay.UserPamoja, "good-shared-slow"),           // the same with slow calls
-		replay.Generate(3, replay.UserPamoja, "good-leader-loss"),           // expired: the earlier verdict was lost
-		replay.Generate(2, replay.UserPamoja, "good-leader-loss"),           // taken back for 3 slow calls
-		replay.Generate(1, replay.UserPamoja, "good-crash-both"),            // taken back for cold backend servers
-		replay.Generate(8, replay.UserVavlaget, "good-crash-both"),          // expired: slow start held the last step
-		replay.Generate(5, replay.UserPamoja, "bad-flaky"),                  // expired instead of taken back
-		replay.Generate(1, replay.UserPamoja, "bad-late-flaky"),             // found too late at a large share
-		replay.Generate(1, replay.UserPamoja, "bad-crash"),                  // found too late
-		replay.Generate(108, replay.UserVavlaget, "good-rushed"),            // expired: slow start used up the time
-		replay.Generate(112, replay.UserPamoja, "good-rushed"),              // the same
-		replay.Generate(305, replay.UserPamoja, "good-shared-failures"),     // taken back without the mixture for bursts
-		replay.Generate(330, replay.UserVavlaget, "good-shared-failures"),   // the same
-		replay.Generate(332, replay.UserVavlaget, "good-failing-as-before"), // expired without the ceiling of the accepting test
-		replay.Generate(209, replay.UserPamoja, "good-risk-limit"),          // the same
-		replay.Generate(217, replay.UserVavlaget, "good-restarts"),          // expired if the accepting test forgets that it has passed
-		replay.Generate(111, replay.UserVavlaget, "good-leader-loss"),       // expired: no verdict in the time after the loss
-		replay.Generate(124, replay.UserPamoja, "good-leader-loss"),         // the same
+		replay.Generate(2, replay.DeploymentPamoja, "good-shared-failures"),       // expired: a burst blocked the acceptance test
+		replay.Generate(3, replay.DeploymentVavlaget, "good-shared-failures"),     // the same
+		replay.Generate(3, replay.DeploymentPamoja, "good-shared-slow"),           // the same with slow calls
+		replay.Generate(3, replay.DeploymentPamoja, "good-leader-loss"),           // expired: the earlier verdict was lost
+		replay.Generate(2, replay.DeploymentPamoja, "good-leader-loss"),           // taken back for 3 slow calls
+		replay.Generate(1, replay.DeploymentPamoja, "good-crash-both"),            // taken back for cold backend servers
+		replay.Generate(8, replay.DeploymentVavlaget, "good-crash-both"),          // expired: slow start held the last step
+		replay.Generate(5, replay.DeploymentPamoja, "bad-flaky"),                  // expired instead of taken back
+		replay.Generate(1, replay.DeploymentPamoja, "bad-late-flaky"),             // found too late at a large share
+		replay.Generate(1, replay.DeploymentPamoja, "bad-crash"),                  // found too late
+		replay.Generate(108, replay.DeploymentVavlaget, "good-rushed"),            // expired: slow start used up the time
+		replay.Generate(112, replay.DeploymentPamoja, "good-rushed"),              // the same
+		replay.Generate(305, replay.DeploymentPamoja, "good-shared-failures"),     // taken back without the burst prior
+		replay.Generate(330, replay.DeploymentVavlaget, "good-shared-failures"),   // the same
+		replay.Generate(332, replay.DeploymentVavlaget, "good-failing-as-before"), // expired without the upper bound in the acceptance test
+		replay.Generate(209, replay.DeploymentPamoja, "good-risk-limit"),          // the same
+		replay.Generate(217, replay.DeploymentVavlaget, "good-restarts"),          // expired if a passed acceptance test can be undone
+		replay.Generate(111, replay.DeploymentVavlaget, "good-leader-loss"),       // expired: no verdict in the time after the loss
+		replay.Generate(124, replay.DeploymentPamoja, "good-leader-loss"),         // the same
 	)
 }
 
-// Guards against a change of the decision modules that misses the targets of design 1.5 in a kept trace.
-func TestKeptTraces(t *testing.T) {
+// Guards against a change of the decision rules that leads to a wrong outcome, a late end or too many calls to a bad release in a
+// stored trace.
+func TestStoredTraces(t *testing.T) {
 	if *writeTraces {
 		for _, trace := range storedTraces() {
 			var out bytes.Buffer
@@ -88,10 +89,10 @@
 	}
 }
 
-// Guards against a replay that depends on map order or on the time of day, and a trace that changes when it is stored.
+// Guards against a replay that depends on map order or the time of day, and against a trace that changes when it is stored.
 func TestReplayIsDeterministic(t *testing.T) {
 	c := qt.New(t)
-	trace := replay.Generate(3, replay.UserPamoja, "bad-leader-loss")
+	trace := replay.Generate(3, replay.DeploymentPamoja, "bad-leader-loss")
 	var out bytes.Buffer
 	c.Assert(trace.Write(&out), qt.IsNil)
 	stored, err := replay.Parse(out.Bytes())
@@ -106,10 +107,10 @@
 	}
 }
 
-// Guards against an outcome that differs from the stated one without an error, which a script would miss.
+// Guards against an outcome that differs from the stated one without an error that a script would notice.
 func TestRunReportsMeasuresAndADifferentOutcome(t *testing.T) {
 	c := qt.New(t)
-	trace := replay.Generate(3, replay.UserVavlaget, "bad-at-once")
+	trace := replay.Generate(3, replay.DeploymentVavlaget, "bad-at-once")
 	file := filepath.Join(c.TempDir(), "a.trace")
 	write := func() {
 		var out bytes.Buffer
@@ -125,11 +126,11 @@
 	c.Assert(errors.Is(replay.Run(file, &report), replay.ErrOutcome), qt.IsTrue)
 }
 
-// Guards against a malformed trace that is replayed in part or that takes unbounded time.
+// Guards against a malformed trace that is replayed in part or takes unbounded time.
 func TestParseRefusesMalformedTraces(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
-	c.Assert(replay.Generate(3, replay.UserPamoja, "good-calm").Write(&out), qt.IsNil)
+	c.Assert(replay.Generate(3, replay.DeploymentPamoja, "good-calm").Write(&out), qt.IsNil)
 	good := out.String()
 	for line, want := range map[string]string{
 		"1 fault * 0 0.1 1":         `line \d+: event "fault" has 4 arguments, expected 5`,
@@ -141,7 +142,7 @@
 		"x delay 5":                 `line \d+: time "x" is not a number of seconds`,
 		"1":                         `line \d+: expected seconds, kind and arguments`,
 	} {
-		// The lines go to the end, so their times are made late enough, but for the one that tests the order.
+		// The lines are appended, so their times are made late enough, except for the one that tests the order.
 		if strings.HasPrefix(line, "1 ") {
 			line = "9000" + line[1:]
 		}
@@ -164,7 +165,7 @@
 	}
 }
 
-// Prints the scores of generated traces; used to tune on one range of seeds and to judge on another one.
+// Prints the scores of generated traces. Constants are tuned on one range of seeds and evaluated on another.
 func TestSeeds(t *testing.T) {
 	var first, last uint64
 	if n, _ := fmt.Sscanf(*seeds, "%d-%d", &first, &last); n != 2 {
@@ -182,9 +183,9 @@
 	var jobs []*job
 	for _, rule := range replay.RuleNames {
 		for _, scenario := range replay.Scenarios {
-			for _, user := range replay.Users {
+			for _, deployment := range replay.Deployments {
 				for seed := first; seed <= last; seed++ {
-					jobs = append(jobs, &job{key: key{rule, scenario}, trace: replay.Generate(seed, user, scenario)})
+					jobs = append(jobs, &job{key: key{rule, scenario}, trace: replay.Generate(seed, deployment, scenario)})
 				}
 			}
 		}
--- a/core/replay/rules.go
+++ b/core/replay/rules.go
@@ -16,14 +16,14 @@
 // RuleName names a decision rule.
 type RuleName string
 
-// The decision rules that a replay compares.
+// The decision rules that a replay compares. The first two are baselines for the sequential test.
 const (
 	RuleSchedule   RuleName = "fixed-schedule"
 	RuleThreshold  RuleName = "plain-threshold"
 	RuleSequential RuleName = "sequential-test"
 )
 
-// RuleNames lists the rules in the order of the report.
+// RuleNames lists the rules in the order of the output.
 var RuleNames = []RuleName{RuleSchedule, RuleThreshold, RuleSequential}
 
 func newRule(name RuleName, move core.Move, from, to core.Release) Rule {
@@ -39,11 +39,11 @@
 	}
 }
 
-// Values of the plain threshold, as an operator would set them on a dashboard.
+// Settings of the plain threshold, as an operator would choose them for an alert.
 const (
 	thresholdMinCalls      = 20
 	thresholdFailureRatio  = 0.05
-	thresholdLatencyFactor = 2.0 // factor of the mean latency
+	thresholdLatencyFactor = 2.0 // of the mean latency
 	thresholdWindow        = 30 * time.Second
 )
 
@@ -54,7 +54,7 @@
 	release     core.Release
 }
 
-// schedule raises the share at fixed times; with a threshold, it takes back on a rate in a fixed window.
+// scheduleRule raises the share at fixed times. With a threshold, it takes the move back if a rate within a fixed window exceeds it.
 type scheduleRule struct {
 	service                        core.ServiceName
 	from, to                       core.Release
--- a/core/replay/simulation.go
+++ b/core/replay/simulation.go
@@ -10,14 +10,14 @@
 	"parsleyport/core/rollout"
 )
 
-// Constants of the replayed world.
+// Constants of the simulation.
 const (
 	tick = time.Second
-	// spread is the sigma of the log-normal latency of one call.
+	// latencySigma is the standard deviation of the logarithm of the latency, which is log-normal.
 	latencySigma         = 0.5
-	coldLatencyFactor    = 3.0 // latency of a cold backend server on top of that of a warm one
+	coldLatencyFactor    = 3.0 // added to the factor 1 for a backend server that has just become ready
 	slowStartDuration    = 10 * time.Second
-	minColdWeightRatio   = 0.1 // of a backend server at the beginning of its slow start
+	minColdWeightRatio   = 0.1 // weight at the beginning of the slow start
 	crashRestartDuration = 2 * time.Second
 	duplicateReportDelay = 5 * time.Second
 )
@@ -59,7 +59,7 @@
 	load  float64
 }
 
-// world is the state of a replay outside the decision modules.
+// simulation holds everything that a replay simulates: nodes, backend servers, calls, faults and reports.
 type simulation struct {
 	trace             *Trace
 	random            *rand.Rand
@@ -71,7 +71,7 @@
 	dataCentreEffects []effect
 	faults            []fault
 	share             core.PerMille // in force on the nodes
-	nextShare         core.PerMille // in force from the next tick on
+	nextShare         core.PerMille // in force after this tick
 	revision          core.Revision
 	evidenceDelay     time.Duration
 	reports           []evidenceReport
@@ -81,7 +81,7 @@
 }
 
 func newSimulation(trace *Trace, measures *Measures) *simulation {
-	w := &simulation{
+	s := &simulation{
 		trace:             trace,
 		random:            rand.New(rand.NewPCG(trace.Seed, 1)),
 		backends:          make(map[core.Release][]*backend),
@@ -93,59 +93,59 @@
 		calls:             make(map[core.Release]int),
 		measures:          measures,
 	}
-	w.now = epoch.Add(-time.Duration(trace.WarmSeconds) * time.Second)
-	for i := range w.dataCentreEffects {
-		w.dataCentreEffects[i] = neutralEffect
+	s.now = epoch.Add(-time.Duration(trace.WarmSeconds) * time.Second)
+	for i := range s.dataCentreEffects {
+		s.dataCentreEffects[i] = neutralEffect
 	}
 	for _, release := range []core.Release{trace.From, trace.To} {
 		for i := range trace.Instances {
-			w.addBackend(release, i%trace.DataCentres)
+			s.addBackend(release, i%trace.DataCentres)
 		}
 	}
-	return w
+	return s
 }
 
-func (w *simulation) addBackend(release core.Release, dataCentre int) {
+func (s *simulation) addBackend(release core.Release, dataCentre int) {
 	n := &node{
-		id:         core.NodeID(fmt.Sprintf("n%d", len(w.nodes))),
+		id:         core.NodeID(fmt.Sprintf("n%d", len(s.nodes))),
 		dataCentre: dataCentre,
 	}
-	w.startNode(n, w.now.Add(-time.Hour))
-	w.backends[release] = append(w.backends[release], &backend{
+	s.startNode(n, s.now.Add(-time.Hour))
+	s.backends[release] = append(s.backends[release], &backend{
 		release:    release,
 		dataCentre: dataCentre,
-		node:       len(w.nodes),
+		node:       len(s.nodes),
 		ready:      true,
-		readyAt:    w.now.Add(-time.Hour),
+		readyAt:    s.now.Add(-time.Hour),
 	})
-	w.nodes = append(w.nodes, n)
+	s.nodes = append(s.nodes, n)
 }
 
-// start begins a run of a node, which has no counts and no decision of its guard.
-func (w *simulation) startNode(n *node, at time.Time) {
+// startNode starts a new run of a node, without counts and with a reset circuit breaker.
+func (s *simulation) startNode(n *node, at time.Time) {
 	n.incarnation = core.Incarnation(at.UnixNano())
 	n.recorder = rollout.NewRecorder(n.id, n.incarnation)
 	n.breaker = rollout.NewCircuitBreaker()
-	n.breaker.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
+	n.breaker.Watch(s.trace.Service, s.trace.From, s.trace.To, s.revision)
 }
 
-// apply changes the world by one event; leader losses are the caller's.
-func (w *simulation) apply(e Event) {
+// apply applies an event to the simulation. Replay handles the loss of a leader.
+func (s *simulation) apply(e Event) {
 	switch e.Kind {
 	case "arrivals":
-		for i := range w.arrivals {
-			w.arrivals[i] = e.number(i)
+		for i := range s.arrivals {
+			s.arrivals[i] = e.number(i)
 		}
 	case "leaving", "ready":
-		release := w.trace.From
+		release := s.trace.From
 		if e.Args[0] == "new" {
-			release = w.trace.To
+			release = s.trace.To
 		}
-		b := w.backends[release][int(e.number(1))]
+		b := s.backends[release][int(e.number(1))]
 		b.ready = e.Kind == "ready"
-		b.readyAt = w.now
+		b.readyAt = s.now
 	case "fault":
-		w.faults = append(w.faults, fault{
+		s.faults = append(s.faults, fault{
 			effect: effect{
 				fail:  e.number(2),
 				slow:  e.number(3),
@@ -155,57 +155,57 @@
 			load:  e.number(1),
 		})
 	case "shared":
-		w.sharedEffect = effect{
+		s.sharedEffect = effect{
 			fail:  e.number(0),
 			slow:  e.number(1),
 			crash: e.number(2),
 		}
 	case "centre":
-		w.dataCentreEffects[int(e.number(0))] = effect{
+		s.dataCentreEffects[int(e.number(0))] = effect{
 			fail: e.number(1),
 			slow: e.number(2),
 		}
 	case "restart":
-		w.startNode(w.nodes[int(e.number(0))], w.now)
+		s.startNode(s.nodes[int(e.number(0))], s.now)
 	case "delay":
-		w.evidenceDelay = time.Duration(e.number(0)) * time.Millisecond
+		s.evidenceDelay = time.Duration(e.number(0)) * time.Millisecond
 	}
 }
 
-// setShare is a new revision of the configuration; it reaches the nodes within a tick.
-func (w *simulation) setShare(share core.PerMille) {
-	w.nextShare = share
-	w.revision++
+// setShare publishes a new revision of the configuration, which reaches the nodes within a tick.
+func (s *simulation) setShare(share core.PerMille) {
+	s.nextShare = share
+	s.revision++
 }
 
-func (w *simulation) distribute() {
-	w.share = w.nextShare
-	for _, n := range w.nodes {
-		n.breaker.Watch(w.trace.Service, w.trace.From, w.trace.To, w.revision)
+func (s *simulation) distribute() {
+	s.share = s.nextShare
+	for _, n := range s.nodes {
+		n.breaker.Watch(s.trace.Service, s.trace.From, s.trace.To, s.revision)
 	}
 }
 
-// run makes the calls of one tick and the evidence reports at its end.
-func (w *simulation) runTick() {
-	clear(w.calls)
-	for route, rate := range w.arrivals {
-		for range w.poisson(rate) {
-			w.call(w.nodes[w.random.IntN(len(w.nodes))], route)
+// runTick makes the calls of one tick and the evidence reports at its end.
+func (s *simulation) runTick() {
+	clear(s.calls)
+	for route, rate := range s.arrivals {
+		for range s.poisson(rate) {
+			s.call(s.nodes[s.random.IntN(len(s.nodes))], route)
 		}
 	}
-	w.lastCalls, w.calls = w.calls, w.lastCalls
-	w.distribute()
-	w.now = w.now.Add(tick)
-	for _, n := range w.nodes {
+	s.lastCalls, s.calls = s.calls, s.lastCalls
+	s.distribute()
+	s.now = s.now.Add(tick)
+	for _, n := range s.nodes {
 		counts := n.recorder.Counts()
 		sortCounts(counts)
-		arrives := w.now.Add(w.evidenceDelay + time.Duration(w.random.IntN(300))*time.Millisecond)
-		w.reports = append(w.reports, evidenceReport{
+		arrives := s.now.Add(s.evidenceDelay + time.Duration(s.random.IntN(300))*time.Millisecond)
+		s.reports = append(s.reports, evidenceReport{
 			arrives: arrives,
 			counts:  counts,
 		})
-		if w.random.IntN(1000) < w.trace.RepeatedPerMille {
-			w.reports = append(w.reports, evidenceReport{
+		if s.random.IntN(1000) < s.trace.RepeatedPerMille {
+			s.reports = append(s.reports, evidenceReport{
 				arrives: arrives.Add(duplicateReportDelay),
 				counts:  counts,
 			})
@@ -213,46 +213,46 @@
 	}
 }
 
-func (w *simulation) poisson(rate float64) int {
+func (s *simulation) poisson(rate float64) int {
 	if rate > 50 {
-		return max(0, int(math.Round(rate+math.Sqrt(rate)*w.random.NormFloat64())))
+		return max(0, int(math.Round(rate+math.Sqrt(rate)*s.random.NormFloat64())))
 	}
-	n, product := 0, w.random.Float64()
+	n, product := 0, s.random.Float64()
 	for limit := math.Exp(-rate); product > limit; n++ {
-		product *= w.random.Float64()
+		product *= s.random.Float64()
 	}
 	return n
 }
 
-func (w *simulation) call(n *node, route int) {
-	release := w.trace.From
-	if core.PerMille(w.random.IntN(int(core.FullShare))) < n.breaker.Share(w.trace.Service, w.trace.To, w.share) {
-		release = w.trace.To
+func (s *simulation) call(n *node, route int) {
+	release := s.trace.From
+	if core.PerMille(s.random.IntN(int(core.FullShare))) < n.breaker.Share(s.trace.Service, s.trace.To, s.share) {
+		release = s.trace.To
 	}
-	b := w.choose(release, n.dataCentre)
+	b := s.choose(release, n.dataCentre)
 	if b == nil {
-		return // refused as not run, which is no evidence about a release
+		return // the call is refused without being run, which is no evidence about a release
 	}
-	w.calls[release]++
-	failed, crashed, latency, faulty := w.outcome(b, route)
-	w.measures.call(w.now, release == w.trace.To, faulty)
-	name := w.trace.Routes[route].Name
-	n.recorder.Record(w.trace.Service, name, release, failed, crashed, latency)
-	n.breaker.Observe(w.trace.Service, name, release, failed)
+	s.calls[release]++
+	failed, crashed, latency, faulty := s.outcome(b, route)
+	s.measures.call(s.now, release == s.trace.To, faulty)
+	name := s.trace.Routes[route].Name
+	n.recorder.Record(s.trace.Service, name, release, failed, crashed, latency)
+	n.breaker.Observe(s.trace.Service, name, release, failed)
 }
 
-// choose picks a ready backend server, in the own data centre if there is one, with lower weights in slow start.
-func (w *simulation) choose(release core.Release, dataCentre int) *backend {
+// choose picks a ready backend server, in the same data centre if possible, and with a lower weight during slow start.
+func (s *simulation) choose(release core.Release, dataCentre int) *backend {
 	for _, local := range []bool{true, false} {
 		var chosen *backend
 		total := 0.0
-		for _, b := range w.backends[release] {
-			if !b.ready || w.now.Before(b.downUntil) || local && b.dataCentre != dataCentre {
+		for _, b := range s.backends[release] {
+			if !b.ready || s.now.Before(b.downUntil) || local && b.dataCentre != dataCentre {
 				continue
 			}
-			weight := max(minColdWeightRatio, b.warmRatio(w.now))
+			weight := max(minColdWeightRatio, b.warmRatio(s.now))
 			total += weight
-			if w.random.Float64()*total < weight {
+			if s.random.Float64()*total < weight {
 				chosen = b
 			}
 		}
@@ -267,15 +267,15 @@
 	return min(1, float64(now.Sub(b.readyAt))/float64(slowStartDuration))
 }
 
-func (w *simulation) outcome(b *backend, route int) (failed, crashed bool, latency time.Duration, faulty bool) {
-	r := w.trace.Routes[route]
+func (s *simulation) outcome(b *backend, route int) (failed, crashed bool, latency time.Duration, faulty bool) {
+	r := s.trace.Routes[route]
 	total := effect{
-		fail:  r.FailuresPerMille/1000 + w.sharedEffect.fail + w.dataCentreEffects[b.dataCentre].fail,
-		slow:  w.sharedEffect.slow * w.dataCentreEffects[b.dataCentre].slow * w.loadFactor(b.release) * (1 + coldLatencyFactor*(1-b.warmRatio(w.now))),
-		crash: w.sharedEffect.crash,
+		fail:  r.FailuresPerMille/1000 + s.sharedEffect.fail + s.dataCentreEffects[b.dataCentre].fail,
+		slow:  s.sharedEffect.slow * s.dataCentreEffects[b.dataCentre].slow * s.loadFactor(b.release) * (1 + coldLatencyFactor*(1-b.warmRatio(s.now))),
+		crash: s.sharedEffect.crash,
 	}
-	for _, f := range w.faults {
-		if b.release != w.trace.To || f.route != "*" && f.route != string(r.Name) || float64(w.lastCalls[w.trace.To]) < f.load {
+	for _, f := range s.faults {
+		if b.release != s.trace.To || f.route != "*" && f.route != string(r.Name) || float64(s.lastCalls[s.trace.To]) < f.load {
 			continue
 		}
 		faulty = true
@@ -283,60 +283,60 @@
 		total.slow *= f.slow
 		total.crash += f.crash
 	}
-	milliseconds := r.LatencyMS * total.slow * math.Exp(latencySigma*w.random.NormFloat64())
+	milliseconds := r.LatencyMS * total.slow * math.Exp(latencySigma*s.random.NormFloat64())
 	latency = time.Duration(min(milliseconds, 60_000) * float64(time.Millisecond))
-	if w.random.Float64() < total.crash {
-		b.downUntil = w.now.Add(crashRestartDuration)
+	if s.random.Float64() < total.crash {
+		b.downUntil = s.now.Add(crashRestartDuration)
 		b.readyAt = b.downUntil
 		return true, true, latency, faulty
 	}
-	return w.random.Float64() < total.fail, false, latency, faulty
+	return s.random.Float64() < total.fail, false, latency, faulty
 }
 
-// loadFactor is the growth of latency with the use of a release's slots.
-func (w *simulation) loadFactor(release core.Release) float64 {
+// loadFactor returns the factor by which latency grows with the utilisation of a release's slots.
+func (s *simulation) loadFactor(release core.Release) float64 {
 	slots := 0
-	for _, b := range w.backends[release] {
+	for _, b := range s.backends[release] {
 		if b.ready {
-			slots += w.trace.Slots
+			slots += s.trace.Slots
 		}
 	}
-	busy := float64(w.lastCalls[release]) * w.trace.Routes[0].LatencyMS / 1000
+	busy := float64(s.lastCalls[release]) * s.trace.Routes[0].LatencyMS / 1000
 	use := min(0.95, busy/float64(max(1, slots)))
 	return 1 + math.Pow(use, 6)/(1-use)
 }
 
-// arrived removes and returns the evidence that has reached the leader.
-func (w *simulation) takeArrivedEvidence() []core.EvidenceCount {
+// takeArrivedEvidence removes and returns the evidence that has reached the leader.
+func (s *simulation) takeArrivedEvidence() []core.EvidenceCount {
 	var evidence []core.EvidenceCount
-	rest := w.reports[:0]
-	for _, r := range w.reports {
-		if r.arrives.After(w.now) {
+	rest := s.reports[:0]
+	for _, r := range s.reports {
+		if r.arrives.After(s.now) {
 			rest = append(rest, r)
 			continue
 		}
 		evidence = append(evidence, r.counts...)
 	}
-	w.reports = rest
+	s.reports = rest
 	return evidence
 }
 
-func (w *simulation) endpoints() []core.Endpoint {
+func (s *simulation) endpoints() []core.Endpoint {
 	var endpoints []core.Endpoint
-	for _, release := range []core.Release{w.trace.From, w.trace.To} {
-		for _, b := range w.backends[release] {
+	for _, release := range []core.Release{s.trace.From, s.trace.To} {
+		for _, b := range s.backends[release] {
 			state := core.EndpointReady
-			if !b.ready || w.now.Before(b.downUntil) {
+			if !b.ready || s.now.Before(b.downUntil) {
 				state = core.EndpointLeaving
 			}
-			n := w.nodes[b.node]
+			n := s.nodes[b.node]
 			endpoints = append(endpoints, core.Endpoint{
 				Node:        n.id,
 				Incarnation: n.incarnation,
 				DataCentre:  core.DataCentre(fmt.Sprintf("dc-%d", n.dataCentre)),
-				Service:     w.trace.Service,
+				Service:     s.trace.Service,
 				Release:     release,
-				Slots:       w.trace.Slots,
+				Slots:       s.trace.Slots,
 				State:       state,
 			})
 		}
--- a/core/replay/trace.go
+++ b/core/replay/trace.go
@@ -20,7 +20,7 @@
 	"parsleyport/core/rollout"
 )
 
-// Limits of a trace; a replay takes time and memory in proportion to its calls.
+// Limits of a trace. A replay takes time and memory in proportion to its calls.
 const (
 	maxTraceBytes  = 4 << 20
 	maxSeconds     = 24 * 60 * 60
@@ -33,14 +33,14 @@
 // separator ends the header of a trace file.
 const separator = "---"
 
-// RouteLoad is one route of a trace.
+// RouteLoad describes one route of a trace.
 type RouteLoad struct {
 	Name             core.RouteName `json:"name"`
 	LatencyMS        float64        `json:"latency-ms"`         // median
 	FailuresPerMille float64        `json:"failures-per-mille"` // of both releases, without a fault
 }
 
-// Outcome is what a right decision leads to.
+// Outcome is the outcome that a correct decision rule reaches.
 type Outcome struct {
 	State core.MoveState `json:"state"`
 	Bad   bool           `json:"bad"`             // the new release has a fault
@@ -51,7 +51,7 @@
 type Header struct {
 	Format           int              `json:"format"`
 	Name             string           `json:"name"`
-	Seed             uint64           `json:"seed"` // of the outcomes of single calls
+	Seed             uint64           `json:"seed"` // for the outcomes of single calls
 	Service          core.ServiceName `json:"service"`
 	From             core.Release     `json:"from"`
 	To               core.Release     `json:"to"`
@@ -69,15 +69,15 @@
 
 // Event is one line of a trace file: seconds since the move was accepted, kind and arguments.
 //
-//	AT arrivals N N ...                    calls per second of each route
-//	AT leaving old|new I                   a backend server leaves
+//	AT arrivals N N ...                    calls per second on each route
+//	AT leaving old|new I                   a backend server starts to leave
 //	AT ready old|new I                     a backend server is ready again, and cold
-//	AT fault ROUTE|* LOAD FAIL SLOW CRASH  the new release's fault, from LOAD calls per second of the new release
-//	AT shared FAIL SLOW CRASH              what befalls both releases
-//	AT centre I FAIL SLOW                  what befalls the backend servers of one data centre
-//	AT leader-loss SECONDS                 nobody decides, then a new leader does
+//	AT fault ROUTE|* LOAD FAIL SLOW CRASH  the new release is faulty, at LOAD calls per second to it or more
+//	AT shared FAIL SLOW CRASH              a fault affects both releases
+//	AT centre I FAIL SLOW                  a fault affects the backend servers of one data centre
+//	AT leader-loss SECONDS                 no steps are decided for this time, then a new leader takes over
 //	AT restart I                           a node restarts
-//	AT delay MILLISECONDS                  of evidence
+//	AT delay MILLISECONDS                  reports of evidence take this long
 //
 // FAIL and CRASH are probabilities, SLOW is a factor of latency.
 type Event struct {
@@ -86,18 +86,18 @@
 	Args []string
 }
 
-// argument counts of each kind; -1 stands for one for each route.
+// eventArgCounts holds the number of arguments of each kind, or -1 for one argument for each route.
 var eventArgCounts = map[string]int{
 	"arrivals": -1, "leaving": 2, "ready": 2, "fault": 5, "shared": 3, "centre": 3, "leader-loss": 1, "restart": 1, "delay": 1,
 }
 
-// Trace is a recorded course of a move with its stated outcome.
+// Trace is a recorded move with its stated outcome.
 type Trace struct {
 	Header
 	Events []Event
 }
 
-// Load reads and checks a trace file; an error names the file and the line.
+// Load reads and checks a trace file. An error names the file and the line.
 func Load(file string) (*Trace, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return trace, errors.Annotatef(err, "trace %s", file)
 }
 
-// Parse reads and checks a trace; an error names the line.
+// Parse reads and checks a trace. An error names the line.
 func Parse(source []byte) (*Trace, error) {
 	if len(source) > maxTraceBytes {
 		return nil, errors.Errorf("trace is longer than %d bytes", maxTraceBytes)
@@ -265,7 +265,7 @@
 	return nil
 }
 
-// number returns an argument that check has accepted.
+// number returns a numeric argument. It has been checked by checkEvent.
 func (e Event) number(i int) float64 {
 	n, _ := strconv.ParseFloat(e.Args[i], 64)
 	return n
--- a/core/statechart/doc.go
+++ b/core/statechart/doc.go
@@ -1,3 +1,3 @@
-// Package statechart loads state charts written in JSON with comments and interprets them, so that the code cannot take
-// a transition that the chart file does not show.
+// Package statechart loads state charts from JSON with comments and interprets them, so that a program can only take the transitions
+// that its chart file shows.
 package statechart
--- a/core/statechart/statechart.go
+++ b/core/statechart/statechart.go
@@ -22,7 +22,7 @@
 	To   State `json:"to"`
 }
 
-// Chart is a checked state chart; it is immutable.
+// Chart is a checked state chart. It is immutable and safe for concurrent use.
 type Chart struct {
 	name    string
 	initial State
@@ -31,7 +31,7 @@
 	next    map[State]map[Event]State
 }
 
-type file struct {
+type chartFile struct {
 	Name        string       `json:"name"`
 	Initial     State        `json:"initial"`
 	States      []State      `json:"states"`
@@ -39,16 +39,17 @@
 	Transitions []Transition `json:"transitions"`
 }
 
-// ErrNoTransition means that the chart has no transition for the event in the current state.
+// ErrNoTransition is returned for an event that has no transition in the current state.
 const ErrNoTransition = errors.ConstError("no such transition")
 
-// Load parses and checks a chart: known states only, one target for each state and event, every state reachable.
+// Load parses a chart and checks it: all states are declared, each state and event has one target, every state is reachable, and
+// final states have no transitions. An error names the chart and the state.
 func Load(source []byte) (*Chart, error) {
 	standard, err := hujson.Standardize(source)
 	if err != nil {
 		return nil, errors.Annotate(err, "parse state chart")
 	}
-	var f file
+	var f chartFile
 	decoder := json.NewDecoder(bytes.NewReader(standard))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
@@ -57,7 +58,7 @@
 	return build(f)
 }
 
-// MustLoad is Load for charts that are embedded in the program; it panics on a broken chart.
+// MustLoad is like Load but panics if the chart is invalid. It is meant for charts that are embedded in the program.
 func MustLoad(source []byte) *Chart {
 	chart, err := Load(source)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return chart
 }
 
-func build(f file) (*Chart, error) {
+func build(f chartFile) (*Chart, error) {
 	chart := &Chart{
 		name:    f.Name,
 		initial: f.Initial,
@@ -130,17 +131,17 @@
 	return nil
 }
 
-// Initial returns the state in which a machine starts.
+// Initial returns the initial state.
 func (c *Chart) Initial() State {
 	return c.initial
 }
 
-// IsFinal reports whether a state has no way out.
+// IsFinal reports whether a state is final: no transition leaves it.
 func (c *Chart) IsFinal(state State) bool {
 	return c.final[state]
 }
 
-// Next returns the state that follows on an event, or ErrNoTransition.
+// Next returns the state that follows on an event, or the same state and ErrNoTransition.
 func (c *Chart) Next(from State, on Event) (State, error) {
 	to, exists := c.next[from][on]
 	if !exists {
@@ -149,7 +150,7 @@
 	return to, nil
 }
 
-// Events returns the events that have a transition from a state, sorted.
+// Events returns the events that have a transition from a state, in alphabetical order.
 func (c *Chart) Events(from State) []Event {
 	events := make([]Event, 0, len(c.next[from]))
 	for event := range c.next[from] {
--- a/core/statechart/statechart_test.go
+++ b/core/statechart/statechart_test.go
@@ -19,7 +19,7 @@
   ],
 }`
 
-// Guards against code that takes a transition which the chart file does not show.
+// Guards against code that takes a transition that the chart file does not show.
 func TestChartAllowsOnlyItsTransitions(t *testing.T) {
 	c := qt.New(t)
 	chart, err := statechart.Load([]byte(door))
@@ -36,7 +36,7 @@
 	c.Assert(chart.Events("open"), qt.DeepEquals, []statechart.Event{"pull", "unhinge"})
 }
 
-// Guards against a chart file whose fault shows only when the state is reached.
+// Guards against an invalid chart file that is only noticed when the faulty state is reached.
 func TestLoadRefusesBrokenCharts(t *testing.T) {
 	c := qt.New(t)
 	for source, want := range map[string]string{
