--- a/core/rollout/constants.go
+++ b/core/rollout/constants.go
@@ -31,7 +31,7 @@
 	// priorFailures is the weight of the stable rate in the prior of a window, in expected failures. With a weight of 2000 calls, good
 	// releases were taken back after their usual rate had changed.
 	priorFailures = 1
-	// With burstProbability a window is part of a burst, in which the failure rate may be anything.
+	// A window belongs to a burst of failures with burstProbability. The failure rate in a burst may be anything, so its prior is wide.
 	burstProbability   = 0.02
 	burstPriorFailures = 0.5
 	burstPriorCalls    = 5
@@ -77,6 +77,7 @@
 	slowStartDuration = 10 * time.Second
 	// maxSlowStartHold bounds how long slow start delays a move; after it, the move proceeds on failures alone.
 	maxSlowStartHold = 60 * time.Second
-	// littleTrafficFactor: traffic is little if a third of the time at the risk share is too short for a verdict.
+	// littleTrafficFactor is how many times the calls needed for a verdict a move must expect at the risk share. With fewer, its traffic
+	// counts as little.
 	littleTrafficFactor = 3
 )
--- a/core/rollout/group.go
+++ b/core/rollout/group.go
@@ -34,10 +34,10 @@
 	failures, slow, crashes releaseCounts
 }
 
-func (g *group) add(now time.Time, dataCentre core.DataCentre, s sample, latencyTells bool) {
+func (g *group) add(now time.Time, dataCentre core.DataCentre, s sample, latencyUsable bool) {
 	g.failures.add(now, dataCentre, s.failures)
 	g.crashes.add(now, dataCentre, s.crashes)
-	if latencyTells {
+	if latencyUsable {
 		g.slow.add(now, dataCentre, s.slow)
 	}
 }
@@ -55,13 +55,13 @@
 }
 
 // passesMove reports whether the evidence since the move began accepts the new release. Latency counts only if it is usable.
-func (g *group) passesMove(latencyTells bool) bool {
-	return g.failures.passes() && (g.slow.passes() || !latencyTells)
+func (g *group) passesMove(latencyUsable bool) bool {
+	return g.failures.passes() && (g.slow.passes() || !latencyUsable)
 }
 
 // passesStep reports whether the evidence since the last step accepts the new release. Latency counts only if it is usable.
-func (g *group) passesStep(latencyTells bool) bool {
-	return g.failures.passesStep() && (g.slow.passesStep() || !latencyTells)
+func (g *group) passesStep(latencyUsable bool) bool {
+	return g.failures.passesStep() && (g.slow.passesStep() || !latencyUsable)
 }
 
 // callsToPass returns the expected number of calls that a good new release needs until the group passes.
--- a/core/rollout/pace.go
+++ b/core/rollout/pace.go
@@ -173,7 +173,7 @@
 	return judged, unjudged, little
 }
 
-// enoughTraffic reports whether a third of the move's time at the risk share is enough for a verdict on the group.
+// enoughTraffic reports whether 1/littleTrafficFactor of the move's time at the risk share is enough for a verdict on the group.
 func (d *SequentialDecider) enoughTraffic(now time.Time, move core.Move, g *group) bool {
 	observed := now.Sub(d.firstDecisionAt)
 	if observed <= 0 {
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -232,11 +232,11 @@
 	plain := newSimulation(c, 10*time.Minute, loads).run(nil)
 
 	repeated := newSimulation(c, 10*time.Minute, loads)
-	var kept []core.EvidenceCount
+	var earlier []core.EvidenceCount
 	repeated.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
-		all := slices.Concat(kept, evidence, evidence, kept)
+		all := slices.Concat(earlier, evidence, evidence, earlier)
 		if repeated.second%7 == 0 {
-			kept = evidence
+			earlier = evidence
 		}
 		return all
 	}
