--- a/core/rollout/comparison.go
+++ b/core/rollout/comparison.go
@@ -18,7 +18,7 @@
 }
 
 func (t callCount) rate(minRate float64) float64 {
-	return math.Max(minRate, (t.bad+minRate*minRateWeightCalls)/(t.calls+minRateWeightCalls))
+	return math.Max(minRate, (t.bad+minRate*rateSmoothingCalls)/(t.calls+rateSmoothingCalls))
 }
 
 // releaseCounts counts the calls of both releases over the same time.
--- a/core/rollout/constants.go
+++ b/core/rollout/constants.go
@@ -24,8 +24,8 @@
 	minFailureRate = 0.001
 	minSlowRate    = 0.01
 	minCrashRate   = 0.00001
-	// minRateWeightCalls is the number of calls at which an observed rate weighs as much as its lower bound.
-	minRateWeightCalls = 1000
+	// rateSmoothingCalls is the number of calls at which an observed rate weighs as much as its lower bound.
+	rateSmoothingCalls = 1000
 	// slowCallsRatio bounds the part of the old release's calls that count as slow.
 	slowCallsRatio = 0.05
 	// priorFailures is the weight of the stable rate in the prior of a window, in expected failures. With a weight of 2000 calls, good
