--- a/core/catalog/expectations.go
+++ b/core/catalog/expectations.go
@@ -53,16 +53,16 @@
 func (c *Catalog) checkExpectations(principal Principal, s core.Submission) *Verdict {
 	o := newOwnerLookup(c.configuration, s.Records)
 	for _, expected := range s.Expect {
-		held, exists := c.configuration.Record(expected.Key())
+		current, exists := c.configuration.Record(expected.Key())
 		if principal.IsLimited() && !principal.CanAccess(o.tenantBefore(expected.Kind, expected.Name, nil)) {
 			return notPermitted("%s: there is no such record of a tenant of this token", describe(expected.Key(), expected.Version))
 		}
-		if held.Version == expected.Version {
+		if current.Version == expected.Version {
 			continue
 		}
 		refusal := refused(CauseExpectation, "%s is expected, there is no such record", describe(expected.Key(), expected.Version))
 		if exists {
-			refusal = refused(CauseExpectation, "%s is expected, version %d is in force", describe(expected.Key(), expected.Version), held.Version)
+			refusal = refused(CauseExpectation, "%s is expected, version %d is in force", describe(expected.Key(), expected.Version), current.Version)
 			refusal = refusal.withWinner(c.lastChanges[expected.Key()])
 		}
 		return &refusal
@@ -74,6 +74,6 @@
 func (c *Catalog) Verdict(id core.SubmissionID) (Verdict, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	known, exists := c.verdicts.byID[submissionKey{id: id}]
-	return known.Verdict, exists
+	past, exists := c.verdicts.byID[submissionKey{id: id}]
+	return past.Verdict, exists
 }
--- a/core/catalog/limits.go
+++ b/core/catalog/limits.go
@@ -183,14 +183,14 @@
 // totalsByTenant counts what the principal's tenants have in a configuration, including the submission's last changes.
 func (cs *changeSet) totalsByTenant(configuration *record.Configuration, changed map[core.RecordKey]lastChange) map[core.TenantID]*tenantTotals {
 	c := cs.catalog
-	held := make(map[core.TenantID]*tenantTotals, len(cs.principal.Tenants))
+	totals := make(map[core.TenantID]*tenantTotals, len(cs.principal.Tenants))
 	for _, tenant := range cs.principal.Tenants {
-		held[tenant] = &tenantTotals{
+		totals[tenant] = &tenantTotals{
 			deletedNames: c.deletedNames[tenant],
 		}
 	}
 	add := func(s lastChange, count int) {
-		if h, exists := held[s.Owner]; exists && s.Deleted {
+		if h, exists := totals[s.Owner]; exists && s.Deleted {
 			h.deletedNames += count
 		}
 	}
@@ -202,15 +202,15 @@
 	for _, r := range configuration.Records() {
 		key := r.Key()
 		owner := c.ownerships[key]
-		if _, is := changed[key]; is {
+		if _, isChanged := changed[key]; isChanged {
 			owner = decodeOwnership(r)
 		}
-		if h, exists := held[o.tenantOfBody(r, owner)]; exists {
+		if h, exists := totals[o.tenantOfBody(r, owner)]; exists {
 			h.records++
 			h.bytes += int64(len(r.Body))
 		}
 	}
-	return held
+	return totals
 }
 
 // setLastChange replaces the last change of a record and updates the number of names of deleted records.
--- a/core/catalog/members.go
+++ b/core/catalog/members.go
@@ -67,7 +67,7 @@
 }
 
 func scopeOf(principal Principal, body any) string {
-	if change, is := body.(MembershipChange); is && change.Result != Requested {
+	if change, isMembership := body.(MembershipChange); isMembership && change.Result != Requested {
 		return membershipResultScope + principal.Scope()
 	}
 	return principal.Scope()
--- a/core/catalog/moves.go
+++ b/core/catalog/moves.go
@@ -67,8 +67,8 @@
 		},
 		Fair: e.Limits != nil,
 	}
-	if held, exists := lo.Find(c.configuration.Overrides(), func(o core.Override) bool { return o.Service == request.Service }); exists {
-		started.Previous = &held
+	if override, exists := lo.Find(c.configuration.Overrides(), func(o core.Override) bool { return o.Service == request.Service }); exists {
+		started.Previous = &override
 	}
 	if c.takesAnyRelease(request.Service) {
 		next, refusal := c.buildNext(c.configuration.Records(), c.overridesAfter(started))
--- a/core/catalog/principal.go
+++ b/core/catalog/principal.go
@@ -140,8 +140,8 @@
 
 // tenantBefore returns the tenant of a record as of before the submission, or that of the submitted record if it is new.
 func (o ownerLookup) tenantBefore(kind core.Kind, name string, submitted *core.Record) core.TenantID {
-	if held, exists := o.recordInForce(kind, name); exists {
-		return o.tenantOfRecord(held)
+	if current, exists := o.recordInForce(kind, name); exists {
+		return o.tenantOfRecord(current)
 	}
 	if submitted != nil {
 		return o.tenantOfRecord(*submitted)
@@ -190,8 +190,8 @@
 		}
 	}
 	for _, d := range s.Deletes {
-		held, exists := o.recordInForce(d.Kind, d.Name)
-		if (exists && !principal.CanAccess(o.tenantOfRecord(held))) || (!exists && !principal.CanAccess(c.lastChanges[deletionKey(d)].Owner)) {
+		current, exists := o.recordInForce(d.Kind, d.Name)
+		if (exists && !principal.CanAccess(o.tenantOfRecord(current))) || (!exists && !principal.CanAccess(c.lastChanges[deletionKey(d)].Owner)) {
 			return notPermitted("%s: there is no such record of a tenant of this token", describe(deletionKey(d), d.Version))
 		}
 	}
@@ -201,8 +201,8 @@
 // mayChange checks the owner before and after the change. The name of a deleted record stays with its last owner, so that no
 // other tenant gets the calls that still refer to it.
 func (c *Catalog) mayChange(principal Principal, o ownerLookup, r core.Record) bool {
-	if held, exists := o.recordInForce(r.Kind, r.Name); exists {
-		return principal.CanAccess(o.tenantOfRecord(held)) && principal.CanAccess(o.tenantOfRecord(r))
+	if current, exists := o.recordInForce(r.Kind, r.Name); exists {
+		return principal.CanAccess(o.tenantOfRecord(current)) && principal.CanAccess(o.tenantOfRecord(r))
 	}
 	for version := core.SchemaVersion(1); version <= record.NewestSchema; version++ {
 		if s, deleted := c.lastChanges[core.RecordKey{Kind: r.Kind, Name: r.Name, SchemaVersion: version}]; deleted && !principal.CanAccess(s.Owner) {
@@ -220,9 +220,9 @@
 	if err := json.Unmarshal(r.Body, &body); err != nil {
 		return true
 	}
-	if held, exists := o.recordInForce(core.KindRoute, r.Name); exists {
+	if current, exists := o.recordInForce(core.KindRoute, r.Name); exists {
 		var before core.RouteBody
-		if err := json.Unmarshal(held.Body, &before); err == nil && sameMatch(before, body) {
+		if err := json.Unmarshal(current.Body, &before); err == nil && sameMatch(before, body) {
 			return false
 		}
 	}
--- a/core/catalog/property_test.go
+++ b/core/catalog/property_test.go
@@ -86,8 +86,8 @@
 	c.Assert(after.revision == o.revision || after.revision == o.revision+1, qt.IsTrue)
 	c.Assert(after.revision == o.revision, qt.Equals, after.hash == o.hash)
 	for key, version := range o.versions {
-		if held, exists := after.versions[key]; exists {
-			c.Assert(held >= version, qt.IsTrue)
+		if versionAfter, exists := after.versions[key]; exists {
+			c.Assert(versionAfter >= version, qt.IsTrue)
 		}
 	}
 	for i, move := range o.moves {
--- a/core/catalog/snapshot.go
+++ b/core/catalog/snapshot.go
@@ -131,9 +131,9 @@
 	c.publish(configuration)
 }
 
-func sortedLastChanges(stamps map[core.RecordKey]lastChange) []keyedChange {
-	sorted := make([]keyedChange, 0, len(stamps))
-	for key, s := range stamps {
+func sortedLastChanges(changes map[core.RecordKey]lastChange) []keyedChange {
+	sorted := make([]keyedChange, 0, len(changes))
+	for key, s := range changes {
 		sorted = append(sorted, keyedChange{
 			Kind:          key.Kind,
 			Name:          key.Name,
--- a/core/catalog/submit.go
+++ b/core/catalog/submit.go
@@ -70,8 +70,8 @@
 
 func (cs *changeSet) upsert(r core.Record) *Verdict {
 	key := r.Key()
-	held, exists := cs.catalog.configuration.Record(key)
-	if exists && held.Version == r.Version && bytes.Equal(held.Body, r.Body) {
+	current, exists := cs.catalog.configuration.Record(key)
+	if exists && current.Version == r.Version && bytes.Equal(current.Body, r.Body) {
 		return nil
 	}
 	if refusal := cs.checkVersion(key, r.Version); refusal != nil {
@@ -81,7 +81,7 @@
 	cs.upserts[key] = r
 	cs.setLastChange(key, r.Version, core.Hash(xxhash.Sum64(r.Body)), false)
 	cs.addPolicyService(r)
-	cs.addPolicyService(held)
+	cs.addPolicyService(current)
 	return nil
 }
 
@@ -90,8 +90,8 @@
 func (cs *changeSet) firstAcceptedMS(key core.RecordKey) int64 {
 	deletedBefore := false
 	for key.SchemaVersion = 1; key.SchemaVersion <= record.NewestSchema; key.SchemaVersion++ {
-		if held, exists := cs.catalog.configuration.Record(key); exists {
-			return held.SinceMS
+		if current, exists := cs.catalog.configuration.Record(key); exists {
+			return current.SinceMS
 		}
 		_, deleted := cs.catalog.lastChanges[key]
 		deletedBefore = deletedBefore || deleted
@@ -117,9 +117,9 @@
 	}
 	cs.deletes[key] = true
 	cs.setLastChange(key, d.Version, 0, true)
-	held, _ := cs.catalog.configuration.Record(key)
-	cs.reserveName(key, held)
-	cs.addPolicyService(held)
+	current, _ := cs.catalog.configuration.Record(key)
+	cs.reserveName(key, current)
+	cs.addPolicyService(current)
 	return nil
 }
 
@@ -155,13 +155,13 @@
 
 // reserveName keeps the name of a deleted record for its tenant. It does so only for limited tokens, which come into use once
 // all control instances know owners, so that their states stay equal during an upgrade.
-func (cs *changeSet) reserveName(key core.RecordKey, held core.Record) {
+func (cs *changeSet) reserveName(key core.RecordKey, current core.Record) {
 	if !cs.principal.IsLimited() {
 		return
 	}
 	s := cs.lastChanges[key]
-	s.Owner = newOwnerLookup(cs.catalog.configuration, nil).tenantOfRecord(held)
-	if held.Body == nil {
+	s.Owner = newOwnerLookup(cs.catalog.configuration, nil).tenantOfRecord(current)
+	if current.Body == nil {
 		s.Owner = cs.catalog.lastChanges[key].Owner
 	}
 	cs.lastChanges[key] = s
--- a/core/catalog/tombstones_test.go
+++ b/core/catalog/tombstones_test.go
@@ -35,7 +35,7 @@
 			before := observe(one)
 			c.Assert(other.apply(c, command, nil), qt.DeepEquals, one.apply(c, command, err))
 			for key, version := range observe(one).versions {
-				if _, held := before.versions[key]; !held {
+				if _, existedBefore := before.versions[key]; !existedBefore {
 					c.Assert(version > highest[key], qt.IsTrue, qt.Commentf("version %d of %q came back after %d", version, key.Name, highest[key]))
 				}
 				highest[key] = max(highest[key], version)
--- a/core/record/decode.go
+++ b/core/record/decode.go
@@ -65,7 +65,7 @@
 	case core.UpstreamBody:
 		c.upstreams[core.UpstreamName(r.Name)] = body
 	case core.PolicyBody:
-		if held, exists := c.policies[body.Service]; exists && held.Service != "" {
+		if existing, exists := c.policies[body.Service]; exists && existing.Service != "" {
 			return errors.Errorf("service %q has two policies", body.Service)
 		}
 		c.policies[body.Service] = body
@@ -84,7 +84,7 @@
 // services, decoding took half of the time of a change.
 func (c *Configuration) decodedBody(r core.Record) (any, error) {
 	if c != nil {
-		if held, exists := c.records[r.Key()]; exists && sharesMemory(held.Body, r.Body) {
+		if current, exists := c.records[r.Key()]; exists && sharesMemory(current.Body, r.Body) {
 			if body, known := c.decodedBodies[r.Key()]; known {
 				return body, nil
 			}
--- a/core/record/delta.go
+++ b/core/record/delta.go
@@ -18,7 +18,7 @@
 		ToHash:       c.hash,
 	}
 	for _, r := range c.Records() {
-		if held, exists := older.records[r.Key()]; !exists || !recordsEqual(held, r) {
+		if previous, exists := older.records[r.Key()]; !exists || !recordsEqual(previous, r) {
 			delta.Upserts = append(delta.Upserts, r)
 		}
 	}
@@ -29,7 +29,7 @@
 	}
 	sort.Slice(delta.Deletes, func(i, j int) bool { return keyLess(delta.Deletes[i], delta.Deletes[j]) })
 	for _, o := range c.Overrides() {
-		if held, exists := older.overrides[o.Service]; !exists || !overridesEqual(held, o) {
+		if previous, exists := older.overrides[o.Service]; !exists || !overridesEqual(previous, o) {
 			delta.Overrides = append(delta.Overrides, o)
 		}
 	}
@@ -45,10 +45,10 @@
 // or the errors of New.
 func (c *Configuration) Apply(delta Delta) (*Configuration, error) {
 	if delta.ToRevision <= c.revision {
-		return nil, errors.Annotatef(ErrOlder, "revision %d, in force is %d", delta.ToRevision, c.revision)
+		return nil, errors.Annotatef(ErrOlder, "revision %d, the revision in force is %d", delta.ToRevision, c.revision)
 	}
 	if delta.FromRevision != c.revision || delta.FromHash != c.hash {
-		return nil, errors.Annotatef(ErrWrongBase, "delta from revision %d, held is %d", delta.FromRevision, c.revision)
+		return nil, errors.Annotatef(ErrWrongBase, "delta starts at revision %d, the revision in force is %d", delta.FromRevision, c.revision)
 	}
 	next, err := build(c, delta.ToRevision, c.patchedRecords(delta), c.patchedOverrides(delta))
 	if err != nil {
--- a/core/record/schema.go
+++ b/core/record/schema.go
@@ -242,8 +242,8 @@
 }
 
 func contains(list []string, item string) bool {
-	for _, each := range list {
-		if each == item {
+	for _, element := range list {
+		if element == item {
 			return true
 		}
 	}
