--- a/io/distribution/admission.go
+++ b/io/distribution/admission.go
@@ -36,7 +36,7 @@
 	if greeting.Kind == kindControl {
 		return h.admitPeer(greeting, conn)
 	}
-	if !h.attached || greeting.ID == h.relay || slices.Contains(h.path, greeting.ID) || len(h.path) >= maxPathNodes {
+	if !h.attached || greeting.ID == h.relayID || slices.Contains(h.path, greeting.ID) || len(h.path) >= maxPathNodes {
 		return nil, h.retryAfterMessage()
 	}
 	h.closeOlderLinks(greeting.ID)
@@ -96,12 +96,12 @@
 // redirectCandidates returns the children to which a node of a data centre is redirected, or nil if it can attach here.
 func (h *hub) redirectCandidates(dataCentre core.DataCentre) []*child {
 	limit := maxRelayChildren
-	if h.relay == "" {
+	if h.relayID == "" {
 		limit = max(h.maxDirectNodes, 1)
 	}
 	var candidates []*child
 	for _, c := range h.children {
-		sameGroup := h.relay != "" || c.hello.DataCentre == dataCentre
+		sameGroup := h.relayID != "" || c.hello.DataCentre == dataCentre
 		if sameGroup && c.hello.Kind == kindNode && c.hello.RelayAddress != "" {
 			candidates = append(candidates, c)
 		}
--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -149,9 +149,9 @@
 }
 
 // localFirst moves the control instances of the given data centre to the front.
-func localFirst(controls []ControlAddress, home core.DataCentre) []ControlAddress {
-	own, others := lo.FilterReject(controls, func(c ControlAddress, _ int) bool { return c.DataCentre == home })
-	return append(own, others...)
+func localFirst(controls []ControlAddress, localDataCentre core.DataCentre) []ControlAddress {
+	local, others := lo.FilterReject(controls, func(c ControlAddress, _ int) bool { return c.DataCentre == localDataCentre })
+	return append(local, others...)
 }
 
 // redirectToLocal redirects a node that is attached directly to a control instance of another data centre to those of its own, at
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -333,8 +333,8 @@
 // acceptMessage returns the accept message for a child; mu is held.
 func (h *hub) acceptMessage(compressorID frame.CompressorID) accept {
 	path := h.path
-	if h.relay != "" {
-		path = append([]core.NodeID{h.relay}, h.path...)
+	if h.relayID != "" {
+		path = append([]core.NodeID{h.relayID}, h.path...)
 	}
 	return accept{
 		Path:       path,
--- a/io/distribution/confirmer.go
+++ b/io/distribution/confirmer.go
@@ -54,14 +54,14 @@
 }
 
 // finish records the version of the configuration that the read with the given number observed.
-func (c *confirmer) finish(number uint64, saw configVersion) {
+func (c *confirmer) finish(number uint64, observed configVersion) {
 	if !c.inFlight || number != c.number {
 		return
 	}
 	c.inFlight = false
 	for _, w := range c.waiters {
 		if w.coveredBy != 0 && w.coveredBy <= number && !w.confirmed {
-			w.confirmed, w.observed = true, saw
+			w.confirmed, w.observed = true, observed
 		}
 	}
 }
--- a/io/distribution/fuzz_test.go
+++ b/io/distribution/fuzz_test.go
@@ -83,7 +83,7 @@
 			confirmed: make(chan struct{}), filledCh: make(chan struct{}), changeCh: make(chan struct{}), staleFrom: -1,
 			options: SubscriberOptions{ID: "n", ControlAddresses: []string{"c1"}}, attach: &attachment{},
 		}
-		s.hub.relay = "n"
+		s.hub.relayID = "n"
 		s.newest.Store(revision(1))
 		s.hub.setCurrent(revision(1))
 		u := newUplink(nil, kindNode, evidenceInterval)
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -22,7 +22,7 @@
 	meters      *meters
 	network     Network
 	compressor  *frame.Compressor // compression of links between data centres
-	relay       core.NodeID       // the node's ID; empty on a control instance
+	relayID     core.NodeID       // the node's ID; empty on a control instance
 	schema      core.SchemaVersion
 	dataCentre  core.DataCentre
 	incarnation core.Incarnation // only of a node
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -33,6 +33,7 @@
 	typeNodes
 )
 
+// linkKind tells whether the process that opened a link is a node or a control instance.
 type linkKind string
 
 const (
@@ -66,22 +67,27 @@
 	Controls []ControlAddress `msgpack:"controls,omitempty"` // at which nodes can attach
 }
 
+// redirect refuses a child and lists the relays to which it should attach, least loaded first.
 type redirect struct {
 	Addresses []string `msgpack:"addresses"`
 }
 
+// retryAfter refuses a child and asks it to wait; the child adds a random wait.
 type retryAfter struct {
 	Milliseconds int64 `msgpack:"ms"`
 }
 
+// configRequest asks for the full configuration, after a delta could not be applied.
 type configRequest struct{}
 
+// confirm answers a confirmRequest with the version of the configuration that a confirmed read observed.
 type confirm struct {
 	Number   uint64        `msgpack:"number"`
 	Revision core.Revision `msgpack:"revision"`
 	Hash     core.Hash     `msgpack:"hash,omitempty"`
 }
 
+// confirmRequest asks for a confirmed read that begins after the request.
 type confirmRequest struct {
 	Number uint64 `msgpack:"number"`
 }
@@ -179,6 +185,7 @@
 
 type ping struct{}
 
+// outgoing is a message that is due on a link.
 type outgoing struct {
 	kind    frame.Type
 	message any
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -111,15 +111,15 @@
 
 // reportSelf keeps the node's own report up to date; mu is held.
 func (h *hub) reportSelf(now time.Time) {
-	if h.relay == "" {
+	if h.relayID == "" {
 		return
 	}
-	held, exists := h.nodes.items[h.relay]
+	held, exists := h.nodes.items[h.relayID]
 	if exists && held.report.Revision == h.current.Revision() && now.Sub(held.at) < nodeReportInterval {
 		return
 	}
 	h.nodes.merge(now, NodeReport{
-		Node:        h.relay,
+		Node:        h.relayID,
 		Incarnation: h.incarnation,
 		DataCentre:  h.dataCentre,
 		Revision:    h.current.Revision(),
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -98,14 +98,14 @@
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// SourceOptions configure the root of a tree on a control instance.
+// SourceOptions configures a Source.
 type SourceOptions struct {
 	ID               core.ControlID
 	ListenAddress    string // nodes and other control instances attach here
 	DataCentre       core.DataCentre
 	Peers            []Peer
-	DirectNodes      int           // that may attach directly, for each data centre, zero for 2; further nodes are redirected to them
-	EvidenceInterval time.Duration // of evidence reports to the other control instances, zero for 1 s
+	DirectNodes      int           // number of nodes of each data centre that may attach directly, zero for 2; further nodes are redirected to them
+	EvidenceInterval time.Duration // interval of evidence reports to the other control instances, zero for 1 s
 	Catalog          record.Source
 	Replicator       core.Replicator // its status names the leader whenever there is one
 	Logger           zerolog.Logger
@@ -113,7 +113,7 @@
 	Network          Network      // optional, TCP by default
 }
 
-// SubscriberOptions configure a Subscriber.
+// SubscriberOptions configures a Subscriber.
 type SubscriberOptions struct {
 	ID                core.NodeID
 	Incarnation       core.Incarnation
@@ -127,7 +127,7 @@
 	Network           Network            // optional, TCP by default
 	Random            func() float64     // optional, in [0, 1)
 	Schema            core.SchemaVersion // the newest schema version that the program supports, zero for record.NewestSchema
-	EvidenceInterval  time.Duration      // of evidence reports to the parent, zero for 1 s
+	EvidenceInterval  time.Duration      // interval of evidence reports to the parent, zero for 1 s
 }
 
 func (o *SourceOptions) validate() error {
@@ -139,7 +139,7 @@
 	}
 	for _, peer := range o.Peers {
 		if peer.ID == "" || peer.ID == o.ID || peer.Address == "" {
-			return errors.Errorf("distribution source: control instance %q at %q: id must not be empty or the own one, and address is required", peer.ID, peer.Address)
+			return errors.Errorf("distribution source: control instance %q at %q: the id must name another instance and the address must not be empty", peer.ID, peer.Address)
 		}
 	}
 	if o.DirectNodes == 0 {
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -101,7 +101,7 @@
 	s.newest.Store(record.Empty())
 	s.uses.Store(&map[core.ServiceName]*lastUse{})
 	s.hub.compressor = packing
-	s.hub.relay = options.ID
+	s.hub.relayID = options.ID
 	s.hub.incarnation, s.hub.dataCentre = options.Incarnation, options.DataCentre
 	s.hub.schema = options.Schema
 	s.hub.all = !options.OnDemandEndpoints
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -102,14 +102,14 @@
 // await notes that a service which nobody has wanted so far has to be asked for. Until the parent has sent its endpoints,
 // a relay must not pass for one that knows there to be none.
 func (h *hub) await(service core.ServiceName) {
-	if h.relay != "" && !h.wanted(service) {
+	if h.relayID != "" && !h.wanted(service) {
 		h.unsynced[service] = false
 	}
 }
 
 // release forgets the endpoints of a service that nobody wants any more, since the parent will send no more word of them.
 func (h *hub) release(service core.ServiceName) {
-	if h.relay == "" || h.wanted(service) {
+	if h.relayID == "" || h.wanted(service) {
 		return
 	}
 	if !h.attached { // nobody could send the endpoints again
@@ -131,7 +131,7 @@
 
 // loseSubscriptions keeps what a lost child wanted for a while.
 func (h *hub) loseSubscriptions(now time.Time, c *child) {
-	if h.relay == "" {
+	if h.relayID == "" {
 		return
 	}
 	for service := range c.services {
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -107,7 +107,7 @@
 
 // addEvidence counts what this node or a child has reported.
 func (h *hub) addEvidence(now time.Time, count core.EvidenceCount, late uint64) {
-	if h.relay != "" {
+	if h.relayID != "" {
 		h.pending.add(now, count, late)
 		return
 	}
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -33,7 +33,7 @@
 // testHub is a node's, without links.
 func testHub(relay core.NodeID) *hub {
 	h := newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{})
-	h.relay, h.current = relay, record.Empty()
+	h.relayID, h.current = relay, record.Empty()
 	return h
 }
 
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -188,7 +188,7 @@
 
 // ownAcknowledgement counts the node itself; a control instance does not count as a node.
 func (h *hub) ownAcknowledgement() acknowledge {
-	if h.relay == "" {
+	if h.relayID == "" {
 		return acknowledge{}
 	}
 	return acknowledge{
