--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -24,25 +24,25 @@
 	owner        lease.Owner
 	wake         *ring.Ring[struct{}]
 
-	// What follows is guarded by hub.mu.
+	// The fields below are guarded by hub.mu.
 	acknowledged     acknowledge
-	recentRedirects  []time.Time // times of recent redirects to this child
-	held             configVersion
+	recentRedirects  []time.Time   // times of recent redirects to this child
+	held             configVersion // configuration that the child has or was last sent
 	reported         configVersion // configuration that the child last acknowledged
 	diverged         bool          // the child holds other content of the current revision
 	wantsFull        bool
 	offerFull        bool // the child finds out which content of the revision was accepted
 	pongsDue         int
-	crashesAt        uint64
+	crashesAt        uint64 // position in the crash store up to which reports were sent
 	series           []series
 	rows             []row                  // last row of each series
 	late             map[core.MoveID]uint64 // reported by another control instance
 	reporting        map[core.MoveID]int
-	pathVersion      uint64
+	pathVersion      uint64 // hub.pathVersion when the path was last sent
 	subscribed       bool
 	all              bool
 	services         map[core.ServiceName]bool
-	cursor           uint64
+	cursor           uint64 // position in the table up to which changes were sent
 	batch            batcher
 	readsStates      bool
 	sentChecks       map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checkOf
--- a/io/distribution/content.go
+++ b/io/distribution/content.go
@@ -51,6 +51,6 @@
 	}
 	s.hub.meters.repairs.Inc()
 	s.logger.Error().Str("event", "content-replaced").Uint64("revision", uint64(accepted.revision)).
-		Msg("replaced a configuration whose content was not the accepted one")
+		Msg("replacing a configuration whose content is not the accepted one")
 	s.switchTo(candidate)
 }
