--- a/io/distribution/crashes_test.go
+++ b/io/distribution/crashes_test.go
@@ -17,7 +17,7 @@
 		defer w.close()
 		w.source("c1", w.catalog, "c2")
 		w.source("c2", w.catalog, "c1")
-		var mu sync.Mutex // guards heard
+		var mu sync.Mutex // guards received
 		received := make(map[core.NodeID]int)
 		start := func(id core.NodeID, control string) *Subscriber {
 			return w.subscriberWith(id, func(o *SubscriberOptions) {
--- a/io/distribution/distribution_test.go
+++ b/io/distribution/distribution_test.go
@@ -317,7 +317,7 @@
 		})
 		sent, received := source.Bytes()
 		handshakes, turnedAway := source.hub.meters.handshakes.Get(), source.hub.meters.retryAfters.Get()
-		c.Logf("%d nodes: in force after %v, %d dials, %d handshakes at the source, %d at once, %d turned away, %d bytes sent, %d received",
+		c.Logf("%d nodes: in force after %v, %d dials, %d handshakes at the source, %d at once, %d rejected as busy, %d bytes sent, %d received",
 			nodeCount, took, w.net.dials.Load()-dials, handshakes, peak, turnedAway, sent, received)
 		c.Assert(peak <= 32, qt.IsTrue)
 		c.Assert(turnedAway > 0, qt.IsTrue)
--- a/io/distribution/fakes_test.go
+++ b/io/distribution/fakes_test.go
@@ -484,13 +484,13 @@
 }
 
 // rawChild says hello to a parent.
-func (w *cluster) rawChild(address string, greeting hello, packing *frame.Compressor) *rawPeer {
+func (w *cluster) rawChild(address string, greeting hello, compressor *frame.Compressor) *rawPeer {
 	conn, err := w.net.network("raw-child").Dial(context.Background(), address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	greeting.Kind, greeting.RelayAddress = kindNode, "raw-child"
-	p := &rawPeer{t: w.t, conn: frame.New(conn, packing)}
+	p := &rawPeer{t: w.t, conn: frame.New(conn, compressor)}
 	// A parent without a free handshake slot answers and closes without reading; the message that the test receives shows it.
 	_ = p.conn.Send(time.Time{}, typeHello, greeting)
 	return p
--- a/io/frame/compressor.go
+++ b/io/frame/compressor.go
@@ -89,18 +89,18 @@
 	if len(message) < minCompressibleBytes {
 		return framed
 	}
-	packed := p.encoder.EncodeAll(message, make([]byte, lengthBytes+typeBytes, len(framed)))
-	if len(packed) >= len(framed) || uint64(len(message)) > maxDecompressedBytes(len(packed)-lengthBytes-typeBytes) {
+	compressed := p.encoder.EncodeAll(message, make([]byte, lengthBytes+typeBytes, len(framed)))
+	if len(compressed) >= len(framed) || uint64(len(message)) > maxDecompressedBytes(len(compressed)-lengthBytes-typeBytes) {
 		return framed
 	}
-	binary.BigEndian.PutUint32(packed, uint32(len(packed)-lengthBytes))
-	binary.BigEndian.PutUint16(packed[lengthBytes:], binary.BigEndian.Uint16(framed[lengthBytes:])|uint16(compressedFlag))
-	return packed
+	binary.BigEndian.PutUint32(compressed, uint32(len(compressed)-lengthBytes))
+	binary.BigEndian.PutUint16(compressed[lengthBytes:], binary.BigEndian.Uint16(framed[lengthBytes:])|uint16(compressedFlag))
+	return compressed
 }
 
 // maxDecompressedBytes returns the greatest length of a message that a number of compressed bytes may expand to.
-func maxDecompressedBytes(packed int) uint64 {
-	return min(core.MaxFrameBytes, max(maxPreallocatedBytes, maxCompressionRatio*uint64(packed)))
+func maxDecompressedBytes(compressedBytes int) uint64 {
+	return min(core.MaxFrameBytes, max(maxPreallocatedBytes, maxCompressionRatio*uint64(compressedBytes)))
 }
 
 // decompress returns the message of a compressed frame, or ErrMalformed if the frame states no length or one over the maximum
