--- a/io/callerhttp/path_test.go
+++ b/io/callerhttp/path_test.go
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(stopPeer)
-	peer.Announced("orders", true)
+	peer.SetAnnounced("orders", true)
 	n := node{backend: handler, peer: peer}
 	announceReady(t, backend, n, state, "a1")
 	done := make(chan struct{})
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -75,7 +75,7 @@
 		State:   a.State,
 	})
 	if server := p.peerServer.Load(); server != nil {
-		server.Announced(a.Service, a.State != core.EndpointLeaving)
+		server.SetAnnounced(a.Service, a.State != core.EndpointLeaving)
 	}
 }
 
@@ -100,7 +100,7 @@
 }
 
 func (p *process) newPacking(do.Injector) (*frame.Compressor, error) {
-	return nodepeer.NewPacking(p.headers())
+	return nodepeer.NewCompressor(p.headers())
 }
 
 func (p *process) newPeerServer(injector do.Injector) (*nodepeer.Server, error) {
@@ -115,7 +115,7 @@
 	server, cleanup, err := nodepeer.NewServer(nodepeer.ServerOptions{
 		Address:    p.settings.PeerAddress,
 		DataCentre: p.settings.DataCentre,
-		Packing:    packing,
+		Compressor: packing,
 		Backend:    backend,
 		Logger:     p.log,
 		Metrics:    p.metrics,
@@ -126,7 +126,7 @@
 	p.cleanups.add(cleanup)
 	p.peerServer.Store(server)
 	if announced, exists := backend.Current(); exists { // before the server could be told
-		server.Announced(announced.Service, announced.State != core.EndpointLeaving)
+		server.SetAnnounced(announced.Service, announced.State != core.EndpointLeaving)
 	}
 	return server, nil
 }
@@ -143,7 +143,7 @@
 	dialer, cleanup, err := nodepeer.NewDialer(nodepeer.DialerOptions{
 		Self:       p.settings.ID,
 		DataCentre: p.settings.DataCentre,
-		Packing:    packing,
+		Compressor: packing,
 		Local:      backend,
 		Logger:     p.log,
 		Metrics:    p.metrics,
--- a/io/nodepeer/run.go
+++ b/io/nodepeer/answer.go
@@ -20,13 +20,13 @@
 	if outcome != core.OutcomeAnswered && outcome != core.OutcomeNotRun {
 		outcome = core.OutcomeUnknown
 	}
-	s.judge(call, outcome)
+	s.resolveRevocations(call, outcome)
 	if outcome != core.OutcomeAnswered {
 		s.refuse(call, outcome, err)
 		s.finish(call, outcome != core.OutcomeNotRun)
 		return
 	}
-	call.stream(ctx, answer)
+	call.sendAnswer(ctx, answer)
 	_ = answer.Body.Close()
 	s.finish(call, true)
 }
@@ -34,18 +34,18 @@
 func (s *Server) finish(call *serverCall, ran bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(call, ran)
+	s.removeCall(call, ran)
 }
 
 // judge answers the revocations that came while the backend had the call.
-func (s *Server) judge(call *serverCall, outcome core.Outcome) {
+func (s *Server) resolveRevocations(call *serverCall, outcome core.Outcome) {
 	s.mu.Lock()
 	call.outcome = outcome
-	revokers := call.revokers
-	call.revokers = nil
+	revokers := call.pendingRevocations
+	call.pendingRevocations = nil
 	s.mu.Unlock()
 	for _, each := range revokers {
-		each.conn.answerRevocation(each.token, outcome == core.OutcomeNotRun)
+		each.conn.sendRevoked(each.token, outcome == core.OutcomeNotRun)
 	}
 }
 
@@ -69,12 +69,12 @@
 }
 
 // stream sends an answer. A body that is stated to fit in one chunk goes with the head, in one frame.
-func (c *serverCall) stream(ctx context.Context, answer *core.Answer) {
+func (c *serverCall) sendAnswer(ctx context.Context, answer *core.Answer) {
 	head := headMessage{
 		Sequence: c.key.Sequence,
 		Status:   answer.Status,
 		Header:   answer.Header,
-		Load:     loadOf(answer.Load),
+		Load:     newLoadMessage(answer.Load),
 	}
 	stated, err := strconv.Atoi(answer.Header.Get("Content-Length"))
 	if err == nil && stated >= 0 && stated <= core.MaxChunkBytes && c.call.Method != "HEAD" {
@@ -88,26 +88,26 @@
 		head.Whole = true
 		head.Body = body
 		head.Length = int64(len(body))
-		head.Sum = xxhash.Sum64(body)
+		head.Checksum = xxhash.Sum64(body)
 		c.conn.send(typeHead, head)
 		return
 	}
 	if !c.conn.send(typeHead, head) {
 		return
 	}
-	c.streamBody(ctx, answer.Body)
+	c.sendBody(ctx, answer.Body)
 }
 
-var chunks = sync.Pool{
+var chunkPool = sync.Pool{
 	New: func() any {
 		chunk := make([]byte, core.MaxChunkBytes)
 		return &chunk
 	},
 }
 
-func (c *serverCall) streamBody(ctx context.Context, body io.Reader) {
-	buffer := chunks.Get().(*[]byte)
-	defer chunks.Put(buffer)
+func (c *serverCall) sendBody(ctx context.Context, body io.Reader) {
+	buffer := chunkPool.Get().(*[]byte)
+	defer chunkPool.Put(buffer)
 	chunk := *buffer
 	digest, length := xxhash.New(), int64(0)
 	for {
@@ -125,7 +125,7 @@
 		end := answerEndMessage{
 			Sequence: c.key.Sequence,
 			Length:   length,
-			Sum:      digest.Sum64(),
+			Checksum: digest.Sum64(),
 		}
 		if !errors.Is(err, io.EOF) {
 			end.Fault = err.Error()
@@ -136,7 +136,7 @@
 }
 
 func (c *serverCall) sendChunk(ctx context.Context, bytes []byte) bool {
-	if err := c.credit.take(ctx, len(bytes)); err != nil {
+	if err := c.credit.acquire(ctx, len(bytes)); err != nil {
 		c.conn.send(typeAnswerEnd, answerEndMessage{
 			Sequence: c.key.Sequence,
 			Fault:    err.Error(),
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// holderLimit bounds the question to one holder; one that takes longer counts as out of reach.
-	holderLimit = 500 * time.Millisecond
-	// claimGrace is how long after the call's deadline its entry node may still settle the key.
-	claimGrace = 2 * time.Second
-	// runningPoll is how often a resend asks whether the running call has been answered.
-	runningPoll  = 50 * time.Millisecond
-	observeEvery = time.Second
+	// holderTimeout bounds the question to one holder; one that takes longer counts as out of reach.
+	holderTimeout = 500 * time.Millisecond
+	// settleGracePeriod is how long after the call's deadline its entry node may still settle the key.
+	settleGracePeriod = 2 * time.Second
+	// runningPollInterval is how often a resend asks whether the running call has been answered.
+	runningPollInterval = 50 * time.Millisecond
+	observeInterval     = time.Second
 	// maxMemberships bounds the services that one node has announced within the window.
 	maxMemberships = 64
-	// silentLimit bounds the question whether a silent holder answers again. It exceeds silenceLimit, so that a connection
+	// probeTimeout bounds the question whether a silent holder answers again. It exceeds silenceTimeout, so that a connection
 	// that has gone silent is found dead and replaced.
-	silentLimit = 2 * time.Second
-	// maxSilent bounds the holders that are not waited for.
-	maxSilent = 1024
+	probeTimeout = 2 * time.Second
+	// maxUnresponsiveHolders bounds the holders that are not waited for.
+	maxUnresponsiveHolders = 1024
 )
 
-// errSilent means that a holder did not answer an earlier call in time and has not been heard since.
-const errSilent = errors.ConstError("holder is silent")
+// errUnresponsive means that a holder did not answer an earlier call in time and has not been heard since.
+const errUnresponsive = errors.ConstError("holder is silent")
 
 // keyMessage claims a key or settles it. Verdict is empty in a claim.
 type keyMessage struct {
@@ -42,19 +42,19 @@
 	RemainingUS int64                       `msgpack:"remaining-us"`
 	Verdict     idempotency.Verdict         `msgpack:"verdict"`
 	Answer      *idempotency.RecordedAnswer `msgpack:"answer"`
-	Custody     *custodyRequest             `msgpack:"custody"`
+	Handover    *handoverRequest            `msgpack:"custody"`
 	WantAges    bool                        `msgpack:"want-ages"` // from a node that has just started
 }
 
 // keyReply answers a keyMessage.
 type keyReply struct {
-	Token    uint64                      `msgpack:"token"`
-	MemberUS int64                       `msgpack:"member-us"` // how long the holder has been one of the service's nodes
-	RunUS    int64                       `msgpack:"run-us"`    // how long of that in its present run
-	Verdict  idempotency.Verdict         `msgpack:"verdict"`
-	Answer   *idempotency.RecordedAnswer `msgpack:"answer"`
-	Left     bool                        `msgpack:"left"` // the holder has handed its memory over and grants nothing more
-	Custody  *custodyReply               `msgpack:"custody"`
+	Token        uint64                      `msgpack:"token"`
+	MembershipUS int64                       `msgpack:"member-us"` // how long the holder has been one of the service's nodes
+	RunUS        int64                       `msgpack:"run-us"`    // how long of that in its present run
+	Verdict      idempotency.Verdict         `msgpack:"verdict"`
+	Answer       *idempotency.RecordedAnswer `msgpack:"answer"`
+	HandedOver   bool                        `msgpack:"left"` // the holder has handed its memory over and grants nothing more
+	Handover     *handoverReply              `msgpack:"custody"`
 
 	Ages map[core.NodeID]time.Duration `msgpack:"ages"` // how long the holder has known each of the key's holders
 }
@@ -62,79 +62,79 @@
 // membership is the time in which this node has announced a service; other nodes ask it for keys until the window after
 // it has left.
 type membership struct {
-	since time.Time
-	run   time.Time // later than since if an earlier run's memory was taken back
-	left  time.Time // zero while it announces the service
+	since    time.Time
+	runSince time.Time // later than since if an earlier run's memory was taken back
+	leftAt   time.Time // zero while it announces the service
 }
 
 // Announced tells the server, as a holder of idempotency keys, that this node announces a service or no longer does so.
 // A node that was never told is taken for one that has just joined.
-func (s *Server) Announced(service core.ServiceName, present bool) {
+func (s *Server) SetAnnounced(service core.ServiceName, present bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, m := range s.members {
-		if !m.left.IsZero() && now.Sub(m.left) > idempotency.Window {
-			delete(s.members, name)
+	for name, m := range s.memberships {
+		if !m.leftAt.IsZero() && now.Sub(m.leftAt) > idempotency.Window {
+			delete(s.memberships, name)
 		}
 	}
-	m, known := s.members[service]
+	m, known := s.memberships[service]
 	switch {
 	case present && known:
-		m.left = time.Time{}
-	case present && len(s.members) < maxMemberships:
-		m.since, m.run = now, now
-	case known && m.left.IsZero():
-		m.left = now
+		m.leftAt = time.Time{}
+	case present && len(s.memberships) < maxMemberships:
+		m.since, m.runSince = now, now
+	case known && m.leftAt.IsZero():
+		m.leftAt = now
 	default:
 		return
 	}
-	s.members[service] = m
+	s.memberships[service] = m
 }
 
-// memberFor returns how long the node has been one of the service's nodes, in all and in its present run. It needs the lock.
-func (s *Server) memberFor(now time.Time, service core.ServiceName) (member, run time.Duration) {
-	m, known := s.members[service]
-	if !known || (!m.left.IsZero() && now.Sub(m.left) > idempotency.Window) {
+// membershipAges returns how long the node has been one of the service's nodes, in all and in its present run. It needs the lock.
+func (s *Server) membershipAges(now time.Time, service core.ServiceName) (member, run time.Duration) {
+	m, known := s.memberships[service]
+	if !known || (!m.leftAt.IsZero() && now.Sub(m.leftAt) > idempotency.Window) {
 		return 0, 0
 	}
-	return now.Sub(m.since), now.Sub(m.run)
+	return now.Sub(m.since), now.Sub(m.runSince)
 }
 
-// keepKey is the holder's side of a claim.
-func (s *Server) keepKey(message keyMessage) keyReply {
+// handleKey is the holder's side of a claim.
+func (s *Server) handleKey(message keyMessage) keyReply {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if message.Custody != nil {
+	if message.Handover != nil {
 		return keyReply{
-			Token:   message.Token,
-			Custody: s.custodies.answer(now, message.Custody, s.leaving),
+			Token:    message.Token,
+			Handover: s.snapshots.handle(now, message.Handover, s.leaving),
 		}
 	}
 	if s.handedOver {
 		return keyReply{
-			Token: message.Token,
-			Left:  true,
+			Token:      message.Token,
+			HandedOver: true,
 		}
 	}
-	member, run := s.memberFor(now, message.Key.Service)
+	member, run := s.membershipAges(now, message.Key.Service)
 	reply := keyReply{
-		Token:    message.Token,
-		MemberUS: member.Microseconds(),
-		RunUS:    run.Microseconds(),
+		Token:        message.Token,
+		MembershipUS: member.Microseconds(),
+		RunUS:        run.Microseconds(),
 	}
 	if message.Verdict != "" {
 		s.keys.Settle(now, message.Key, message.Owner, message.Verdict, message.Answer)
 		return reply
 	}
-	until := now.Add(time.Duration(message.RemainingUS) * time.Microsecond).Add(claimGrace)
+	until := now.Add(time.Duration(message.RemainingUS) * time.Microsecond).Add(settleGracePeriod)
 	reply.Verdict, reply.Answer = s.keys.Claim(now, message.Key, message.Owner, message.Content, until)
 	return reply
 }
 
-func (c *serverConn) keepKey(message keyMessage) error {
-	reply := c.server.keepKey(message)
+func (c *serverConn) handleKey(message keyMessage) error {
+	reply := c.server.handleKey(message)
 	if message.WantAges {
 		reply.Ages = c.server.holderAges(message.Key)
 	}
@@ -164,10 +164,10 @@
 
 	started time.Time
 
-	mu      sync.Mutex
-	holders *idempotency.Holders
-	asked   map[core.CallID][]core.Endpoint // of calls whose claim was granted, until they are settled
-	silent  map[string]time.Time            // address of a holder that did not answer in time, and since when
+	mu           sync.Mutex
+	holders      *idempotency.Holders
+	pending      map[core.CallID][]core.Endpoint // of calls whose claim was granted, until they are settled
+	unresponsive map[string]time.Time            // address of a holder that did not answer in time, and since when
 }
 
 // NewClaims starts to observe the endpoints of all services; the clean-up function ends that.
@@ -179,25 +179,25 @@
 		options.Metrics = metrics.NewSet()
 	}
 	c := &Claims{
-		options: options,
-		granted: options.Metrics.GetOrCreateCounter(`parsleyport_key_claims_total{verdict="granted"}`),
-		denied:  options.Metrics.GetOrCreateCounter(`parsleyport_key_claims_total{verdict="denied"}`),
-		started: time.Now(),
-		holders: idempotency.NewHolders(),
-		asked:   make(map[core.CallID][]core.Endpoint),
-		silent:  make(map[string]time.Time),
+		options:      options,
+		granted:      options.Metrics.GetOrCreateCounter(`parsleyport_key_claims_total{verdict="granted"}`),
+		denied:       options.Metrics.GetOrCreateCounter(`parsleyport_key_claims_total{verdict="denied"}`),
+		started:      time.Now(),
+		holders:      idempotency.NewHolders(),
+		pending:      make(map[core.CallID][]core.Endpoint),
+		unresponsive: make(map[string]time.Time),
 	}
-	options.Server.setHolderAges(c.ages)
+	options.Server.setHolderAgesFunc(c.holderAges)
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
-	tasks.Go(func() { c.observe(ctx) })
-	tasks.Go(func() { c.watchSilent(ctx) })
-	tasks.Go(func() { c.takeBack(ctx) })
+	tasks.Go(func() { c.observeLoop(ctx) })
+	tasks.Go(func() { c.probeLoop(ctx) })
+	tasks.Go(func() { c.restoreSnapshot(ctx) })
 	return c, func() { cancel(); tasks.Wait() }, nil
 }
 
-func (c *Claims) observe(ctx context.Context) {
-	ticker := time.NewTicker(observeEvery)
+func (c *Claims) observeLoop(ctx context.Context) {
+	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		for _, service := range c.options.Services() {
@@ -234,7 +234,7 @@
 			return verdict, answer
 		}
 		select {
-		case <-time.After(runningPoll):
+		case <-time.After(runningPollInterval):
 		case <-ctx.Done():
 			c.denied.Inc()
 			return idempotency.VerdictUnknown, nil
@@ -255,15 +255,15 @@
 	var asked []holderReply
 	var replies []idempotency.Reply
 	for i := 0; i < len(holders) && !idempotency.IsDecided(replies); i++ {
-		asked = append(asked, c.claimAt(ctx, holders[i], message))
+		asked = append(asked, c.claimFrom(ctx, holders[i], message))
 		if ages := asked[i].Ages; len(ages) > 0 {
-			holders = c.learn(message.Key, holders, ages)
+			holders = c.mergeAges(message.Key, holders, ages)
 		}
 		replies = lo.Map(asked, func(r holderReply, at int) idempotency.Reply { return c.interpret(r, holders[at], call.Service) })
 	}
 	verdict, answer := idempotency.DecideClaim(replies)
 	c.mu.Lock()
-	c.asked[call.ID] = lo.Map(holders[:len(asked)], func(h idempotency.Holder, _ int) core.Endpoint { return h.Endpoint })
+	c.pending[call.ID] = lo.Map(holders[:len(asked)], func(h idempotency.Holder, _ int) core.Endpoint { return h.Endpoint })
 	c.mu.Unlock()
 	if verdict != idempotency.VerdictGranted {
 		c.Settle(ctx, call, idempotency.VerdictGranted, nil) // gives back what was won
@@ -277,7 +277,7 @@
 	return c.holders.Choose(time.Now(), key)
 }
 
-func (c *Claims) since(service core.ServiceName) (time.Time, bool) {
+func (c *Claims) serviceSince(service core.ServiceName) (time.Time, bool) {
 	if c.options.ServiceSince == nil {
 		return time.Time{}, false
 	}
@@ -286,16 +286,16 @@
 
 func (c *Claims) ask(ctx context.Context, holder core.Endpoint, message keyMessage) (keyReply, error) {
 	if holder.Node == c.options.Self {
-		reply := c.options.Server.keepKey(message)
-		if reply.Left {
-			return keyReply{}, errSilent
+		reply := c.options.Server.handleKey(message)
+		if reply.HandedOver {
+			return keyReply{}, errUnresponsive
 		}
 		return reply, nil
 	}
-	if c.isSilent(holder.Address) {
-		return keyReply{}, errSilent
+	if c.isUnresponsive(holder.Address) {
+		return keyReply{}, errUnresponsive
 	}
-	return c.askRemote(ctx, holder.Address, message, holderLimit)
+	return c.askRemote(ctx, holder.Address, message, holderTimeout)
 }
 
 func (c *Claims) askRemote(ctx context.Context, address string, message keyMessage, limit time.Duration) (keyReply, error) {
@@ -311,58 +311,58 @@
 	})
 	switch {
 	case err == nil:
-		c.setSilent(address, reply.Left) // one that has left will soon be out of reach
-		if reply.Left {
-			err = errSilent
+		c.setUnresponsive(address, reply.HandedOver) // one that has left will soon be out of reach
+		if reply.HandedOver {
+			err = errUnresponsive
 		}
 	case ctx.Err() == nil: // not just the end of the call
-		c.setSilent(address, true)
+		c.setUnresponsive(address, true)
 	}
 	return reply, err
 }
 
-func (c *Claims) isSilent(address string) bool {
+func (c *Claims) isUnresponsive(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, silent := c.silent[address]
+	_, silent := c.unresponsive[address]
 	return silent
 }
 
-func (c *Claims) setSilent(address string, silent bool) {
+func (c *Claims) setUnresponsive(address string, silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !silent {
-		delete(c.silent, address)
-	} else if since, known := c.silent[address]; !known && len(c.silent) < maxSilent {
-		c.silent[address] = time.Now()
+		delete(c.unresponsive, address)
+	} else if since, known := c.unresponsive[address]; !known && len(c.unresponsive) < maxUnresponsiveHolders {
+		c.unresponsive[address] = time.Now()
 	} else if known && time.Since(since) > idempotency.Window {
-		delete(c.silent, address) // it is no longer a holder
+		delete(c.unresponsive, address) // it is no longer a holder
 	}
 }
 
-func (c *Claims) watchSilent(ctx context.Context) {
-	ticker := time.NewTicker(observeEvery)
+func (c *Claims) probeLoop(ctx context.Context) {
+	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			c.askSilent(ctx)
+			c.probeUnresponsive(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// askSilent asks the holders that did not answer in time whether they do now, so that no call waits to find out.
-func (c *Claims) askSilent(ctx context.Context) {
+// probeUnresponsive asks the holders that did not answer in time whether they do now, so that no call waits to find out.
+func (c *Claims) probeUnresponsive(ctx context.Context) {
 	c.mu.Lock()
-	addresses := lo.Keys(c.silent)
+	addresses := lo.Keys(c.unresponsive)
 	c.mu.Unlock()
 	var asked sync.WaitGroup
 	for _, address := range addresses {
 		asked.Go(func() {
 			nothing := keyMessage{Verdict: idempotency.VerdictUnknown} // settles a key that nobody has claimed
-			_, _ = c.askRemote(ctx, address, nothing, silentLimit)
+			_, _ = c.askRemote(ctx, address, nothing, probeTimeout)
 		})
 	}
 	asked.Wait()
@@ -378,8 +378,8 @@
 		Answer:  answer,
 	}
 	c.mu.Lock()
-	asked := c.asked[call.ID]
-	delete(c.asked, call.ID)
+	asked := c.pending[call.ID]
+	delete(c.pending, call.ID)
 	c.mu.Unlock()
 	for _, holder := range asked {
 		_, _ = c.ask(ctx, holder, message) // a holder that does not learn of it answers a resend with unknown
--- a/io/nodepeer/claims_test.go
+++ b/io/nodepeer/claims_test.go
@@ -16,19 +16,19 @@
 )
 
 // listed is a core.EndpointSource with one list.
-type listed []core.Endpoint
+type staticEndpoints []core.Endpoint
 
-func (l listed) Endpoints(core.ServiceName) []core.Endpoint { return l }
+func (l staticEndpoints) Endpoints(core.ServiceName) []core.Endpoint { return l }
 
-// claimsOf returns the claims of an entry node that is itself a holder.
-func claimsOf(t *testing.T, b *bench, endpoints listed) *Claims {
-	own := newNetwork()
+// newTestClaims returns the claims of an entry node that is itself a holder.
+func newTestClaims(t *testing.T, b *testPair, endpoints staticEndpoints) *Claims {
+	own := newFakeNetwork()
 	server, stop, err := NewServer(ServerOptions{Listener: own, Backend: b.backend})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(stop)
-	server.Announced("orders", true)
+	server.SetAnnounced("orders", true)
 	claims, stopClaims, err := NewClaims(ClaimsOptions{
 		Self: "entry", Server: server, Dialer: b.dialer, Endpoints: endpoints,
 		Services:     func() []core.ServiceName { return []core.ServiceName{"orders"} },
@@ -41,7 +41,7 @@
 	return claims
 }
 
-func keyed(n int) *core.Call {
+func keyedCall(n int) *core.Call {
 	call := callFor(fmt.Sprint(n), nil)
 	call.Service, call.IdempotencyKey = "orders", core.IdempotencyKey(fmt.Sprint("key-", n))
 	return call
@@ -52,28 +52,28 @@
 func TestOnlyTheFirstCallWaitsForASilentHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
-		b.server.Announced("orders", true)
+		b := newTestPair(t, 1)
+		b.server.SetAnnounced("orders", true)
 		var silent, asked atomic.Int64
-		b.network.decide = func(_ int, direction bool, kind frame.Type) action {
+		b.network.decide = func(_ int, direction bool, kind frame.Type) frameAction {
 			if direction == toServer && kind == typeKey {
 				asked.Add(1)
 			}
 			if direction == toDialer && silent.Load() > 0 {
-				return swallow
+				return blackhole
 			}
 			return pass
 		}
-		claims := claimsOf(t, b, listed{{Node: "entry", Service: "orders"}, {Node: "b", Address: "b", Service: "orders"}})
+		claims := newTestClaims(t, b, staticEndpoints{{Node: "entry", Service: "orders"}, {Node: "b", Address: "b", Service: "orders"}})
 		claim := func(n int) time.Duration {
 			began := time.Now()
-			_, _ = claims.Claim(context.Background(), keyed(n))
+			_, _ = claims.Claim(context.Background(), keyedCall(n))
 			return time.Since(began)
 		}
 		time.Sleep(time.Second)
 		c.Assert(claim(0), qt.Equals, time.Duration(0))
 		silent.Store(1)
-		c.Assert(claim(1) >= holderLimit, qt.IsTrue)
+		c.Assert(claim(1) >= holderTimeout, qt.IsTrue)
 		for n := range 20 {
 			c.Assert(claim(2+n), qt.Equals, time.Duration(0))
 			time.Sleep(300 * time.Millisecond) // the holder is asked again meanwhile
@@ -92,7 +92,7 @@
 	c := qt.New(t)
 	began := time.Now().Add(-time.Minute)
 	claims := &Claims{options: ClaimsOptions{ServiceSince: func(core.ServiceName) (time.Time, bool) { return began, true }}}
-	restarted := holderReply{keyReply: keyReply{MemberUS: 1}, reached: true, at: time.Now()}
+	restarted := holderReply{keyReply: keyReply{MembershipUS: 1}, reached: true, receivedAt: time.Now()}
 	for _, late := range []time.Duration{0, 1} {
 		holder := idempotency.Holder{FirstSeen: began.Add(idempotency.JoinLag + late), RecentlyJoined: true}
 		reply := claims.interpret(restarted, holder, "orders")
--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -20,75 +20,75 @@
 	errUnsent = errors.ConstError("connection was closed before its use")
 )
 
-// suspectAfter is the silence after which a connection gets no new calls while it may still turn out to be alive.
-const suspectAfter = pingInterval + checkEvery
+// suspectSilence is the silence after which a connection gets no new calls while it may still turn out to be alive.
+const suspectSilence = pingInterval + checkInterval
 
 // clientConn is one connection to a peer; receive is its only reader.
 type clientConn struct {
-	dialer  *Dialer
-	peer    *peer
-	frames  *frame.Conn
-	id      uint64
-	dialled time.Time
-	number  uint64        // of the dial, counted by the dialer
-	done    chan struct{} // closed when the connection is lost
-	greeted chan struct{} // closed on welcome
-
-	lostBefore uint64 // number of the latest dial when the connection was lost; set before done is closed
-
-	mu        sync.Mutex
-	streams   map[uint64]*stream
-	revokes   map[uint64]chan bool
-	claims    map[uint64]chan keyReply
-	next      uint64 // sequence of the latest attempt
-	token     uint64 // of the latest revocation
-	lost      bool
-	goaway    bool
-	heard     time.Time   // latest byte from the peer, or the time at which the connection got its first outstanding call
-	idleUntil time.Time   // the connection is closed at this time unless something is outstanding
-	startedBy time.Time   // the peer's process has started before this time
-	pinged    time.Time   // latest ping
-	pinging   bool        // the latest ping is still being written
-	checked   time.Time   // latest check
-	checkAt   time.Time   // next check
-	timer     *time.Timer // runs the next check; nil before start
+	dialer     *Dialer
+	pool       *peerPool
+	frames     *frame.Conn
+	id         uint64
+	dialStart  time.Time
+	dialNumber uint64        // of the dial, counted by the dialer
+	done       chan struct{} // closed when the connection is lost
+	welcomed   chan struct{} // closed on welcome
+
+	lastDialAtLoss uint64 // number of the latest dial when the connection was lost; set before done is closed
+
+	mu                sync.Mutex
+	streams           map[uint64]*stream
+	revokes           map[uint64]chan bool
+	claims            map[uint64]chan keyReply
+	lastSequence      uint64 // sequence of the latest attempt
+	lastToken         uint64 // of the latest revocation
+	lost              bool
+	goawayReceived    bool
+	lastReceived      time.Time   // latest byte from the peer, or the time at which the connection got its first outstanding call
+	idleUntil         time.Time   // the connection is closed at this time unless something is outstanding
+	peerStartedBefore time.Time   // the peer's process has started before this time
+	lastPing          time.Time   // latest ping
+	pinging           bool        // the latest ping is still being written
+	lastCheck         time.Time   // latest check
+	nextCheck         time.Time   // next check
+	timer             *time.Timer // runs the next check; nil before start
 }
 
-func newClientConn(d *Dialer, p *peer, conn net.Conn, dialled time.Time, number uint64) *clientConn {
+func newClientConn(d *Dialer, p *peerPool, conn net.Conn, dialled time.Time, number uint64) *clientConn {
 	return &clientConn{
-		dialer:  d,
-		peer:    p,
-		frames:  frame.New(conn, d.options.Packing),
-		id:      rand.Uint64() | 1, // never zero
-		dialled: dialled,
-		number:  number,
-		done:    make(chan struct{}),
-		greeted: make(chan struct{}),
-		streams: make(map[uint64]*stream),
-		heard:   time.Now(),
-		checked: time.Now(),
-
-		idleUntil: time.Now().Add(idleLimit),
+		dialer:       d,
+		pool:         p,
+		frames:       frame.New(conn, d.options.Compressor),
+		id:           rand.Uint64() | 1, // never zero
+		dialStart:    dialled,
+		dialNumber:   number,
+		done:         make(chan struct{}),
+		welcomed:     make(chan struct{}),
+		streams:      make(map[uint64]*stream),
+		lastReceived: time.Now(),
+		lastCheck:    time.Now(),
+
+		idleUntil: time.Now().Add(idleTimeout),
 	}
 }
 
-func (c *clientConn) outstanding() int {
+func (c *clientConn) callCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
 }
 
-func (c *clientConn) saidGoaway() bool {
+func (c *clientConn) isDraining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.goaway && !c.lost
+	return c.goawayReceived && !c.lost
 }
 
 func (c *clientConn) usable(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	busy := c.isBusy()
-	return !c.lost && !(busy && now.Sub(c.heard) > suspectAfter)
+	busy := c.hasOutstanding()
+	return !c.lost && !(busy && now.Sub(c.lastReceived) > suspectSilence)
 }
 
 // fail ends the connection; its streams and revocations learn of it from done.
@@ -101,24 +101,24 @@
 	c.lost = true
 	calls := len(c.streams)
 	c.mu.Unlock()
-	c.end()
+	c.closeLost()
 	if calls > 0 {
 		c.dialer.options.Logger.Warn().Str("peer", c.frames.RemoteAddr().String()).Int("calls", calls).Err(cause).Msg("connection with calls lost")
 	}
 }
 
 // end closes a connection that has been marked as lost.
-func (c *clientConn) end() {
+func (c *clientConn) closeLost() {
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.lostBefore = c.dialer.drop(c)
+	c.lastDialAtLoss = c.dialer.removeConnection(c)
 	_ = c.frames.Close()
 	close(c.done)
 }
 
 func (c *clientConn) send(kind frame.Type, message any) bool {
-	if err := c.frames.Send(time.Now().Add(writeLimit), kind, message); err != nil {
+	if err := c.frames.Send(time.Now().Add(writeTimeout), kind, message); err != nil {
 		c.fail(errors.Annotate(errConnectionLost, err.Error()))
 		return false
 	}
@@ -132,12 +132,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.busy(); err != nil {
+	if err := c.beginUse(); err != nil {
 		return nil, err
 	}
-	c.next++
-	s := newStream(c, c.next, cancel)
-	c.streams[c.next] = s
+	c.lastSequence++
+	s := newStream(c, c.lastSequence, cancel)
+	c.streams[c.lastSequence] = s
 	return s, nil
 }
 
@@ -145,12 +145,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, sequence)
-	c.idleUntil = time.Now().Add(idleLimit)
+	c.idleUntil = time.Now().Add(idleTimeout)
 }
 
 // sendCall sends an attempt; false means that some of it may have been sent and that the connection is lost.
 func (c *clientConn) sendCall(sequence uint64, call *core.Call) bool {
-	open := openOf(sequence, call, time.Now())
+	open := newOpenMessage(sequence, call, time.Now())
 	if !c.send(typeOpen, open) {
 		return false
 	}
@@ -170,37 +170,37 @@
 }
 
 // question makes a revocation or a claim outstanding, so that the connection is not closed as idle, and returns its token.
-func question[T any](c *clientConn, questions *map[uint64]chan T) (uint64, chan T, error) {
+func beginRequest[T any](c *clientConn, questions *map[uint64]chan T) (uint64, chan T, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.busy(); err != nil {
+	if err := c.beginUse(); err != nil {
 		return 0, nil, err
 	}
 	if *questions == nil {
 		*questions = make(map[uint64]chan T)
 	}
-	c.token++
+	c.lastToken++
 	reply := make(chan T, 1)
-	(*questions)[c.token] = reply
-	return c.token, reply, nil
+	(*questions)[c.lastToken] = reply
+	return c.lastToken, reply, nil
 }
 
 // revoke asks the peer to see to it that an attempt of an earlier connection never runs.
 func (c *clientConn) revoke(ctx context.Context, s *stream) (bool, error) {
-	token, verdict, err := question(c, &c.revokes)
+	token, verdict, err := beginRequest(c, &c.revokes)
 	if err != nil {
 		return false, err
 	}
-	defer c.endQuestion(token)
+	defer c.endRequest(token)
 	select {
-	case <-c.greeted:
+	case <-c.welcomed:
 	case <-c.done:
 		return false, errConnectionLost
 	case <-ctx.Done():
 		return false, ctx.Err()
 	}
 	c.mu.Lock()
-	restarted := !c.startedBy.Before(s.conn.dialled)
+	restarted := !c.peerStartedBefore.Before(s.conn.dialStart)
 	c.mu.Unlock()
 	if restarted {
 		return false, errors.New("the peer's process may have started after the attempt")
@@ -210,11 +210,11 @@
 		Connection: s.conn.id,
 		Sequence:   s.sequence,
 	})
-	return reply(ctx, c, verdict)
+	return awaitReply(ctx, c, verdict)
 }
 
 // reply waits for the reply to a question. One that has arrived counts, even if the connection has been lost since.
-func reply[T any](ctx context.Context, c *clientConn, replies chan T) (answer T, err error) {
+func awaitReply[T any](ctx context.Context, c *clientConn, replies chan T) (answer T, err error) {
 	select {
 	case answer = <-replies:
 		return answer, nil
@@ -232,30 +232,30 @@
 
 // askKey sends a claim or settlement to a holder and waits for its reply.
 func (c *clientConn) askKey(ctx context.Context, message keyMessage) (keyReply, error) {
-	token, replies, err := question(c, &c.claims)
+	token, replies, err := beginRequest(c, &c.claims)
 	if err != nil {
 		return keyReply{}, err
 	}
-	defer c.endQuestion(token)
+	defer c.endRequest(token)
 	message.Token = token
 	c.send(typeKey, message)
-	return reply(ctx, c, replies)
+	return awaitReply(ctx, c, replies)
 }
 
-func (c *clientConn) endQuestion(token uint64) {
+func (c *clientConn) endRequest(token uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.revokes, token)
 	delete(c.claims, token)
-	c.idleUntil = time.Now().Add(idleLimit)
+	c.idleUntil = time.Now().Add(idleTimeout)
 }
 
 // greet sends the hello that precedes all other messages.
-func (c *clientConn) greet() error {
-	err := c.frames.Send(time.Now().Add(writeLimit), typeHello, helloMessage{
-		Connection: c.id,
-		Packing:    c.dialer.options.Packing.ID(),
-		DataCentre: c.dialer.options.DataCentre,
+func (c *clientConn) sendHello() error {
+	err := c.frames.Send(time.Now().Add(writeTimeout), typeHello, helloMessage{
+		Connection:   c.id,
+		CompressorID: c.dialer.options.Compressor.ID(),
+		DataCentre:   c.dialer.options.DataCentre,
 	})
 	if err != nil {
 		_ = c.frames.Close()
@@ -272,7 +272,7 @@
 			return
 		}
 		c.mu.Lock()
-		c.heard = time.Now()
+		c.lastReceived = time.Now()
 		c.mu.Unlock()
 		if err := c.dispatch(received); err != nil {
 			c.fail(err)
@@ -284,29 +284,29 @@
 func (c *clientConn) dispatch(received frame.Frame) error {
 	switch received.Type {
 	case typeWelcome:
-		return decoded(received, c.welcome)
+		return decodeAndHandle(received, c.handleWelcome)
 	case typeHead:
-		return decoded(received, func(m headMessage) error { return c.deliver(m.Sequence, func(s *stream) error { return s.setHead(m) }) })
+		return decodeAndHandle(received, func(m headMessage) error { return c.deliver(m.Sequence, func(s *stream) error { return s.setHead(m) }) })
 	case typeAnswerBody:
-		return decoded(received, func(m bodyMessage) error {
+		return decodeAndHandle(received, func(m bodyMessage) error {
 			return c.deliver(m.Sequence, func(s *stream) error { return s.addChunk(m.Bytes) })
 		})
 	case typeAnswerEnd:
-		return decoded(received, func(m answerEndMessage) error {
+		return decodeAndHandle(received, func(m answerEndMessage) error {
 			return c.deliver(m.Sequence, func(s *stream) error { return s.setEnd(m) })
 		})
 	case typeRefused:
-		return decoded(received, func(m refusedMessage) error {
+		return decodeAndHandle(received, func(m refusedMessage) error {
 			return c.deliver(m.Sequence, func(s *stream) error { return s.setRefused(m) })
 		})
 	case typeRevoked:
-		return decoded(received, c.revoked)
+		return decodeAndHandle(received, c.handleRevoked)
 	case typeKeyReply:
-		return decoded(received, c.keyReplied)
+		return decodeAndHandle(received, c.handleKeyReply)
 	case typeGoaway:
 		c.mu.Lock()
-		c.goaway = true
-		c.checkBefore(time.Now().Add(checkEvery))
+		c.goawayReceived = true
+		c.scheduleCheck(time.Now().Add(checkInterval))
 		c.mu.Unlock()
 		return nil
 	case typePong:
@@ -315,15 +315,15 @@
 	return errors.Annotatef(errProtocol, "message type %d", received.Type)
 }
 
-func (c *clientConn) welcome(message welcomeMessage) error {
+func (c *clientConn) handleWelcome(message welcomeMessage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.startedBy.IsZero() {
+	if !c.peerStartedBefore.IsZero() {
 		return errors.Annotate(errProtocol, "second welcome")
 	}
-	c.frames.SetPeerCompressor(message.Packing)
-	c.startedBy = time.Now().Add(-time.Duration(message.RunningUS) * time.Microsecond)
-	close(c.greeted)
+	c.frames.SetPeerCompressor(message.CompressorID)
+	c.peerStartedBefore = time.Now().Add(-time.Duration(message.RunningUS) * time.Microsecond)
+	close(c.welcomed)
 	return nil
 }
 
@@ -338,16 +338,16 @@
 	return handle(s)
 }
 
-func (c *clientConn) revoked(message revokedMessage) error {
-	return answered(c, &c.revokes, message.Token, message.Revoked)
+func (c *clientConn) handleRevoked(message revokedMessage) error {
+	return deliverReply(c, &c.revokes, message.Token, message.Revoked)
 }
 
-func (c *clientConn) keyReplied(message keyReply) error {
-	return answered(c, &c.claims, message.Token, message)
+func (c *clientConn) handleKeyReply(message keyReply) error {
+	return deliverReply(c, &c.claims, message.Token, message)
 }
 
 // answered leaves the question outstanding until the one who asked has the answer, and drops a second answer.
-func answered[T any](c *clientConn, questions *map[uint64]chan T, token uint64, answer T) error {
+func deliverReply[T any](c *clientConn, questions *map[uint64]chan T, token uint64, answer T) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
--- a/io/nodepeer/packing.go
+++ b/io/nodepeer/compressor.go
@@ -9,8 +9,8 @@
 	"parsleyport/io/frame"
 )
 
-// usualHeaders are headers of most calls and answers, as names and values.
-var usualHeaders = []any{
+// commonHeaders are headers of most calls and answers, as names and values.
+var commonHeaders = []any{
 	"Accept",
 	[]string{"*/*"},
 	"Accept-Encoding",
@@ -27,11 +27,11 @@
 	[]string{"1000"},
 }
 
-// NewPacking returns the packing of messages between nodes. Names are those of the headers of calls.
-func NewPacking(names core.HeaderNames) (*frame.Compressor, error) {
+// NewCompressor returns the packing of messages between nodes. Names are those of the headers of calls.
+func NewCompressor(names core.HeaderNames) (*frame.Compressor, error) {
 	// The order of a map's entries differs from one encoding to the next, so that samples hold no map.
 	named := lo.Compact([]string{names.Outcome, names.Release, names.CallerService, names.Deadline, names.CallID})
-	header := append(lo.Map(named, func(name string, _ int) any { return []any{name, []string{""}} }), usualHeaders...)
+	header := append(lo.Map(named, func(name string, _ int) any { return []any{name, []string{""}} }), commonHeaders...)
 	return frame.NewCompressor(
 		lo.Ternary(names.IdempotencyKey == "", any(nil), any(keyMessage{})),
 		sequenceMessage{}, creditMessage{}, bodyMessage{}, answerEndMessage{},
--- a/io/nodepeer/packing_test.go
+++ b/io/nodepeer/compressor_test.go
@@ -16,19 +16,19 @@
 	"parsleyport/io/frame"
 )
 
-// countedConn counts the bytes of a connection in both directions.
-type countedConn struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(data []byte) (int, error) {
+func (c countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(data []byte) (int, error) {
+func (c countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -37,14 +37,14 @@
 // Guards against processes whose packings differ although their settings are the same: the order of a map differs.
 func TestPackingsOfEqualSettingsAreEqual(t *testing.T) {
 	c := qt.New(t)
-	first, err := NewPacking(core.DefaultHeaderNames())
+	first, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
 	for range 50 {
-		next, err := NewPacking(core.DefaultHeaderNames())
+		next, err := NewCompressor(core.DefaultHeaderNames())
 		c.Assert(err, qt.IsNil)
 		c.Assert(next.ID(), qt.Equals, first.ID())
 	}
-	others, err := NewPacking(core.HeaderNames{CallID: "X-Call"})
+	others, err := NewCompressor(core.HeaderNames{CallID: "X-Call"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(others.ID(), qt.Not(qt.Equals), first.ID())
 }
@@ -53,9 +53,9 @@
 // to a peer that does not read them.
 func TestCallsBetweenDataCentresArePacked(t *testing.T) {
 	c := qt.New(t)
-	packing, err := NewPacking(core.DefaultHeaderNames())
+	packing, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
-	other, err := NewPacking(core.HeaderNames{})
+	other, err := NewCompressor(core.HeaderNames{})
 	c.Assert(err, qt.IsNil)
 	plain := bytesOfCalls(c, "here", "here", packing, packing)
 	packed := bytesOfCalls(c, "here", "there", packing, packing)
@@ -68,12 +68,12 @@
 
 // bytesOfCalls makes calls between two nodes.
 func bytesOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Compressor) int64 {
-	backend := &handledBackend{}
+	backend := &staticBackend{}
 	server, stop, err := NewServer(ServerOptions{
 		Address:    "127.0.0.1:0",
 		Backend:    backend,
 		DataCentre: to,
-		Packing:    servers,
+		Compressor: servers,
 	})
 	c.Assert(err, qt.IsNil)
 	defer stop()
@@ -81,10 +81,10 @@
 	dialer, stopDialer, err := NewDialer(DialerOptions{
 		Self:       "self",
 		DataCentre: from,
-		Packing:    dialers,
+		Compressor: dialers,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-			return countedConn{Conn: conn, bytes: &bytes}, err
+			return countingConn{Conn: conn, bytes: &bytes}, err
 		},
 	})
 	c.Assert(err, qt.IsNil)
@@ -109,9 +109,9 @@
 	return bytes.Load()
 }
 
-type handledBackend struct{}
+type staticBackend struct{}
 
-func (*handledBackend) Handle(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
+func (*staticBackend) Handle(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 	return &core.Answer{
 		Status: http.StatusOK,
 		Header: http.Header{"Content-Type": {"application/json"}},
--- a/io/nodepeer/credit.go
+++ b/io/nodepeer/credit.go
@@ -21,7 +21,7 @@
 
 func (c *credit) add(bytes int) {
 	c.mu.Lock()
-	c.bytes = min(c.bytes+max(bytes, 0), answerWindow)
+	c.bytes = min(c.bytes+max(bytes, 0), answerWindowBytes)
 	c.mu.Unlock()
 	select {
 	case c.added <- struct{}{}:
@@ -30,7 +30,7 @@
 }
 
 // take waits until so many bytes may be sent.
-func (c *credit) take(ctx context.Context, bytes int) error {
+func (c *credit) acquire(ctx context.Context, bytes int) error {
 	for {
 		c.mu.Lock()
 		enough := c.bytes >= bytes
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -20,7 +20,7 @@
 	Local              core.Backend
 	ConnectionsPerPeer int // zero for 2
 	DataCentre         core.DataCentre
-	Packing            *frame.Compressor // for peers in other data centres; nil for none
+	Compressor         *frame.Compressor // for peers in other data centres; nil for none
 	Logger             zerolog.Logger
 	Metrics            *metrics.Set
 	Dial               func(ctx context.Context, address string) (net.Conn, error)
@@ -37,17 +37,17 @@
 	failures *metrics.Counter
 	silent   *metrics.Counter
 
-	mu      sync.Mutex
-	peers   map[string]*peer
-	dialled uint64 // number of the latest dial
+	mu       sync.Mutex
+	pools    map[string]*peerPool
+	lastDial uint64 // number of the latest dial
 }
 
 // peer is the pool of one address; its fields belong to the dialer's lock.
-type peer struct {
+type peerPool struct {
 	connections []*clientConn
 	dialing     chan struct{} // closed when the dial that is under way has ended
 	dialError   error         // of the latest dial
-	failed      time.Time     // latest failed dial
+	failedAt    time.Time     // latest failed dial
 }
 
 // NewDialer returns a dialer; the clean-up function closes all connections and waits for the goroutines.
@@ -74,7 +74,7 @@
 		dials:    options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="connected"}`),
 		failures: options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
 		silent:   options.Metrics.GetOrCreateCounter("parsleyport_peer_silent_connections_total"),
-		peers:    make(map[string]*peer),
+		pools:    make(map[string]*peerPool),
 	}
 	return d, d.close, nil
 }
@@ -83,7 +83,7 @@
 	d.cancel()
 	d.mu.Lock()
 	var open []*clientConn
-	for _, p := range d.peers {
+	for _, p := range d.pools {
 		open = append(open, p.connections...)
 	}
 	d.mu.Unlock()
@@ -120,7 +120,7 @@
 		}
 	}
 	if !s.conn.sendCall(s.sequence, call) {
-		return d.settle(ctx, address, s)
+		return d.resolveLostAttempt(ctx, address, s)
 	}
 	answer, refusal, err := s.await(ctx)
 	switch {
@@ -130,12 +130,12 @@
 		return nil, core.OutcomeNotRun, &core.Refusal{
 			Cause:  refusal.Cause,
 			Detail: refusal.Detail,
-			Load:   refusal.Load.load(),
+			Load:   refusal.Load.decode(),
 		}
 	case refusal != nil:
 		return nil, core.OutcomeUnknown, errors.New(refusal.Detail)
 	case errors.Is(err, errConnectionLost):
-		return d.settle(ctx, address, s)
+		return d.resolveLostAttempt(ctx, address, s)
 	}
 	return nil, core.OutcomeUnknown, err
 }
@@ -164,13 +164,13 @@
 
 // settle finds out over a new connection whether an attempt whose connection was lost has run. It is not-run only if
 // the same run of the server says that it has not begun and never will.
-func (d *Dialer) settle(ctx context.Context, address string, s *stream) (*core.Answer, core.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, revokeLimit)
+func (d *Dialer) resolveLostAttempt(ctx context.Context, address string, s *stream) (*core.Answer, core.Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	<-s.conn.done
 	revoked := false
 	err := retryUnsent(func() error {
-		c, err := d.connectionAfter(ctx, address, s.conn.lostBefore)
+		c, err := d.connectionAfter(ctx, address, s.conn.lastDialAtLoss)
 		if err == nil {
 			revoked, err = c.revoke(ctx, s)
 		}
@@ -191,7 +191,7 @@
 // connection returns a connection for a call, or errLeaving if the peer has said that it takes none.
 func (d *Dialer) connection(ctx context.Context, address string) (*clientConn, error) {
 	d.mu.Lock()
-	p := d.peers[address]
+	p := d.pools[address]
 	leaving := p != nil && p.leaving()
 	d.mu.Unlock()
 	if leaving {
@@ -205,13 +205,13 @@
 func (d *Dialer) connectionAfter(ctx context.Context, address string, after uint64) (*clientConn, error) {
 	for {
 		d.mu.Lock()
-		p, err := d.peer(address)
+		p, err := d.poolFor(address)
 		if err != nil {
 			d.mu.Unlock()
 			return nil, err
 		}
-		best, usable := p.best(after, time.Now())
-		if best != nil && (usable >= d.options.ConnectionsPerPeer || best.outstanding() < growAt || p.dialing != nil || time.Since(p.failed) < redialAfter) {
+		best, usable := p.leastLoaded(after, time.Now())
+		if best != nil && (usable >= d.options.ConnectionsPerPeer || best.callCount() < poolGrowthCalls || p.dialing != nil || time.Since(p.failedAt) < redialBackoff) {
 			d.mu.Unlock()
 			return best, nil
 		}
@@ -219,8 +219,8 @@
 		if wait == nil {
 			wait = make(chan struct{})
 			p.dialing = wait
-			d.dialled++
-			number := d.dialled
+			d.lastDial++
+			number := d.lastDial
 			d.tasks.Go(func() { d.dial(address, p, number) })
 		}
 		d.mu.Unlock()
@@ -242,38 +242,38 @@
 }
 
 // peer needs the lock; it drops pools without connections when there are too many.
-func (d *Dialer) peer(address string) (*peer, error) {
+func (d *Dialer) poolFor(address string) (*peerPool, error) {
 	if d.ctx.Err() != nil {
 		return nil, errDialerClosed
 	}
-	if p := d.peers[address]; p != nil {
+	if p := d.pools[address]; p != nil {
 		return p, nil
 	}
-	if len(d.peers) >= maxPeers {
-		for each, p := range d.peers {
+	if len(d.pools) >= maxPeers {
+		for each, p := range d.pools {
 			if len(p.connections) == 0 && p.dialing == nil {
-				delete(d.peers, each)
+				delete(d.pools, each)
 			}
 		}
 	}
-	if len(d.peers) >= maxPeers {
+	if len(d.pools) >= maxPeers {
 		return nil, errors.Errorf("%d peers have connections, no more are allowed", maxPeers)
 	}
-	p := &peer{}
-	d.peers[address] = p
+	p := &peerPool{}
+	d.pools[address] = p
 	return p, nil
 }
 
 // best returns the connection with the fewest calls among those that are not suspected to be silent.
-func (p *peer) best(after uint64, now time.Time) (*clientConn, int) {
+func (p *peerPool) leastLoaded(after uint64, now time.Time) (*clientConn, int) {
 	var best *clientConn
 	fewest, usable := 0, 0
 	for _, c := range p.connections {
-		if c.number <= after || !c.usable(now) {
+		if c.dialNumber <= after || !c.usable(now) {
 			continue
 		}
 		usable++
-		if n := c.outstanding(); best == nil || n < fewest {
+		if n := c.callCount(); best == nil || n < fewest {
 			best, fewest = c, n
 		}
 	}
@@ -281,24 +281,24 @@
 }
 
 // leaving says whether the peer has sent goaway and its connections still live.
-func (p *peer) leaving() bool {
+func (p *peerPool) leaving() bool {
 	for _, c := range p.connections {
-		if c.saidGoaway() {
+		if c.isDraining() {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Dialer) dial(address string, p *peer, number uint64) {
-	ctx, cancel := context.WithTimeout(d.ctx, connectLimit)
+func (d *Dialer) dial(address string, p *peerPool, number uint64) {
+	ctx, cancel := context.WithTimeout(d.ctx, connectTimeout)
 	defer cancel()
 	dialled := time.Now()
 	conn, err := d.options.Dial(ctx, address)
 	var c *clientConn
 	if err == nil {
 		c = newClientConn(d, p, conn, dialled, number)
-		err = c.greet()
+		err = c.sendHello()
 	}
 	d.mu.Lock()
 	if err == nil && d.ctx.Err() != nil {
@@ -311,7 +311,7 @@
 		d.dials.Inc()
 		c.start()
 	} else {
-		p.failed = time.Now()
+		p.failedAt = time.Now()
 		d.failures.Inc()
 	}
 	close(p.dialing)
@@ -320,14 +320,14 @@
 }
 
 // drop removes a connection from its pool and returns the number of the latest dial.
-func (d *Dialer) drop(c *clientConn) uint64 {
+func (d *Dialer) removeConnection(c *clientConn) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, each := range c.peer.connections {
+	for i, each := range c.pool.connections {
 		if each == c {
-			c.peer.connections = append(c.peer.connections[:i], c.peer.connections[i+1:]...)
+			c.pool.connections = append(c.pool.connections[:i], c.pool.connections[i+1:]...)
 			break
 		}
 	}
-	return d.dialled
+	return d.lastDial
 }
--- a/io/nodepeer/custody_test.go
+++ b/io/nodepeer/handover_test.go
@@ -17,14 +17,14 @@
 )
 
 // fleet is a core.EndpointSource of nodes that can be restarted.
-type fleet struct {
+type testCluster struct {
 	mu        sync.Mutex
 	endpoints [4]core.Endpoint
-	networks  map[string]*network // of each run, by its address
-	accepted  time.Time           // the service's record
+	networks  map[string]*fakeNetwork // of each run, by its address
+	accepted  time.Time               // the service's record
 }
 
-func (f *fleet) dial(ctx context.Context, address string) (net.Conn, error) {
+func (f *testCluster) dial(ctx context.Context, address string) (net.Conn, error) {
 	f.mu.Lock()
 	n, started := f.networks[address]
 	f.mu.Unlock()
@@ -39,15 +39,15 @@
 	}
 }
 
-func (f *fleet) Endpoints(core.ServiceName) []core.Endpoint {
+func (f *testCluster) Endpoints(core.ServiceName) []core.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.endpoints[:3])
 }
 
 // start returns a run of a node; the last one of the fleet is an entry node that holds no keys.
-func (f *fleet) start(c *qt.C, i int, run core.Incarnation) (*Server, *Claims, func()) {
-	address, n := fmt.Sprint(i, "-", run), newNetwork()
+func (f *testCluster) start(c *qt.C, i int, run core.Incarnation) (*Server, *Claims, func()) {
+	address, n := fmt.Sprint(i, "-", run), newFakeNetwork()
 	server, stopServer, err := NewServer(ServerOptions{Listener: n})
 	c.Assert(err, qt.IsNil)
 	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: f.dial})
@@ -57,7 +57,7 @@
 	f.endpoints[i] = core.Endpoint{Node: core.NodeID(fmt.Sprint(i)), Service: "orders", Address: address, Incarnation: run}
 	f.mu.Unlock()
 	if i < 3 {
-		server.Announced("orders", true)
+		server.SetAnnounced("orders", true)
 	}
 	claims, stopClaims, err := NewClaims(ClaimsOptions{
 		Self: core.NodeID(fmt.Sprint(i)), Incarnation: run, Server: server, Dialer: dialer, Endpoints: f,
@@ -77,7 +77,7 @@
 }
 
 func rollingRestart(c *qt.C) {
-	f := &fleet{networks: make(map[string]*network)}
+	f := &testCluster{networks: make(map[string]*fakeNetwork)}
 	var claims [4]*Claims
 	var stops [4]func()
 	for i := range 4 {
@@ -86,37 +86,37 @@
 	f.accepted = time.Now()
 	time.Sleep(time.Second) // nodes that start together with a claim cannot vouch for the time before
 	entry := claims[3]
-	first := keyed(1)
+	first := keyedCall(1)
 	verdict, _ := entry.Claim(context.Background(), first)
 	c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 	entry.Settle(context.Background(), first, idempotency.VerdictAnswered, &idempotency.RecordedAnswer{Status: 200, Body: []byte("ok")})
 
 	for i := range 3 {
 		c.Assert(claims[i].HandOver(context.Background()), qt.IsNil)
-		handedOver := keyed(10 + i)
+		handedOver := keyedCall(10 + i)
 		verdict, _ = entry.Claim(context.Background(), handedOver) // the two others are a majority
 		c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 		entry.Settle(context.Background(), handedOver, idempotency.VerdictGranted, nil)
 		stops[i]()
 		var server *Server
 		server, claims[i], stops[i] = f.start(c, i, 2)
-		end := time.Now().Add(takeBackLimit)
-		for restored := false; !restored; time.Sleep(takeBackEvery) {
+		end := time.Now().Add(restoreTimeout)
+		for restored := false; !restored; time.Sleep(restoreRetryInterval) {
 			c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("node %d has no memory", i))
 			server.mu.Lock()
-			member, _ := server.memberFor(time.Now(), "orders")
+			member, _ := server.membershipAges(time.Now(), "orders")
 			restored = !time.Now().Add(-member).After(f.accepted)
 			server.mu.Unlock()
 		}
 	}
-	resend := keyed(1)
+	resend := keyedCall(1)
 	resend.ID = "resend"
 	began := time.Now()
 	verdict, answer := entry.Claim(context.Background(), resend)
 	c.Assert(verdict, qt.Equals, idempotency.VerdictAnswered)
 	c.Assert(string(answer.Body), qt.Equals, "ok")
-	c.Assert(time.Since(began) < holderLimit, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
-	verdict, _ = entry.Claim(context.Background(), keyed(2))
+	c.Assert(time.Since(began) < holderTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	verdict, _ = entry.Claim(context.Background(), keyedCall(2))
 	c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 }
 
@@ -125,7 +125,7 @@
 func TestStartedEntryNodeLearnsOfTheHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := &fleet{networks: make(map[string]*network)}
+		f := &testCluster{networks: make(map[string]*fakeNetwork)}
 		var claims [4]*Claims
 		var stops [4]func()
 		for i := range 4 {
@@ -133,7 +133,7 @@
 		}
 		f.accepted = time.Now()
 		time.Sleep(time.Second)
-		verdict, _ := claims[2].Claim(context.Background(), keyed(1)) // from here on, node 2 knows the others
+		verdict, _ := claims[2].Claim(context.Background(), keyedCall(1)) // from here on, node 2 knows the others
 		c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 		time.Sleep(time.Minute)
 		for _, i := range []int{0, 1, 3} {
@@ -141,7 +141,7 @@
 			_, claims[i], _ = f.start(c, i, 2)
 		}
 		time.Sleep(time.Second)
-		verdict, _ = claims[3].Claim(context.Background(), keyed(2))
+		verdict, _ = claims[3].Claim(context.Background(), keyedCall(2))
 		c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 	})
 }
@@ -151,23 +151,23 @@
 func TestCustodyIsTakenByOneRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	k := make(custodies)
-	ask := func(r custodyRequest) int {
+	k := make(heldSnapshots)
+	ask := func(r handoverRequest) int {
 		r.Node = "n"
-		return k.answer(now, &r, false).Parts
+		return k.handle(now, &r, false).Parts
 	}
-	take := func(run core.Incarnation) int { return ask(custodyRequest{Incarnation: run, Take: true}) }
-	c.Assert(ask(custodyRequest{Incarnation: 1, Part: 0, Parts: 2}), qt.Equals, 2)
+	take := func(run core.Incarnation) int { return ask(handoverRequest{Incarnation: run, Fetch: true}) }
+	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 0, Parts: 2}), qt.Equals, 2)
 	c.Assert(take(2), qt.Equals, 0) // the second part is missing
-	c.Assert(ask(custodyRequest{Incarnation: 1, Part: 1, Parts: 2}), qt.Equals, 2)
+	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 1, Parts: 2}), qt.Equals, 2)
 	c.Assert(take(1), qt.Equals, 0)
 	c.Assert(take(2), qt.Equals, 2)
 	c.Assert(take(3), qt.Equals, 0)
 	c.Assert(take(2), qt.Equals, 2)
-	c.Assert(ask(custodyRequest{Incarnation: 2, Part: 0, Parts: 1}), qt.Equals, 1)
+	c.Assert(ask(handoverRequest{Incarnation: 2, Part: 0, Parts: 1}), qt.Equals, 1)
 	now = now.Add(idempotency.Window + 1)
 	c.Assert(take(3), qt.Equals, 0)
 	c.Assert(k, qt.HasLen, 0)
-	c.Assert(k.answer(now, &custodyRequest{Node: "n", Parts: 1}, true).Parts, qt.Equals, 0) // this node leaves too
-	c.Assert(ask(custodyRequest{Parts: 1, Entries: []idempotency.Entry{{Answer: &idempotency.RecordedAnswer{Body: make([]byte, maxCustodyBytes)}}}}), qt.Equals, 0)
+	c.Assert(k.handle(now, &handoverRequest{Node: "n", Parts: 1}, true).Parts, qt.Equals, 0) // this node leaves too
+	c.Assert(ask(handoverRequest{Parts: 1, Entries: []idempotency.Entry{{Answer: &idempotency.RecordedAnswer{Body: make([]byte, maxSnapshotBytes)}}}}), qt.Equals, 0)
 }
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -10,16 +10,16 @@
 	"parsleyport/core/idempotency"
 )
 
-func (s *Server) setHolderAges(ages func(idempotency.Key) map[core.NodeID]time.Duration) {
+func (s *Server) setHolderAgesFunc(ages func(idempotency.Key) map[core.NodeID]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.agesOf = ages
+	s.agesFunc = ages
 }
 
 // holderAges returns how long this node has known each of the key's holders.
 func (s *Server) holderAges(key idempotency.Key) map[core.NodeID]time.Duration {
 	s.mu.Lock()
-	ages := s.agesOf
+	ages := s.agesFunc
 	s.mu.Unlock()
 	if ages == nil {
 		return nil
@@ -27,14 +27,14 @@
 	return ages(key)
 }
 
-func (c *Claims) ages(key idempotency.Key) map[core.NodeID]time.Duration {
+func (c *Claims) holderAges(key idempotency.Key) map[core.NodeID]time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holders.Ages(time.Now(), key)
 }
 
 // learn returns the same holders with what another node knows of them.
-func (c *Claims) learn(key idempotency.Key, holders []idempotency.Holder, ages map[core.NodeID]time.Duration) []idempotency.Holder {
+func (c *Claims) mergeAges(key idempotency.Key, holders []idempotency.Holder, ages map[core.NodeID]time.Duration) []idempotency.Holder {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,16 +50,16 @@
 // holderReply is a holder's reply with the time at which it came; reached is false if it has not replied.
 type holderReply struct {
 	keyReply
-	reached bool
-	at      time.Time
+	reached    bool
+	receivedAt time.Time
 }
 
-func (c *Claims) claimAt(ctx context.Context, holder idempotency.Holder, message keyMessage) holderReply {
+func (c *Claims) claimFrom(ctx context.Context, holder idempotency.Holder, message keyMessage) holderReply {
 	reply, err := c.ask(ctx, holder.Endpoint, message)
 	return holderReply{
-		keyReply: reply,
-		reached:  err == nil,
-		at:       time.Now(),
+		keyReply:   reply,
+		reached:    err == nil,
+		receivedAt: time.Now(),
 	}
 }
 
@@ -67,14 +67,14 @@
 	if !r.reached {
 		return idempotency.Reply{}
 	}
-	member, run := time.Duration(r.MemberUS)*time.Microsecond, time.Duration(r.RunUS)*time.Microsecond
-	known := c.covers(service, r.at.Sub(holder.FirstSeen)) || c.isOriginal(service, holder.FirstSeen)
+	member, run := time.Duration(r.MembershipUS)*time.Microsecond, time.Duration(r.RunUS)*time.Microsecond
+	known := c.covers(service, r.receivedAt.Sub(holder.FirstSeen)) || c.isOriginal(service, holder.FirstSeen)
 	return idempotency.Reply{
 		Reached:          true,
 		CompleteMemory:   c.covers(service, member),
 		ContinuousMemory: c.covers(service, run),
 		RecentlyJoined:   holder.RecentlyJoined && !known,
-		Restarted:        known && holder.FirstSeen.Before(r.at.Add(-member)),
+		Restarted:        known && holder.FirstSeen.Before(r.receivedAt.Add(-member)),
 		Verdict:          r.Verdict,
 		Answer:           r.Answer,
 	}
@@ -83,7 +83,7 @@
 // isOriginal reports whether a holder was known when calls of the service began: nodes observe a service once its record is
 // accepted. Such a holder may have granted any key before it was restarted.
 func (c *Claims) isOriginal(service core.ServiceName, first time.Time) bool {
-	since, known := c.since(service)
+	since, known := c.serviceSince(service)
 	return known && !first.After(since.Add(idempotency.JoinLag))
 }
 
@@ -92,6 +92,6 @@
 	if member >= idempotency.Window+idempotency.JoinLag {
 		return true
 	}
-	since, known := c.since(service)
+	since, known := c.serviceSince(service)
 	return known && member > 0 && !time.Now().Add(-member).After(since)
 }
--- a/io/nodepeer/check.go
+++ b/io/nodepeer/keepalive.go
@@ -10,34 +10,34 @@
 func (c *clientConn) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.checkAt = c.idleUntil
-	c.timer = time.AfterFunc(time.Until(c.checkAt), c.tick)
+	c.nextCheck = c.idleUntil
+	c.timer = time.AfterFunc(time.Until(c.nextCheck), c.tick)
 	c.dialer.tasks.Go(c.receive)
 }
 
-// isBusy needs the lock; it says whether something is expected from the peer.
-func (c *clientConn) isBusy() bool {
+// hasOutstanding needs the lock; it says whether something is expected from the peer.
+func (c *clientConn) hasOutstanding() bool {
 	return len(c.streams)+len(c.revokes)+len(c.claims) > 0
 }
 
 // busy needs the lock until something is outstanding, and returns errUnsent if the connection is lost or being closed.
 // Silence counts from the first outstanding call, since an idle connection gets no pings.
-func (c *clientConn) busy() error {
+func (c *clientConn) beginUse() error {
 	if c.lost {
 		return errUnsent
 	}
-	if !c.isBusy() {
+	if !c.hasOutstanding() {
 		now := time.Now()
-		c.heard, c.pinged, c.checked = now, now, now
-		c.checkBefore(now.Add(checkEvery))
+		c.lastReceived, c.lastPing, c.lastCheck = now, now, now
+		c.scheduleCheck(now.Add(checkInterval))
 	}
 	return nil
 }
 
-// checkBefore needs the lock.
-func (c *clientConn) checkBefore(at time.Time) {
-	if c.timer != nil && at.Before(c.checkAt) {
-		c.checkAt = at
+// scheduleCheck needs the lock.
+func (c *clientConn) scheduleCheck(at time.Time) {
+	if c.timer != nil && at.Before(c.nextCheck) {
+		c.nextCheck = at
 		c.timer.Reset(time.Until(at))
 	}
 }
@@ -60,24 +60,24 @@
 // the lock under which calls and questions begin, so that none begins on a connection that is being closed.
 func (c *clientConn) check(now time.Time) {
 	c.mu.Lock()
-	if now.Sub(c.checked) > 2*checkEvery {
-		c.heard = now
+	if now.Sub(c.lastCheck) > 2*checkInterval {
+		c.lastReceived = now
 	}
-	c.checked = now
-	busy := c.isBusy()
-	silent := busy && now.Sub(c.heard) >= silenceLimit
-	ping := busy && !c.pinging && now.Sub(c.pinged) >= pingInterval
-	idle := !c.lost && !busy && (c.goaway || !now.Before(c.idleUntil))
+	c.lastCheck = now
+	busy := c.hasOutstanding()
+	silent := busy && now.Sub(c.lastReceived) >= silenceTimeout
+	ping := busy && !c.pinging && now.Sub(c.lastPing) >= pingInterval
+	idle := !c.lost && !busy && (c.goawayReceived || !now.Before(c.idleUntil))
 	c.lost = c.lost || idle
 	if ping {
-		c.pinged, c.pinging = now, true
+		c.lastPing, c.pinging = now, true
 	}
-	c.checkAt = c.idleUntil
+	c.nextCheck = c.idleUntil
 	if busy {
-		c.checkAt = now.Add(checkEvery)
+		c.nextCheck = now.Add(checkInterval)
 	}
 	if c.timer != nil && !c.lost {
-		c.timer.Reset(time.Until(c.checkAt))
+		c.timer.Reset(time.Until(c.nextCheck))
 	}
 	c.mu.Unlock()
 	switch {
@@ -85,7 +85,7 @@
 		c.dialer.silent.Inc()
 		c.fail(errors.Annotate(errConnectionLost, "silent"))
 	case idle:
-		c.end()
+		c.closeLost()
 	case ping:
 		c.send(typePing, emptyMessage{})
 		c.mu.Lock()
--- a/io/nodepeer/check_test.go
+++ b/io/nodepeer/keepalive_test.go
@@ -23,7 +23,7 @@
 	for _, running := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, 1)
+			b := newTestPair(t, 1)
 			b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 				if call.ID != "first" {
 					return answerWith(nil), core.OutcomeAnswered, nil
@@ -34,9 +34,9 @@
 				<-ctx.Done()
 				return nil, core.OutcomeUnknown, ctx.Err()
 			}
-			b.network.decide = func(number int, direction bool, kind frame.Type) action {
+			b.network.decide = func(number int, direction bool, kind frame.Type) frameAction {
 				if number == 1 && (kind == typePing || kind == typePong) {
-					return swallow
+					return blackhole
 				}
 				return pass
 			}
@@ -63,23 +63,23 @@
 	dialer, stop, err := NewDialer(DialerOptions{})
 	c.Assert(err, qt.IsNil)
 	defer stop()
-	conn := newClientConn(dialer, &peer{}, near, time.Now(), 1)
+	conn := newClientConn(dialer, &peerPool{}, near, time.Now(), 1)
 	_, err = conn.register(context.Background(), func() {})
 	c.Assert(err, qt.IsNil)
 	began := time.Now()
 	now := began.Add(5 * time.Second)
 	for conn.check(now); !conn.lost && now.Before(began.Add(10*time.Second)); conn.check(now) {
-		now = now.Add(checkEvery)
+		now = now.Add(checkInterval)
 	}
 	c.Assert(dialer.silent.Get(), qt.Equals, uint64(1))
-	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceLimit) // 5 s of pause
+	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceTimeout) // 5 s of pause
 }
 
 // Guards against a call or claim that begins on a connection that is being closed as idle, and so becomes unknown.
 func TestNothingBeginsOnAClosingConnection(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, 1)
-	claims := &Claims{options: ClaimsOptions{Dialer: b.dialer}, silent: make(map[string]time.Time)}
+	b := newTestPair(t, 1)
+	claims := &Claims{options: ClaimsOptions{Dialer: b.dialer}, unresponsive: make(map[string]time.Time)}
 	for i := range 1000 {
 		conn, err := b.dialer.connectionAfter(context.Background(), "b", 0)
 		c.Assert(err, qt.IsNil)
@@ -91,7 +91,7 @@
 		for range 4 {
 			users.Go(func() {
 				if i%2 == 0 {
-					_, err := claims.askRemote(context.Background(), "b", keyMessage{Verdict: idempotency.VerdictUnknown}, silentLimit)
+					_, err := claims.askRemote(context.Background(), "b", keyMessage{Verdict: idempotency.VerdictUnknown}, probeTimeout)
 					c.Check(err, qt.IsNil)
 					return
 				}
--- a/io/nodepeer/messages.go
+++ b/io/nodepeer/messages.go
@@ -34,15 +34,15 @@
 
 // helloMessage says which packing the dialer reads, and where it is.
 type helloMessage struct {
-	Connection uint64             `msgpack:"connection"`
-	Packing    frame.CompressorID `msgpack:"packing,omitempty"`
-	DataCentre core.DataCentre    `msgpack:"data-centre,omitempty"`
+	Connection   uint64             `msgpack:"connection"`
+	CompressorID frame.CompressorID `msgpack:"packing,omitempty"`
+	DataCentre   core.DataCentre    `msgpack:"data-centre,omitempty"`
 }
 
 // welcomeMessage names the packing that both ends use from then on; zero if none.
 type welcomeMessage struct {
-	RunningUS int64              `msgpack:"running-us"`
-	Packing   frame.CompressorID `msgpack:"packing,omitempty"`
+	RunningUS    int64              `msgpack:"running-us"`
+	CompressorID frame.CompressorID `msgpack:"packing,omitempty"`
 }
 
 type openMessage struct {
@@ -61,13 +61,13 @@
 	IdempotencyKey core.IdempotencyKey `msgpack:"idempotency-key"`
 	Priority       core.Priority       `msgpack:"priority"`
 	RemainingUS    int64               `msgpack:"remaining-us"`
-	AimUS          int64               `msgpack:"aim-us,omitempty"`      // until Call.Aim, which may be past; zero if not stated
+	SoftDeadlineUS int64               `msgpack:"aim-us,omitempty"`      // until Call.Aim, which may be past; zero if not stated
 	StartByUS      int64               `msgpack:"start-by-us,omitempty"` // the same for Call.StartBy
 	Depth          int                 `msgpack:"depth"`
-	Attempts       int                 `msgpack:"attempts"`
+	AttemptsLeft   int                 `msgpack:"attempts"`
 	Hedge          bool                `msgpack:"hedge"`
 	Length         int                 `msgpack:"length"`
-	Sum            uint64              `msgpack:"sum"`
+	Checksum       uint64              `msgpack:"sum"`
 	Body           []byte              `msgpack:"body"`
 }
 
@@ -88,7 +88,7 @@
 	Whole    bool                `msgpack:"whole"`
 	Body     []byte              `msgpack:"body"`
 	Length   int64               `msgpack:"length"`
-	Sum      uint64              `msgpack:"sum"`
+	Checksum uint64              `msgpack:"sum"`
 	Load     loadMessage         `msgpack:"load"`
 }
 
@@ -102,7 +102,7 @@
 	RouteUS                 int64
 }
 
-func loadOf(load core.Load) loadMessage {
+func newLoadMessage(load core.Load) loadMessage {
 	return loadMessage{
 		Running:   load.Running,
 		Waiting:   load.Waiting,
@@ -113,8 +113,8 @@
 }
 
 // load leaves out what no node can mean.
-func (m loadMessage) load() core.Load {
-	if m.Running < 0 || m.Waiting < 0 || m.Limit < 0 || m.ServiceUS < 0 || m.ServiceUS > maxServiceUS || m.RouteUS < 0 || m.RouteUS > maxServiceUS {
+func (m loadMessage) decode() core.Load {
+	if m.Running < 0 || m.Waiting < 0 || m.Limit < 0 || m.ServiceUS < 0 || m.ServiceUS > maxServiceTimeUS || m.RouteUS < 0 || m.RouteUS > maxServiceTimeUS {
 		return core.Load{}
 	}
 	return core.Load{
@@ -126,14 +126,14 @@
 	}
 }
 
-// maxServiceUS is a day.
-const maxServiceUS = int64(24 * time.Hour / time.Microsecond)
+// maxServiceTimeUS is a day.
+const maxServiceTimeUS = int64(24 * time.Hour / time.Microsecond)
 
 // answerEndMessage has Fault set if the body broke off at the backend server.
 type answerEndMessage struct {
 	Sequence uint64 `msgpack:"sequence"`
 	Length   int64  `msgpack:"length"`
-	Sum      uint64 `msgpack:"sum"`
+	Checksum uint64 `msgpack:"sum"`
 	Fault    string `msgpack:"fault"`
 }
 
@@ -164,7 +164,7 @@
 
 type emptyMessage struct{}
 
-func openOf(sequence uint64, call *core.Call, now time.Time) openMessage {
+func newOpenMessage(sequence uint64, call *core.Call, now time.Time) openMessage {
 	message := openMessage{
 		Sequence:       sequence,
 		CallID:         call.ID,
@@ -181,13 +181,13 @@
 		IdempotencyKey: call.IdempotencyKey,
 		Priority:       call.Priority,
 		RemainingUS:    call.Deadline.Sub(now).Microseconds(),
-		AimUS:          untilOf(call.SoftDeadline, now),
-		StartByUS:      untilOf(call.StartBy, now),
+		SoftDeadlineUS: microsecondsUntil(call.SoftDeadline, now),
+		StartByUS:      microsecondsUntil(call.StartBy, now),
 		Depth:          call.Depth,
-		Attempts:       call.AttemptsLeft,
+		AttemptsLeft:   call.AttemptsLeft,
 		Hedge:          call.Hedge,
 		Length:         len(call.Body),
-		Sum:            xxhash.Sum64(call.Body),
+		Checksum:       xxhash.Sum64(call.Body),
 	}
 	if len(call.Body) <= core.MaxChunkBytes {
 		message.Body = call.Body
@@ -195,8 +195,8 @@
 	return message
 }
 
-// untilOf avoids the zero that stands for no point in time.
-func untilOf(at, now time.Time) int64 {
+// microsecondsUntil avoids the zero that stands for no point in time.
+func microsecondsUntil(at, now time.Time) int64 {
 	if at.IsZero() {
 		return 0
 	}
@@ -206,18 +206,18 @@
 	return -1
 }
 
-// pointOf is the inverse of untilOf.
-func pointOf(us int64, now time.Time) time.Time {
+// timeFromMicroseconds is the inverse of microsecondsUntil.
+func timeFromMicroseconds(us int64, now time.Time) time.Time {
 	if us == 0 {
 		return time.Time{}
 	}
 	return now.Add(time.Duration(us) * time.Microsecond)
 }
 
-func callOf(message openMessage, now time.Time) *core.Call {
+func newCall(message openMessage, now time.Time) *core.Call {
 	return &core.Call{
-		SoftDeadline:   pointOf(message.AimUS, now),
-		StartBy:        pointOf(message.StartByUS, now),
+		SoftDeadline:   timeFromMicroseconds(message.SoftDeadlineUS, now),
+		StartBy:        timeFromMicroseconds(message.StartByUS, now),
 		ID:             message.CallID,
 		Tenant:         message.Tenant,
 		Service:        message.Service,
@@ -233,7 +233,7 @@
 		Priority:       message.Priority,
 		Deadline:       now.Add(time.Duration(message.RemainingUS) * time.Microsecond),
 		Depth:          message.Depth,
-		AttemptsLeft:   message.Attempts,
+		AttemptsLeft:   message.AttemptsLeft,
 		Hedge:          message.Hedge,
 	}
 }
--- a/io/nodepeer/network_test.go
+++ b/io/nodepeer/network_test.go
@@ -17,15 +17,15 @@
 )
 
 // action is what the network does with one frame.
-type action int
+type frameAction int
 
 const (
-	pass    action = iota
-	cutHere        // the connection ends before this frame
-	cutNext        // the connection ends after this frame
-	swallow        // nothing passes on this connection in this direction any more
-	hold           // waits for network.release and then passes
-	corrupt        // the last byte is changed
+	pass        frameAction = iota
+	closeBefore             // the connection ends before this frame
+	closeAfter              // the connection ends after this frame
+	blackhole               // nothing passes on this connection in this direction any more
+	delay                   // waits for network.release and then passes
+	corrupt                 // the last byte is changed
 )
 
 const (
@@ -35,8 +35,8 @@
 
 // network joins dialers and a server by pipes and decides on every frame. It reads what it swallows, as a kernel does
 // for a peer that has gone silent.
-type network struct {
-	decide  func(connection int, toServer bool, kind frame.Type) action
+type fakeNetwork struct {
+	decide  func(connection int, toServer bool, kind frame.Type) frameAction
 	release chan struct{}
 	accept  chan net.Conn
 	closed  chan struct{}
@@ -47,16 +47,16 @@
 	refuse  bool
 }
 
-func newNetwork() *network {
-	return &network{
-		decide:  func(int, bool, frame.Type) action { return pass },
+func newFakeNetwork() *fakeNetwork {
+	return &fakeNetwork{
+		decide:  func(int, bool, frame.Type) frameAction { return pass },
 		release: make(chan struct{}),
 		accept:  make(chan net.Conn),
 		closed:  make(chan struct{}),
 	}
 }
 
-func (n *network) Accept() (net.Conn, error) {
+func (n *fakeNetwork) Accept() (net.Conn, error) {
 	select {
 	case conn := <-n.accept:
 		return conn, nil
@@ -64,10 +64,10 @@
 		return nil, net.ErrClosed
 	}
 }
-func (n *network) Close() error   { n.once.Do(func() { close(n.closed) }); return nil }
-func (n *network) Addr() net.Addr { return &net.TCPAddr{} }
+func (n *fakeNetwork) Close() error   { n.once.Do(func() { close(n.closed) }); return nil }
+func (n *fakeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (n *network) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (n *fakeNetwork) dial(ctx context.Context, _ string) (net.Conn, error) {
 	n.mu.Lock()
 	n.dials++
 	number, refuse := n.dials, n.refuse
@@ -87,7 +87,7 @@
 	return near, nil
 }
 
-func (n *network) relay(number int, direction bool, from, to net.Conn) {
+func (n *fakeNetwork) relay(number int, direction bool, from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	for silent := false; ; {
@@ -100,19 +100,19 @@
 			return
 		}
 		verdict := n.decide(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
-		silent = silent || verdict == swallow
+		silent = silent || verdict == blackhole
 		if silent {
 			continue
 		}
 		switch verdict {
-		case cutHere:
+		case closeBefore:
 			return
-		case hold:
+		case delay:
 			<-n.release
 		case corrupt:
 			rest[len(rest)-1] ^= 1
 		}
-		if _, err := to.Write(append(head[:], rest...)); err != nil || verdict == cutNext {
+		if _, err := to.Write(append(head[:], rest...)); err != nil || verdict == closeAfter {
 			return
 		}
 	}
@@ -157,16 +157,16 @@
 }
 
 // bench is one dialer and one server, joined by a network.
-type bench struct {
-	network *network
+type testPair struct {
+	network *fakeNetwork
 	backend *countingBackend
 	server  *Server
 	dialer  *Dialer
 	stop    func() // stops the server
 }
 
-func newBench(t *testing.T, connections int) *bench {
-	b := &bench{network: newNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
+func newTestPair(t *testing.T, connections int) *testPair {
+	b := &testPair{network: newFakeNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
 	b.startServer(t)
 	time.Sleep(time.Second) // a server that starts together with the dial cannot vouch for the time before
 	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: b.network.dial, ConnectionsPerPeer: connections})
@@ -182,7 +182,7 @@
 	return b
 }
 
-func (b *bench) startServer(t *testing.T) {
+func (b *testPair) startServer(t *testing.T) {
 	var err error
 	if b.server, b.stop, err = NewServer(ServerOptions{Listener: b.network, Backend: b.backend}); err != nil {
 		t.Fatal(err)
@@ -193,8 +193,8 @@
 	return &core.Call{ID: core.CallID(id), Method: "POST", Target: "/", Body: body, Deadline: time.Now().Add(20 * time.Second)}
 }
 
-func (b *bench) forward(call *core.Call) (*core.Answer, core.Outcome, error) {
+func (b *testPair) forward(call *core.Call) (*core.Answer, core.Outcome, error) {
 	return b.dialer.Forward(context.Background(), core.Endpoint{Node: "b", Address: "b"}, call)
 }
 
-func long(seed string) []byte { return []byte(strings.Repeat(seed, 100_000/len(seed))) }
+func longBody(seed string) []byte { return []byte(strings.Repeat(seed, 100_000/len(seed))) }
--- a/io/nodepeer/nodepeer_test.go
+++ b/io/nodepeer/nodepeer_test.go
@@ -22,7 +22,7 @@
 
 // Guards against a second run, a false not-run and a part taken for the whole, whichever message a connection is cut at.
 func TestCutAtEachMessage(t *testing.T) {
-	for _, verdict := range []action{cutHere, cutNext} {
+	for _, verdict := range []frameAction{closeBefore, closeAfter} {
 		for position := int64(1); ; position++ {
 			cut := false
 			synctest.Test(t, func(t *testing.T) { cut = cutAt(t, verdict, position) })
@@ -35,19 +35,19 @@
 }
 
 // cutAt returns false if the call needs fewer messages than that.
-func cutAt(t *testing.T, verdict action, position int64) bool {
+func cutAt(t *testing.T, verdict frameAction, position int64) bool {
 	c := qt.New(t)
-	b := newBench(t, 1)
+	b := newTestPair(t, 1)
 	var frames atomic.Int64
 	var cut atomic.Bool
-	b.network.decide = func(int, bool, frame.Type) action {
+	b.network.decide = func(int, bool, frame.Type) frameAction {
 		if frames.Add(1) == position {
 			cut.Store(true)
 			return verdict
 		}
 		return pass
 	}
-	call := callFor("once", long("abc"))
+	call := callFor("once", longBody("abc"))
 	for range 5 { // as for a call that is not idempotent: again only after not-run
 		ranBefore := b.backend.ran("once")
 		answer, outcome, err := b.forward(call)
@@ -73,7 +73,7 @@
 func TestAnswersOutOfOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			delay := time.Duration(0)
 			_, _ = fmt.Sscan(string(call.ID), (*int64)(&delay))
@@ -100,14 +100,14 @@
 	for _, kind := range []frame.Type{typeAnswerBody, typeAnswerEnd, typeBody} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, 1)
-			b.network.decide = func(number int, _ bool, seen frame.Type) action {
+			b := newTestPair(t, 1)
+			b.network.decide = func(number int, _ bool, seen frame.Type) frameAction {
 				if seen == kind && number == 1 {
 					return corrupt
 				}
 				return pass
 			}
-			answer, outcome, _ := b.forward(callFor("x", long("abc")))
+			answer, outcome, _ := b.forward(callFor("x", longBody("abc")))
 			if kind == typeBody {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 				c.Assert(b.backend.ran("x"), qt.Equals, 0)
@@ -115,7 +115,7 @@
 			}
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			_, err := io.ReadAll(answer.Body)
-			c.Assert(errors.Is(err, ErrCorrupted) || errors.Is(err, ErrCut), qt.IsTrue, qt.Commentf("error %v", err))
+			c.Assert(errors.Is(err, ErrCorrupted) || errors.Is(err, ErrTruncated), qt.IsTrue, qt.Commentf("error %v", err))
 		})
 	}
 }
@@ -125,7 +125,7 @@
 	for _, stated := range []string{"", "9"} { // in several frames, and in one
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, 1)
+			b := newTestPair(t, 1)
 			b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 				answer := answerWith(nil)
 				answer.Header.Set("Content-Length", stated)
@@ -147,7 +147,7 @@
 func TestUploadShowsProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		conn, err := b.network.dial(t.Context(), "b")
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
@@ -163,7 +163,7 @@
 		for heard, pongs := time.Now(), 0; pongs < 4; heard = time.Now() {
 			received, err := frames.Receive(time.Time{})
 			c.Assert(err, qt.IsNil)
-			c.Assert(time.Since(heard) < silenceLimit, qt.IsTrue)
+			c.Assert(time.Since(heard) < silenceTimeout, qt.IsTrue)
 			if received.Type == typePong {
 				pongs++
 			}
@@ -175,17 +175,17 @@
 func TestRevocationTakesANewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 2)
+		b := newTestPair(t, 2)
 		b.backend.handle = queueUntilCancelled
 		var silent atomic.Bool
-		b.network.decide = func(number int, _ bool, _ frame.Type) action {
+		b.network.decide = func(number int, _ bool, _ frame.Type) frameAction {
 			if number <= 2 && silent.Load() {
-				return swallow
+				return blackhole
 			}
 			return pass
 		}
 		var callers sync.WaitGroup
-		for i := range growAt + 1 { // the last call lets the pool grow
+		for i := range poolGrowthCalls + 1 { // the last call lets the pool grow
 			callers.Go(func() {
 				_, outcome, err := b.forward(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeNotRun, qt.Commentf("error %v", err))
@@ -204,7 +204,7 @@
 func TestLostConnectionEmptiesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = queueUntilCancelled
 		go func() { _, _, _ = b.forward(callFor("x", nil)) }()
 		synctest.Wait()
@@ -219,7 +219,7 @@
 func TestSlowBackendKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 			time.Sleep(15 * time.Second)
 			return answerWith([]byte("late")), core.OutcomeAnswered, nil
@@ -237,10 +237,10 @@
 func TestOpenAfterRevocationNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
-		b.network.decide = func(number int, direction bool, kind frame.Type) action {
+		b := newTestPair(t, 1)
+		b.network.decide = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toServer && kind == typeOpen {
-				return hold
+				return delay
 			}
 			return pass
 		}
@@ -259,7 +259,7 @@
 func TestRevocationAtRestartedServerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		started, restarted := make(chan struct{}), make(chan struct{})
 		b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			b.backend.begin(call.ID)
@@ -276,9 +276,9 @@
 			b.startServer(t)
 			close(restarted)
 		}()
-		b.network.decide = func(number int, direction bool, kind frame.Type) action {
+		b.network.decide = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toDialer && kind == typeRefused {
-				return swallow
+				return blackhole
 			}
 			return pass
 		}
@@ -293,8 +293,8 @@
 func TestSlowReaderDelaysNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
-		big := bytes.Repeat([]byte("x"), 5*answerWindow)
+		b := newTestPair(t, 1)
+		big := bytes.Repeat([]byte("x"), 5*answerWindowBytes)
 		b.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			if call.ID == "slow" {
 				return answerWith(big), core.OutcomeAnswered, nil
@@ -304,7 +304,7 @@
 		slow, outcome, _ := b.forward(callFor("slow", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		synctest.Wait()
-		c.Assert(slow.Body.(*answerBody).stream.unread <= answerWindow, qt.IsTrue)
+		c.Assert(slow.Body.(*answerBody).stream.unreadBytes <= answerWindowBytes, qt.IsTrue)
 		began := time.Now()
 		quick, outcome, _ := b.forward(callFor("quick", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
@@ -322,7 +322,7 @@
 func TestFailedConnectIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.network.refuse = true
 		_, outcome, err := b.forward(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
@@ -336,7 +336,7 @@
 func TestCancelledCallLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = queueUntilCancelled
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -351,13 +351,13 @@
 func TestDrainFinishesBegunCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 			time.Sleep(3 * time.Second)
-			return answerWith(long("abc")), core.OutcomeAnswered, nil
+			return answerWith(longBody("abc")), core.OutcomeAnswered, nil
 		}
 		var opens atomic.Int64
-		b.network.decide = func(_ int, _ bool, kind frame.Type) action {
+		b.network.decide = func(_ int, _ bool, kind frame.Type) frameAction {
 			if kind == typeOpen {
 				opens.Add(1)
 			}
@@ -396,7 +396,7 @@
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeHead), 0x80})
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeKey), 0x80, 0, 0, 0, 3, 0, byte(typeRevoke), 0x80})
 	backend := &countingBackend{runs: make(map[core.CallID]int)}
-	server, stop, err := NewServer(ServerOptions{Listener: newNetwork(), Backend: backend})
+	server, stop, err := NewServer(ServerOptions{Listener: newFakeNetwork(), Backend: backend})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -415,9 +415,9 @@
 		atServer := &serverConn{server: server, frames: frame.New(near, nil), ctx: ctx, cancel: cancel}
 		if server.attempts.Connected(time.Now(), 1) {
 			atServer.id = 1
-			defer server.forget(atServer)
+			defer server.removeConnection(atServer)
 		}
-		atDialer := newClientConn(dialer, &peer{}, near, time.Now(), 1)
+		atDialer := newClientConn(dialer, &peerPool{}, near, time.Now(), 1)
 		stream, _ := atDialer.register(ctx, func() {})
 		_ = stream
 		for reader := bytes.NewReader(input); ; {
--- a/io/nodepeer/server.go
+++ b/io/nodepeer/server.go
@@ -33,7 +33,7 @@
 	MaxCalls int // zero for 4096
 
 	DataCentre core.DataCentre
-	Packing    *frame.Compressor // for dialers in other data centres; nil for none
+	Compressor *frame.Compressor // for dialers in other data centres; nil for none
 }
 
 // Server takes calls from other nodes and hands them to a core.Backend.
@@ -51,10 +51,10 @@
 	mu          sync.Mutex
 	attempts    *idempotency.AttemptLog
 	keys        *idempotency.KeyStore
-	members     map[core.ServiceName]membership
-	custodies   custodies
+	memberships map[core.ServiceName]membership
+	snapshots   heldSnapshots
 	handedOver  bool
-	agesOf      func(idempotency.Key) map[core.NodeID]time.Duration // nil before there are Claims
+	agesFunc    func(idempotency.Key) map[core.NodeID]time.Duration // nil before there are Claims
 	calls       map[idempotency.AttemptKey]*serverCall
 	connections map[*serverConn]struct{}
 	bodyBytes   int
@@ -88,8 +88,8 @@
 		tooLate:     options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="unknown"}`),
 		attempts:    idempotency.NewAttemptLog(),
 		keys:        idempotency.NewKeyStore(),
-		members:     make(map[core.ServiceName]membership),
-		custodies:   make(custodies),
+		memberships: make(map[core.ServiceName]membership),
+		snapshots:   make(heldSnapshots),
 		calls:       make(map[idempotency.AttemptKey]*serverCall),
 		connections: make(map[*serverConn]struct{}),
 		idle:        make(chan struct{}),
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	if !s.leaving {
 		s.leaving = true
-		s.signalIdle()
+		s.signalIfIdle()
 	}
 	connections := make([]*serverConn, 0, len(s.connections))
 	for c := range s.connections {
@@ -125,8 +125,8 @@
 	}
 }
 
-// signalIdle needs the lock.
-func (s *Server) signalIdle() {
+// signalIfIdle needs the lock.
+func (s *Server) signalIfIdle() {
 	if !s.leaving || len(s.calls) > 0 {
 		return
 	}
@@ -158,15 +158,15 @@
 			time.Sleep(10 * time.Millisecond) // out of file descriptors: connections that end free some
 			continue
 		}
-		s.admit(conn)
+		s.addConnection(conn)
 	}
 }
 
-func (s *Server) admit(conn net.Conn) {
+func (s *Server) addConnection(conn net.Conn) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	c := &serverConn{
 		server: s,
-		frames: frame.New(conn, s.options.Packing),
+		frames: frame.New(conn, s.options.Compressor),
 		ctx:    ctx,
 		cancel: cancel,
 	}
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -14,34 +14,34 @@
 
 // serverConn is one connection from a dialer; serve is its only reader.
 type serverConn struct {
-	server *Server
-	frames *frame.Conn
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	id     uint64    // zero until hello
-	ponged time.Time // latest pong or welcome
+	server   *Server
+	frames   *frame.Conn
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	id       uint64    // zero until hello
+	lastPong time.Time // latest pong or welcome
 }
 
 // serverCall is one attempt; the fields below mu belong to the server's lock.
 type serverCall struct {
-	key    idempotency.AttemptKey
-	conn   *serverConn
-	call   *core.Call
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	credit *credit
-	length int
-	sum    uint64
+	key      idempotency.AttemptKey
+	conn     *serverConn
+	call     *core.Call
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	credit   *credit
+	length   int
+	checksum uint64
 
-	body     []byte
-	reserved int
-	handed   bool         // Handle has been called
-	outcome  core.Outcome // empty until Handle has returned
-	revokers []revoker
+	body               []byte
+	reservedBytes      int
+	started            bool         // Handle has been called
+	outcome            core.Outcome // empty until Handle has returned
+	pendingRevocations []pendingRevocation
 }
 
 // revoker waits for the verdict on an attempt.
-type revoker struct {
+type pendingRevocation struct {
 	conn  *serverConn
 	token uint64
 }
@@ -53,7 +53,7 @@
 
 // send ends the connection if the message cannot be written.
 func (c *serverConn) send(kind frame.Type, message any) bool {
-	if err := c.frames.Send(time.Now().Add(writeLimit), kind, message); err != nil {
+	if err := c.frames.Send(time.Now().Add(writeTimeout), kind, message); err != nil {
 		c.fail(errConnectionLost)
 		return false
 	}
@@ -61,9 +61,9 @@
 }
 
 func (c *serverConn) serve() {
-	defer c.server.forget(c)
+	defer c.server.removeConnection(c)
 	for {
-		received, err := c.frames.Receive(time.Now().Add(serverIdleLimit))
+		received, err := c.frames.Receive(time.Now().Add(serverIdleTimeout))
 		if err != nil {
 			c.fail(errConnectionLost)
 			return
@@ -72,7 +72,7 @@
 			c.fail(err)
 			return
 		}
-		if time.Since(c.ponged) >= pingInterval {
+		if time.Since(c.lastPong) >= pingInterval {
 			c.pong()
 		}
 	}
@@ -84,21 +84,21 @@
 	}
 	switch received.Type {
 	case typeHello:
-		return decoded(received, c.hello)
+		return decodeAndHandle(received, c.hello)
 	case typeOpen:
-		return decoded(received, c.open)
+		return decodeAndHandle(received, c.open)
 	case typeBody:
-		return decoded(received, c.body)
+		return decodeAndHandle(received, c.body)
 	case typeBodyEnd:
-		return decoded(received, c.bodyEnd)
+		return decodeAndHandle(received, c.bodyEnd)
 	case typeCancel:
-		return decoded(received, c.cancelCall)
+		return decodeAndHandle(received, c.cancelCall)
 	case typeCredit:
-		return decoded(received, c.grant)
+		return decodeAndHandle(received, c.addCredit)
 	case typeRevoke:
-		return decoded(received, c.revoke)
+		return decodeAndHandle(received, c.revoke)
 	case typeKey:
-		return decoded(received, c.keepKey)
+		return decodeAndHandle(received, c.handleKey)
 	case typePing:
 		c.pong()
 		return nil
@@ -107,13 +107,13 @@
 }
 
 // pong tells the dialer that its bytes are read. It answers other messages too, since a ping may wait behind bodies for
-// longer than silenceLimit on a slow connection.
+// longer than silenceTimeout on a slow connection.
 func (c *serverConn) pong() {
-	c.ponged = time.Now()
+	c.lastPong = time.Now()
 	c.send(typePong, emptyMessage{})
 }
 
-func decoded[T any](received frame.Frame, handle func(T) error) error {
+func decodeAndHandle[T any](received frame.Frame, handle func(T) error) error {
 	var message T
 	if err := received.Decode(&message); err != nil {
 		return err
@@ -130,14 +130,14 @@
 	if !connected {
 		return errors.Annotate(errProtocol, "hello")
 	}
-	c.id, c.ponged = message.Connection, time.Now()
+	c.id, c.lastPong = message.Connection, time.Now()
 	packing := frame.CompressorID(0)
-	if message.DataCentre != s.options.DataCentre && message.Packing == s.options.Packing.ID() {
-		packing = message.Packing
+	if message.DataCentre != s.options.DataCentre && message.CompressorID == s.options.Compressor.ID() {
+		packing = message.CompressorID
 	}
 	c.send(typeWelcome, welcomeMessage{
-		RunningUS: time.Since(s.started).Microseconds(),
-		Packing:   packing,
+		RunningUS:    time.Since(s.started).Microseconds(),
+		CompressorID: packing,
 	})
 	c.frames.SetPeerCompressor(packing)
 	if leaving {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (s *Server) forget(c *serverConn) {
+func (s *Server) removeConnection(c *serverConn) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,15 +156,15 @@
 	}
 	s.attempts.Disconnected(now, c.id)
 	for key, call := range s.calls {
-		if call.conn == c && !call.handed {
-			s.end(call, false)
+		if call.conn == c && !call.started {
+			s.removeCall(call, false)
 			delete(s.calls, key)
 		}
 	}
-	s.signalIdle()
+	s.signalIfIdle()
 }
 
-func (c *serverConn) key(sequence uint64) idempotency.AttemptKey {
+func (c *serverConn) attemptKey(sequence uint64) idempotency.AttemptKey {
 	return idempotency.AttemptKey{
 		Connection: c.id,
 		Sequence:   sequence,
@@ -173,7 +173,7 @@
 
 func (c *serverConn) open(message openMessage) error {
 	s, now := c.server, time.Now()
-	key := c.key(message.Sequence)
+	key := c.attemptKey(message.Sequence)
 	if message.Length < 0 || message.Length > maxBodyBytes || len(message.Body) > message.Length {
 		return errors.Annotatef(errProtocol, "open with a body of %d bytes", message.Length)
 	}
@@ -191,23 +191,23 @@
 	}
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	call := &serverCall{
-		key:      key,
-		conn:     c,
-		call:     callOf(message, now),
-		ctx:      ctx,
-		cancel:   cancel,
-		credit:   newCredit(answerWindow),
-		length:   message.Length,
-		sum:      message.Sum,
-		body:     message.Body,
-		reserved: message.Length,
+		key:           key,
+		conn:          c,
+		call:          newCall(message, now),
+		ctx:           ctx,
+		cancel:        cancel,
+		credit:        newCredit(answerWindowBytes),
+		length:        message.Length,
+		checksum:      message.Checksum,
+		body:          message.Body,
+		reservedBytes: message.Length,
 	}
 	s.calls[key] = call
-	s.bodyBytes += call.reserved
+	s.bodyBytes += call.reservedBytes
 	s.mu.Unlock()
 	s.accepted.Inc()
 	if len(message.Body) == message.Length {
-		return c.hand(call)
+		return c.startCall(call)
 	}
 	return nil
 }
@@ -241,20 +241,20 @@
 		Outcome:  outcome,
 		Cause:    refusal.Cause,
 		Detail:   refusal.Detail,
-		Load:     loadOf(refusal.Load),
+		Load:     newLoadMessage(refusal.Load),
 	})
 }
 
 func (c *serverConn) call(sequence uint64) *serverCall {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.server.calls[c.key(sequence)]
+	return c.server.calls[c.attemptKey(sequence)]
 }
 
 // body collects a long body; the attempt is handed over only when all of it is there and its sum is right.
 func (c *serverConn) body(message bodyMessage) error {
 	call := c.call(message.Sequence)
-	if call == nil || call.handed {
+	if call == nil || call.started {
 		return nil // refused or cancelled while the body was on its way
 	}
 	if len(call.body)+len(message.Bytes) > call.length {
@@ -266,15 +266,15 @@
 
 func (c *serverConn) bodyEnd(message sequenceMessage) error {
 	call := c.call(message.Sequence)
-	if call == nil || call.handed {
+	if call == nil || call.started {
 		return nil
 	}
-	return c.hand(call)
+	return c.startCall(call)
 }
 
-func (c *serverConn) hand(call *serverCall) error {
+func (c *serverConn) startCall(call *serverCall) error {
 	s := c.server
-	if len(call.body) != call.length || xxhash.Sum64(call.body) != call.sum {
+	if len(call.body) != call.length || xxhash.Sum64(call.body) != call.checksum {
 		return errors.Annotatef(errProtocol, "body of sequence %d is cut or corrupted", call.key.Sequence)
 	}
 	s.mu.Lock()
@@ -283,7 +283,7 @@
 		return nil
 	}
 	call.call.Body = call.body
-	call.handed = true
+	call.started = true
 	s.tasks.Go(func() { s.run(call) })
 	return nil
 }
@@ -291,10 +291,10 @@
 func (c *serverConn) cancelCall(message sequenceMessage) error {
 	s := c.server
 	s.mu.Lock()
-	call := s.calls[c.key(message.Sequence)]
-	waiting := call != nil && !call.handed
+	call := s.calls[c.attemptKey(message.Sequence)]
+	waiting := call != nil && !call.started
 	if waiting {
-		s.end(call, false)
+		s.removeCall(call, false)
 	}
 	s.mu.Unlock()
 	if waiting {
@@ -308,7 +308,7 @@
 	return nil
 }
 
-func (c *serverConn) grant(message creditMessage) error {
+func (c *serverConn) addCredit(message creditMessage) error {
 	if call := c.call(message.Sequence); call != nil {
 		call.credit.add(message.Bytes)
 	}
@@ -327,15 +327,15 @@
 	call := s.calls[key]
 	if verdict == idempotency.RevocationPending && call != nil {
 		switch {
-		case !call.handed:
-			s.end(call, false)
+		case !call.started:
+			s.removeCall(call, false)
 			verdict = idempotency.RevocationDone
 		case call.outcome == core.OutcomeNotRun:
 			verdict = idempotency.RevocationDone
 		case call.outcome != "":
 			verdict = idempotency.RevocationTooLate
 		default:
-			call.revokers = append(call.revokers, revoker{
+			call.pendingRevocations = append(call.pendingRevocations, pendingRevocation{
 				conn:  c,
 				token: message.Token,
 			})
@@ -346,11 +346,11 @@
 		call.cancel(errRevoked)
 		return nil
 	}
-	c.answerRevocation(message.Token, verdict == idempotency.RevocationDone)
+	c.sendRevoked(message.Token, verdict == idempotency.RevocationDone)
 	return nil
 }
 
-func (c *serverConn) answerRevocation(token uint64, revoked bool) {
+func (c *serverConn) sendRevoked(token uint64, revoked bool) {
 	if revoked {
 		c.server.revoked.Inc()
 	} else {
@@ -363,13 +363,13 @@
 }
 
 // end needs the lock.
-func (s *Server) end(call *serverCall, ran bool) {
+func (s *Server) removeCall(call *serverCall, ran bool) {
 	if s.calls[call.key] != call {
 		return
 	}
 	delete(s.calls, call.key)
 	s.attempts.Ended(call.key, ran)
-	s.bodyBytes -= call.reserved
+	s.bodyBytes -= call.reservedBytes
 	call.cancel(nil)
-	s.signalIdle()
+	s.signalIfIdle()
 }
--- a/io/nodepeer/stream.go
+++ b/io/nodepeer/stream.go
@@ -15,8 +15,8 @@
 
 // Errors of an answer's body; none of them is io.EOF.
 const (
-	// ErrCut means that the body ended before its end message, or that the backend server broke it off.
-	ErrCut = errors.ConstError("answer body was cut off")
+	// ErrTruncated means that the body ended before its end message, or that the backend server broke it off.
+	ErrTruncated = errors.ConstError("answer body was cut off")
 	// ErrCorrupted means that the body does not have the length and sum of its end message.
 	ErrCorrupted = errors.ConstError("answer body is corrupted")
 )
@@ -28,13 +28,13 @@
 	cancel   context.CancelFunc
 	changed  chan struct{} // holds one token when something was added
 
-	mu      sync.Mutex
-	head    *headMessage
-	refused *refusedMessage
-	chunks  [][]byte
-	unread  int // bytes in chunks
-	end     *answerEndMessage
-	closed  bool
+	mu          sync.Mutex
+	head        *headMessage
+	refused     *refusedMessage
+	chunks      [][]byte
+	unreadBytes int // bytes in chunks
+	end         *answerEndMessage
+	closed      bool
 }
 
 func newStream(c *clientConn, sequence uint64, cancel context.CancelFunc) *stream {
@@ -63,8 +63,8 @@
 	if message.Whole {
 		s.chunks = append(s.chunks, message.Body)
 		s.end = &answerEndMessage{
-			Length: message.Length,
-			Sum:    message.Sum,
+			Length:   message.Length,
+			Checksum: message.Checksum,
 		}
 		s.conn.remove(s.sequence)
 	}
@@ -75,8 +75,8 @@
 func (s *stream) addChunk(bytes []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unread += len(bytes)
-	if s.head == nil || s.unread > answerWindow {
+	s.unreadBytes += len(bytes)
+	if s.head == nil || s.unreadBytes > answerWindowBytes {
 		return errors.Annotatef(errProtocol, "answer body of sequence %d", s.sequence)
 	}
 	s.chunks = append(s.chunks, bytes)
@@ -123,7 +123,7 @@
 		select {
 		case <-s.changed:
 		case <-s.conn.done:
-			if s.arrived() {
+			if s.hasResult() {
 				continue
 			}
 			return nil, nil, errConnectionLost
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *stream) arrived() bool {
+func (s *stream) hasResult() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.head != nil || s.refused != nil
@@ -146,7 +146,7 @@
 	s.conn.send(typeCancel, sequenceMessage{
 		Sequence: s.sequence,
 	})
-	timer := time.NewTimer(verdictLimit)
+	timer := time.NewTimer(cancelReplyTimeout)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
@@ -169,7 +169,7 @@
 	return &core.Answer{
 		Status: head.Status,
 		Header: http.Header(head.Header),
-		Load:   head.Load.load(),
+		Load:   head.Load.decode(),
 		Body: &answerBody{
 			stream: s,
 			ctx:    ctx,
@@ -180,13 +180,13 @@
 
 // answerBody checks length and sum before it returns io.EOF.
 type answerBody struct {
-	stream  *stream
-	ctx     context.Context
-	digest  *xxhash.Digest
-	length  int64
-	chunk   []byte
-	ungiven int // bytes read since the latest credit
-	err     error
+	stream          *stream
+	ctx             context.Context
+	digest          *xxhash.Digest
+	length          int64
+	chunk           []byte
+	uncreditedBytes int // bytes read since the latest credit
+	err             error
 }
 
 // Read implements io.Reader.
@@ -201,33 +201,33 @@
 	b.chunk = b.chunk[n:]
 	_, _ = b.digest.Write(target[:n]) // a Digest never fails
 	b.length += int64(n)
-	b.credit(n)
+	b.returnCredit(n)
 	return n, nil
 }
 
-func (b *answerBody) credit(n int) {
-	b.ungiven += n
-	if b.ungiven < answerWindow/2 {
+func (b *answerBody) returnCredit(n int) {
+	b.uncreditedBytes += n
+	if b.uncreditedBytes < answerWindowBytes/2 {
 		return
 	}
 	b.stream.mu.Lock()
 	ended := b.stream.end != nil
-	b.stream.unread -= b.ungiven
+	b.stream.unreadBytes -= b.uncreditedBytes
 	b.stream.mu.Unlock()
 	if !ended {
 		b.stream.conn.send(typeCredit, creditMessage{
 			Sequence: b.stream.sequence,
-			Bytes:    b.ungiven,
+			Bytes:    b.uncreditedBytes,
 		})
 	}
-	b.ungiven = 0
+	b.uncreditedBytes = 0
 }
 
 func (b *answerBody) verify(end *answerEndMessage) error {
 	switch {
 	case end.Fault != "":
-		return errors.Annotate(ErrCut, end.Fault)
-	case end.Length != b.length || end.Sum != b.digest.Sum64():
+		return errors.Annotate(ErrTruncated, end.Fault)
+	case end.Length != b.length || end.Checksum != b.digest.Sum64():
 		return errors.Annotatef(ErrCorrupted, "%d bytes, expected %d", b.length, end.Length)
 	}
 	return io.EOF
@@ -255,17 +255,17 @@
 		select {
 		case <-s.changed:
 		case <-s.conn.done:
-			if s.pending() {
+			if s.hasBodyEvent() {
 				continue
 			}
-			return nil, errors.Annotate(ErrCut, errConnectionLost.Error())
+			return nil, errors.Annotate(ErrTruncated, errConnectionLost.Error())
 		case <-ctx.Done():
-			return nil, errors.Annotate(ErrCut, ctx.Err().Error())
+			return nil, errors.Annotate(ErrTruncated, ctx.Err().Error())
 		}
 	}
 }
 
-func (s *stream) pending() bool {
+func (s *stream) hasBodyEvent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.chunks) > 0 || s.end != nil
