--- a/io/nodepeer/answer.go
+++ b/io/nodepeer/answer.go
@@ -41,10 +41,10 @@
 func (s *Server) resolveRevocations(call *serverCall, outcome core.Outcome) {
 	s.mu.Lock()
 	call.outcome = outcome
-	revokers := call.pendingRevocations
+	revocations := call.pendingRevocations
 	call.pendingRevocations = nil
 	s.mu.Unlock()
-	for _, each := range revokers {
+	for _, each := range revocations {
 		each.conn.sendRevoked(each.token, outcome == core.OutcomeNotRun)
 	}
 }
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -324,14 +324,14 @@
 func (c *Claims) isUnresponsive(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, silent := c.unresponsive[address]
-	return silent
+	_, unresponsive := c.unresponsive[address]
+	return unresponsive
 }
 
-func (c *Claims) setUnresponsive(address string, silent bool) {
+func (c *Claims) setUnresponsive(address string, unresponsive bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !silent {
+	if !unresponsive {
 		delete(c.unresponsive, address)
 	} else if since, known := c.unresponsive[address]; !known && len(c.unresponsive) < maxUnresponsiveHolders {
 		c.unresponsive[address] = time.Now()
@@ -361,8 +361,8 @@
 	var asked sync.WaitGroup
 	for _, address := range addresses {
 		asked.Go(func() {
-			nothing := keyMessage{Verdict: idempotency.VerdictUnknown} // settles a key that nobody has claimed
-			_, _ = c.askRemote(ctx, address, nothing, probeTimeout)
+			probe := keyMessage{Verdict: idempotency.VerdictUnknown} // settles a key that nobody has claimed
+			_, _ = c.askRemote(ctx, address, probe, probeTimeout)
 		})
 	}
 	asked.Wait()
@@ -378,10 +378,10 @@
 		Answer:  answer,
 	}
 	c.mu.Lock()
-	asked := c.pending[call.ID]
+	holders := c.pending[call.ID]
 	delete(c.pending, call.ID)
 	c.mu.Unlock()
-	for _, holder := range asked {
+	for _, holder := range holders {
 		_, _ = c.ask(ctx, holder, message) // a holder that does not learn of it answers a resend with unknown
 	}
 }
--- a/io/nodepeer/claims_test.go
+++ b/io/nodepeer/claims_test.go
@@ -41,15 +41,15 @@
 	return claims
 }
 
-func keyedCall(n int) *core.Call {
-	call := callFor(fmt.Sprint(n), nil)
-	call.Service, call.IdempotencyKey = "orders", core.IdempotencyKey(fmt.Sprint("key-", n))
+func keyedCall(i int) *core.Call {
+	call := callFor(fmt.Sprint(i), nil)
+	call.Service, call.IdempotencyKey = "orders", core.IdempotencyKey(fmt.Sprint("key-", i))
 	return call
 }
 
 // Guards against each keyed call waiting anew for a holder that has gone silent, and against a holder that is left out for
 // good although it answers again.
-func TestOnlyTheFirstCallWaitsForASilentHolder(t *testing.T) {
+func TestOnlyFirstClaimWaitsForUnresponsiveHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
@@ -88,7 +88,7 @@
 
 // Guards against a place that goes to another node after a crash, because the entry node saw a holder a moment after the
 // service began and takes it for a newcomer.
-func TestNodesOfTheServicesBeginAreHolders(t *testing.T) {
+func TestInitialNodeOfServiceCountsAsRestarted(t *testing.T) {
 	c := qt.New(t)
 	began := time.Now().Add(-time.Minute)
 	claims := &Claims{options: ClaimsOptions{ServiceSince: func(core.ServiceName) (time.Time, bool) { return began, true }}}
--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -54,14 +54,14 @@
 	timer             *time.Timer // runs the next check; nil before start
 }
 
-func newClientConn(d *Dialer, p *peerPool, conn net.Conn, dialled time.Time, number uint64) *clientConn {
+func newClientConn(d *Dialer, p *peerPool, conn net.Conn, dialStart time.Time, dialNumber uint64) *clientConn {
 	return &clientConn{
 		dialer:       d,
 		pool:         p,
 		frames:       frame.New(conn, d.options.Compressor),
 		id:           rand.Uint64() | 1, // never zero
-		dialStart:    dialled,
-		dialNumber:   number,
+		dialStart:    dialStart,
+		dialNumber:   dialNumber,
 		done:         make(chan struct{}),
 		welcomed:     make(chan struct{}),
 		streams:      make(map[uint64]*stream),
@@ -170,18 +170,18 @@
 }
 
 // question makes a revocation or a claim outstanding, so that the connection is not closed as idle, and returns its token.
-func beginRequest[T any](c *clientConn, questions *map[uint64]chan T) (uint64, chan T, error) {
+func beginRequest[T any](c *clientConn, requests *map[uint64]chan T) (uint64, chan T, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.beginUse(); err != nil {
 		return 0, nil, err
 	}
-	if *questions == nil {
-		*questions = make(map[uint64]chan T)
+	if *requests == nil {
+		*requests = make(map[uint64]chan T)
 	}
 	c.lastToken++
 	reply := make(chan T, 1)
-	(*questions)[c.lastToken] = reply
+	(*requests)[c.lastToken] = reply
 	return c.lastToken, reply, nil
 }
 
@@ -214,19 +214,19 @@
 }
 
 // reply waits for the reply to a question. One that has arrived counts, even if the connection has been lost since.
-func awaitReply[T any](ctx context.Context, c *clientConn, replies chan T) (answer T, err error) {
+func awaitReply[T any](ctx context.Context, c *clientConn, replies chan T) (reply T, err error) {
 	select {
-	case answer = <-replies:
-		return answer, nil
+	case reply = <-replies:
+		return reply, nil
 	case <-c.done:
 	case <-ctx.Done():
-		return answer, ctx.Err()
+		return reply, ctx.Err()
 	}
 	select {
-	case answer = <-replies:
-		return answer, nil
+	case reply = <-replies:
+		return reply, nil
 	default:
-		return answer, errConnectionLost
+		return reply, errConnectionLost
 	}
 }
 
@@ -347,11 +347,11 @@
 }
 
 // answered leaves the question outstanding until the one who asked has the answer, and drops a second answer.
-func deliverReply[T any](c *clientConn, questions *map[uint64]chan T, token uint64, answer T) error {
+func deliverReply[T any](c *clientConn, requests *map[uint64]chan T, token uint64, reply T) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case (*questions)[token] <- answer: // nil, and so never ready, if nobody waits any more
+	case (*requests)[token] <- reply: // nil, and so never ready, if nobody waits any more
 	default:
 	}
 	return nil
--- a/io/nodepeer/compressor_test.go
+++ b/io/nodepeer/compressor_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against processes whose packings differ although their settings are the same: the order of a map differs.
-func TestPackingsOfEqualSettingsAreEqual(t *testing.T) {
+func TestEqualSettingsGiveEqualCompressors(t *testing.T) {
 	c := qt.New(t)
 	first, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
@@ -51,17 +51,17 @@
 
 // Guards against calls that are not packed between data centres, against work for packing within one, and against packed messages
 // to a peer that does not read them.
-func TestCallsBetweenDataCentresArePacked(t *testing.T) {
+func TestCallsBetweenDataCentresAreCompressed(t *testing.T) {
 	c := qt.New(t)
-	packing, err := NewCompressor(core.DefaultHeaderNames())
+	compressor, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
 	other, err := NewCompressor(core.HeaderNames{})
 	c.Assert(err, qt.IsNil)
-	plain := bytesOfCalls(c, "here", "here", packing, packing)
-	packed := bytesOfCalls(c, "here", "there", packing, packing)
-	c.Assert(packed*2 < plain, qt.IsTrue, qt.Commentf("%d bytes, %d plain", packed, plain))
+	plain := bytesOfCalls(c, "here", "here", compressor, compressor)
+	compressed := bytesOfCalls(c, "here", "there", compressor, compressor)
+	c.Assert(compressed*2 < plain, qt.IsTrue, qt.Commentf("%d bytes, %d plain", compressed, plain))
 	for name, dialers := range map[string]*frame.Compressor{"no packing": nil, "another packing": other} {
-		bytes := bytesOfCalls(c, "here", "there", dialers, packing)
+		bytes := bytesOfCalls(c, "here", "there", dialers, compressor)
 		c.Assert(bytes > plain*9/10, qt.IsTrue, qt.Commentf("%s: %d bytes, %d plain", name, bytes, plain))
 	}
 }
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -220,8 +220,8 @@
 			wait = make(chan struct{})
 			p.dialing = wait
 			d.lastDial++
-			number := d.lastDial
-			d.tasks.Go(func() { d.dial(address, p, number) })
+			dialNumber := d.lastDial
+			d.tasks.Go(func() { d.dial(address, p, dialNumber) })
 		}
 		d.mu.Unlock()
 		if best != nil {
@@ -290,14 +290,14 @@
 	return false
 }
 
-func (d *Dialer) dial(address string, p *peerPool, number uint64) {
+func (d *Dialer) dial(address string, p *peerPool, dialNumber uint64) {
 	ctx, cancel := context.WithTimeout(d.ctx, connectTimeout)
 	defer cancel()
-	dialled := time.Now()
+	dialStart := time.Now()
 	conn, err := d.options.Dial(ctx, address)
 	var c *clientConn
 	if err == nil {
-		c = newClientConn(d, p, conn, dialled, number)
+		c = newClientConn(d, p, conn, dialStart, dialNumber)
 		err = c.sendHello()
 	}
 	d.mu.Lock()
--- a/io/nodepeer/handover.go
+++ b/io/nodepeer/handover.go
@@ -57,60 +57,60 @@
 // custodies are the memories that a node keeps for others. The server's lock guards them.
 type heldSnapshots map[core.NodeID]*keySnapshot
 
-func (k heldSnapshots) handle(now time.Time, request *handoverRequest, leaving bool) *handoverReply {
-	for node, held := range k {
-		if now.Sub(held.receivedAt) > idempotency.Window {
-			delete(k, node)
+func (h heldSnapshots) handle(now time.Time, request *handoverRequest, leaving bool) *handoverReply {
+	for node, snapshot := range h {
+		if now.Sub(snapshot.receivedAt) > idempotency.Window {
+			delete(h, node)
 		}
 	}
 	if request.Fetch {
-		return k.fetch(now, request)
+		return h.fetch(now, request)
 	}
 	if leaving {
 		return &handoverReply{}
 	}
-	return k.store(now, request)
+	return h.store(now, request)
 }
 
-func (k heldSnapshots) store(now time.Time, request *handoverRequest) *handoverReply {
-	held := k[request.Node]
+func (h heldSnapshots) store(now time.Time, request *handoverRequest) *handoverReply {
+	snapshot := h[request.Node]
 	if request.Part == 0 {
-		held = &keySnapshot{
+		snapshot = &keySnapshot{
 			incarnation:    request.Incarnation,
 			membershipAges: request.MembershipAges,
 			partCount:      request.Parts,
 			receivedAt:     now,
 		}
-		k[request.Node] = held
+		h[request.Node] = snapshot
 	}
 	bytes := lo.SumBy(request.Entries, idempotency.Entry.Bytes)
-	total := lo.SumBy(lo.Values(k), func(each *keySnapshot) int { return each.bytes })
-	if held == nil || held.incarnation != request.Incarnation || request.Part != len(held.parts) || total+bytes > maxSnapshotBytes {
-		delete(k, request.Node)
+	total := lo.SumBy(lo.Values(h), func(each *keySnapshot) int { return each.bytes })
+	if snapshot == nil || snapshot.incarnation != request.Incarnation || request.Part != len(snapshot.parts) || total+bytes > maxSnapshotBytes {
+		delete(h, request.Node)
 		return &handoverReply{}
 	}
-	held.parts = append(held.parts, request.Entries)
-	held.bytes += bytes
+	snapshot.parts = append(snapshot.parts, request.Entries)
+	snapshot.bytes += bytes
 	return &handoverReply{
-		Parts: held.partCount,
+		Parts: snapshot.partCount,
 	}
 }
 
 // take gives a memory to one later run of its node only: the grants of that run are not in it.
-func (k heldSnapshots) fetch(now time.Time, request *handoverRequest) *handoverReply {
-	held := k[request.Node]
-	if held == nil || len(held.parts) != held.partCount || request.Part < 0 || request.Part >= held.partCount {
+func (h heldSnapshots) fetch(now time.Time, request *handoverRequest) *handoverReply {
+	snapshot := h[request.Node]
+	if snapshot == nil || len(snapshot.parts) != snapshot.partCount || request.Part < 0 || request.Part >= snapshot.partCount {
 		return &handoverReply{}
 	}
-	if request.Incarnation <= held.incarnation || held.fetchedBy != 0 && held.fetchedBy != request.Incarnation {
+	if request.Incarnation <= snapshot.incarnation || snapshot.fetchedBy != 0 && snapshot.fetchedBy != request.Incarnation {
 		return &handoverReply{}
 	}
-	held.fetchedBy = request.Incarnation
+	snapshot.fetchedBy = request.Incarnation
 	return &handoverReply{
-		Parts:          held.partCount,
-		SinceHandover:  now.Sub(held.receivedAt),
-		MembershipAges: held.membershipAges,
-		Entries:        held.parts[request.Part],
+		Parts:          snapshot.partCount,
+		SinceHandover:  now.Sub(snapshot.receivedAt),
+		MembershipAges: snapshot.membershipAges,
+		Entries:        snapshot.parts[request.Part],
 	}
 }
 
@@ -120,20 +120,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handedOver = true
-	members := make(map[core.ServiceName]time.Duration, len(s.memberships))
+	ages := make(map[core.ServiceName]time.Duration, len(s.memberships))
 	for service, m := range s.memberships {
-		members[service] = now.Sub(m.since)
+		ages[service] = now.Sub(m.since)
 	}
-	return members, s.keys.Export(now)
+	return ages, s.keys.Export(now)
 }
 
 // restore adds the memory of this node's earlier run.
-func (s *Server) restoreKeys(away time.Duration, members map[core.ServiceName]time.Duration, entries []idempotency.Entry) {
+func (s *Server) restoreKeys(sinceHandover time.Duration, ages map[core.ServiceName]time.Duration, entries []idempotency.Entry) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keys.Restore(now, away, entries)
-	for service, age := range members {
+	s.keys.Restore(now, sinceHandover, entries)
+	for service, age := range ages {
 		m, known := s.memberships[service]
 		if !known {
 			if len(s.memberships) >= maxMemberships {
@@ -141,7 +141,7 @@
 			}
 			m.leftAt, m.runSince = now, now
 		}
-		m.since = now.Add(-age - away)
+		m.since = now.Add(-age - sinceHandover)
 		s.memberships[service] = m
 	}
 }
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	services := c.options.Server.announcedServices()
-	members, entries := c.options.Server.freezeKeys()
+	ages, entries := c.options.Server.freezeKeys()
 	if len(services) == 0 {
 		return nil
 	}
@@ -171,15 +171,15 @@
 		}
 		parts[len(parts)-1] = append(parts[len(parts)-1], entry)
 	}
-	for _, custodian := range c.snapshotHolders(services) {
-		if c.sendSnapshot(ctx, custodian, members, parts) {
+	for _, holder := range c.snapshotHolders(services) {
+		if c.sendSnapshot(ctx, holder, ages, parts) {
 			return nil
 		}
 	}
 	return errors.New("no node takes the memory of idempotency keys")
 }
 
-func (c *Claims) sendSnapshot(ctx context.Context, to core.Endpoint, members map[core.ServiceName]time.Duration, parts [][]idempotency.Entry) bool {
+func (c *Claims) sendSnapshot(ctx context.Context, to core.Endpoint, ages map[core.ServiceName]time.Duration, parts [][]idempotency.Entry) bool {
 	for i, entries := range parts {
 		reply, err := c.ask(ctx, to, keyMessage{
 			Handover: &handoverRequest{
@@ -187,7 +187,7 @@
 				Incarnation:    c.options.Incarnation,
 				Part:           i,
 				Parts:          len(parts),
-				MembershipAges: members,
+				MembershipAges: ages,
 				Entries:        entries,
 			},
 		})
@@ -200,30 +200,30 @@
 
 // custodians returns the nodes that may keep the memory of this one, in an order on which its next run agrees.
 func (c *Claims) snapshotHolders(services []core.ServiceName) []core.Endpoint {
-	var custodians []core.Endpoint
+	var holders []core.Endpoint
 	for _, service := range services {
 		c.observeService(service)
 		for _, holder := range c.holdersOf(idempotency.Key{Service: service, Name: core.IdempotencyKey(c.options.Self)}) {
 			if holder.Node != c.options.Self {
-				custodians = append(custodians, holder.Endpoint)
+				holders = append(holders, holder.Endpoint)
 			}
 		}
 	}
-	return custodians
+	return holders
 }
 
 // restoreSnapshot asks for the memory of this node's earlier run once the node announces a service.
 func (c *Claims) restoreSnapshot(ctx context.Context) {
 	ticker := time.NewTicker(restoreRetryInterval)
 	defer ticker.Stop()
-	var until time.Time
+	var deadline time.Time
 	for {
 		services := c.options.Server.announcedServices()
-		if len(services) > 0 && until.IsZero() {
-			until = time.Now().Add(restoreTimeout)
+		if len(services) > 0 && deadline.IsZero() {
+			deadline = time.Now().Add(restoreTimeout)
 		}
-		for _, custodian := range c.snapshotHolders(services) {
-			if c.fetchSnapshot(ctx, custodian) {
+		for _, holder := range c.snapshotHolders(services) {
+			if c.fetchSnapshot(ctx, holder) {
 				return
 			}
 		}
@@ -232,16 +232,16 @@
 		case <-ctx.Done():
 			return
 		}
-		if !until.IsZero() && time.Now().After(until) {
+		if !deadline.IsZero() && time.Now().After(deadline) {
 			return
 		}
 	}
 }
 
-func (c *Claims) fetchSnapshot(ctx context.Context, custodian core.Endpoint) bool {
+func (c *Claims) fetchSnapshot(ctx context.Context, holder core.Endpoint) bool {
 	var entries []idempotency.Entry
 	for part := 0; ; part++ {
-		reply, err := c.ask(ctx, custodian, keyMessage{
+		reply, err := c.ask(ctx, holder, keyMessage{
 			Handover: &handoverRequest{
 				Node:        c.options.Self,
 				Incarnation: c.options.Incarnation,
--- a/io/nodepeer/handover_test.go
+++ b/io/nodepeer/handover_test.go
@@ -46,7 +46,7 @@
 }
 
 // start returns a run of a node; the last one of the fleet is an entry node that holds no keys.
-func (f *testCluster) start(c *qt.C, i int, run core.Incarnation) (*Server, *Claims, func()) {
+func (f *testCluster) startNode(c *qt.C, i int, run core.Incarnation) (*Server, *Claims, func()) {
 	address, n := fmt.Sprint(i, "-", run), newFakeNetwork()
 	server, stopServer, err := NewServer(ServerOptions{Listener: n})
 	c.Assert(err, qt.IsNil)
@@ -72,7 +72,7 @@
 
 // Guards against a rolling restart after which a resend runs again, waits for nodes that have gone, or no keyed call is
 // taken at all, because every holder has forgotten.
-func TestKeysOutliveARollingRestart(t *testing.T) {
+func TestKeysSurviveRollingRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { rollingRestart(qt.New(t)) }) // ages lose the time of the transfers, here none
 }
 
@@ -81,7 +81,7 @@
 	var claims [4]*Claims
 	var stops [4]func()
 	for i := range 4 {
-		_, claims[i], stops[i] = f.start(c, i, 1)
+		_, claims[i], stops[i] = f.startNode(c, i, 1)
 	}
 	f.accepted = time.Now()
 	time.Sleep(time.Second) // nodes that start together with a claim cannot vouch for the time before
@@ -99,7 +99,7 @@
 		entry.Settle(context.Background(), handedOver, idempotency.VerdictGranted, nil)
 		stops[i]()
 		var server *Server
-		server, claims[i], stops[i] = f.start(c, i, 2)
+		server, claims[i], stops[i] = f.startNode(c, i, 2)
 		end := time.Now().Add(restoreTimeout)
 		for restored := false; !restored; time.Sleep(restoreRetryInterval) {
 			c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("node %d has no memory", i))
@@ -122,14 +122,14 @@
 
 // Guards against an entry node that has just started and answers keyed calls with unknown, because it takes holders that
 // were restarted for newcomers.
-func TestStartedEntryNodeLearnsOfTheHolders(t *testing.T) {
+func TestStartedEntryNodeAdoptsHolderAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := &testCluster{networks: make(map[string]*fakeNetwork)}
 		var claims [4]*Claims
 		var stops [4]func()
 		for i := range 4 {
-			_, claims[i], stops[i] = f.start(c, i, 1)
+			_, claims[i], stops[i] = f.startNode(c, i, 1)
 		}
 		f.accepted = time.Now()
 		time.Sleep(time.Second)
@@ -138,7 +138,7 @@
 		time.Sleep(time.Minute)
 		for _, i := range []int{0, 1, 3} {
 			stops[i]()
-			_, claims[i], _ = f.start(c, i, 2)
+			_, claims[i], _ = f.startNode(c, i, 2)
 		}
 		time.Sleep(time.Second)
 		verdict, _ = claims[3].Claim(context.Background(), keyedCall(2))
@@ -148,7 +148,7 @@
 
 // Guards against a memory that is given to two runs of a node, of which the second would not know the grants of the first,
 // and against one that is cut or too old.
-func TestCustodyIsTakenByOneRun(t *testing.T) {
+func TestSnapshotIsFetchedByOneRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	k := make(heldSnapshots)
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -82,9 +82,9 @@
 
 // isOriginal reports whether a holder was known when calls of the service began: nodes observe a service once its record is
 // accepted. Such a holder may have granted any key before it was restarted.
-func (c *Claims) isOriginal(service core.ServiceName, first time.Time) bool {
+func (c *Claims) isOriginal(service core.ServiceName, firstSeen time.Time) bool {
 	since, known := c.serviceSince(service)
-	return known && !first.After(since.Add(idempotency.JoinLag))
+	return known && !firstSeen.After(since.Add(idempotency.JoinLag))
 }
 
 // covers reports whether a holder that has been a node of the service for so long knows all that happened in the window.
--- a/io/nodepeer/keepalive_test.go
+++ b/io/nodepeer/keepalive_test.go
@@ -55,7 +55,7 @@
 }
 
 // Guards against taking a pause of this process for a silent peer, and its running calls for unknown.
-func TestOwnPauseIsNoSilence(t *testing.T) {
+func TestProcessPauseIsNotCountedAsSilence(t *testing.T) {
 	c := qt.New(t)
 	near, far := net.Pipe()
 	defer far.Close()
@@ -76,7 +76,7 @@
 }
 
 // Guards against a call or claim that begins on a connection that is being closed as idle, and so becomes unknown.
-func TestNothingBeginsOnAClosingConnection(t *testing.T) {
+func TestNothingStartsOnClosingConnection(t *testing.T) {
 	c := qt.New(t)
 	b := newTestPair(t, 1)
 	claims := &Claims{options: ClaimsOptions{Dialer: b.dialer}, unresponsive: make(map[string]time.Time)}
--- a/io/nodepeer/network_test.go
+++ b/io/nodepeer/network_test.go
@@ -99,12 +99,12 @@
 		if _, err := io.ReadFull(from, rest); err != nil {
 			return
 		}
-		verdict := n.decide(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
-		silent = silent || verdict == blackhole
+		action := n.decide(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
+		silent = silent || action == blackhole
 		if silent {
 			continue
 		}
-		switch verdict {
+		switch action {
 		case closeBefore:
 			return
 		case delay:
@@ -112,7 +112,7 @@
 		case corrupt:
 			rest[len(rest)-1] ^= 1
 		}
-		if _, err := to.Write(append(head[:], rest...)); err != nil || verdict == closeAfter {
+		if _, err := to.Write(append(head[:], rest...)); err != nil || action == closeAfter {
 			return
 		}
 	}
@@ -125,13 +125,13 @@
 	handle func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error)
 }
 
-func (b *countingBackend) ran(id core.CallID) int {
+func (b *countingBackend) runCount(id core.CallID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[id]
 }
 
-func (b *countingBackend) begin(id core.CallID) {
+func (b *countingBackend) countRun(id core.CallID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[id]++
@@ -142,7 +142,7 @@
 	if b.handle != nil {
 		return b.handle(ctx, call)
 	}
-	b.begin(call.ID)
+	b.countRun(call.ID)
 	return answerWith(call.Body), core.OutcomeAnswered, nil
 }
 
--- a/io/nodepeer/nodepeer_test.go
+++ b/io/nodepeer/nodepeer_test.go
@@ -21,11 +21,11 @@
 )
 
 // Guards against a second run, a false not-run and a part taken for the whole, whichever message a connection is cut at.
-func TestCutAtEachMessage(t *testing.T) {
-	for _, verdict := range []frameAction{closeBefore, closeAfter} {
+func TestConnectionCutAtEachMessage(t *testing.T) {
+	for _, action := range []frameAction{closeBefore, closeAfter} {
 		for position := int64(1); ; position++ {
 			cut := false
-			synctest.Test(t, func(t *testing.T) { cut = cutAt(t, verdict, position) })
+			synctest.Test(t, func(t *testing.T) { cut = cutAt(t, action, position) })
 			if !cut {
 				qt.Assert(t, position > 12, qt.IsTrue) // hello, welcome, open, 4 of the body, head, 4 of the answer, ends
 				break
@@ -35,7 +35,7 @@
 }
 
 // cutAt returns false if the call needs fewer messages than that.
-func cutAt(t *testing.T, verdict frameAction, position int64) bool {
+func cutAt(t *testing.T, action frameAction, position int64) bool {
 	c := qt.New(t)
 	b := newTestPair(t, 1)
 	var frames atomic.Int64
@@ -43,17 +43,17 @@
 	b.network.decide = func(int, bool, frame.Type) frameAction {
 		if frames.Add(1) == position {
 			cut.Store(true)
-			return verdict
+			return action
 		}
 		return pass
 	}
 	call := callFor("once", longBody("abc"))
 	for range 5 { // as for a call that is not idempotent: again only after not-run
-		ranBefore := b.backend.ran("once")
+		ranBefore := b.backend.runCount("once")
 		answer, outcome, err := b.forward(call)
 		switch outcome {
 		case core.OutcomeNotRun:
-			c.Assert(b.backend.ran("once"), qt.Equals, ranBefore)
+			c.Assert(b.backend.runCount("once"), qt.Equals, ranBefore)
 			continue
 		case core.OutcomeAnswered:
 			got, readErr := io.ReadAll(answer.Body)
@@ -65,7 +65,7 @@
 		break
 	}
 	synctest.Wait()
-	c.Assert(b.backend.ran("once") <= 1, qt.IsTrue, qt.Commentf("cut at message %d", position))
+	c.Assert(b.backend.runCount("once") <= 1, qt.IsTrue, qt.Commentf("cut at message %d", position))
 	return cut.Load()
 }
 
@@ -110,7 +110,7 @@
 			answer, outcome, _ := b.forward(callFor("x", longBody("abc")))
 			if kind == typeBody {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
-				c.Assert(b.backend.ran("x"), qt.Equals, 0)
+				c.Assert(b.backend.runCount("x"), qt.Equals, 0)
 				return
 			}
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
@@ -121,7 +121,7 @@
 }
 
 // Guards against an answer that the backend server broke off and that passes for a whole one.
-func TestBrokenBodyIsAnError(t *testing.T) {
+func TestTruncatedBodyIsAnError(t *testing.T) {
 	for _, stated := range []string{"", "9"} { // in several frames, and in one
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
@@ -144,7 +144,7 @@
 }
 
 // Guards against a slow upload that is taken for a silent connection because the pings wait behind it.
-func TestUploadShowsProgress(t *testing.T) {
+func TestSlowUploadIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
@@ -172,7 +172,7 @@
 }
 
 // Guards against a revocation over an idle connection of the pool that has gone silent together with the lost one.
-func TestRevocationTakesANewConnection(t *testing.T) {
+func TestRevocationUsesNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 2)
@@ -201,7 +201,7 @@
 }
 
 // Guards against a queued call that runs after its connection was lost, for a caller that no longer listens.
-func TestLostConnectionEmptiesTheQueue(t *testing.T) {
+func TestLostConnectionCancelsQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
@@ -251,7 +251,7 @@
 		c.Assert(err, qt.ErrorMatches, "not run: revoked.*")
 		close(b.network.release)
 		time.Sleep(5 * time.Second)
-		c.Assert(b.backend.ran("x"), qt.Equals, 0)
+		c.Assert(b.backend.runCount("x"), qt.Equals, 0)
 	})
 }
 
@@ -262,7 +262,7 @@
 		b := newTestPair(t, 1)
 		started, restarted := make(chan struct{}), make(chan struct{})
 		b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
-			b.backend.begin(call.ID)
+			b.backend.countRun(call.ID)
 			close(started)
 			<-ctx.Done()
 			return nil, core.OutcomeUnknown, ctx.Err()
@@ -284,13 +284,13 @@
 		}
 		_, outcome, _ := b.forward(callFor("x", nil))
 		<-restarted
-		c.Assert(b.backend.ran("x"), qt.Equals, 1)
+		c.Assert(b.backend.runCount("x"), qt.Equals, 1)
 		c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 	})
 }
 
 // Guards against one caller that does not read its answer holding up the connection's other calls.
-func TestSlowReaderDelaysNobody(t *testing.T) {
+func TestSlowReaderDoesNotDelayOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -131,15 +131,15 @@
 		return errors.Annotate(errProtocol, "hello")
 	}
 	c.id, c.lastPong = message.Connection, time.Now()
-	packing := frame.CompressorID(0)
+	compressorID := frame.CompressorID(0)
 	if message.DataCentre != s.options.DataCentre && message.CompressorID == s.options.Compressor.ID() {
-		packing = message.CompressorID
+		compressorID = message.CompressorID
 	}
 	c.send(typeWelcome, welcomeMessage{
 		RunningUS:    time.Since(s.started).Microseconds(),
-		CompressorID: packing,
+		CompressorID: compressorID,
 	})
-	c.frames.SetPeerCompressor(packing)
+	c.frames.SetPeerCompressor(compressorID)
 	if leaving {
 		c.send(typeGoaway, emptyMessage{})
 	}
