--- a/io/nodepeer/compressor.go
+++ b/io/nodepeer/compressor.go
@@ -9,7 +9,7 @@
 	"parsleyport/io/frame"
 )
 
-// commonHeaders are headers of most calls and answers, as names and values.
+// commonHeaders are names and values of headers that most calls and answers contain.
 var commonHeaders = []any{
 	"Accept",
 	[]string{"*/*"},
@@ -27,9 +27,10 @@
 	[]string{"1000"},
 }
 
-// NewCompressor returns the packing of messages between nodes. Names are those of the headers of calls.
+// NewCompressor returns the compressor of messages between nodes, for the given names of the headers of calls. It fails if
+// msgpack cannot encode a sample.
 func NewCompressor(names core.HeaderNames) (*frame.Compressor, error) {
-	// The order of a map's entries differs from one encoding to the next, so that samples hold no map.
+	// The samples contain no map, since its entries are encoded in random order and every process needs the same dictionary.
 	named := lo.Compact([]string{names.Outcome, names.Release, names.CallerService, names.Deadline, names.CallID})
 	header := append(lo.Map(named, func(name string, _ int) any { return []any{name, []string{""}} }), commonHeaders...)
 	return frame.NewCompressor(
--- a/io/nodepeer/credit.go
+++ b/io/nodepeer/credit.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// credit counts the bytes of one answer that may still be sent; one goroutine takes, any may add.
+// credit is the flow-control window of one answer: the number of bytes that may still be sent. One goroutine acquires, and
+// any goroutine may add.
 type credit struct {
 	mu    sync.Mutex
 	bytes int
@@ -29,7 +30,7 @@
 	}
 }
 
-// take waits until so many bytes may be sent.
+// acquire waits until that many bytes may be sent, or returns the cause of the context's end.
 func (c *credit) acquire(ctx context.Context, bytes int) error {
 	for {
 		c.mu.Lock()
--- a/io/nodepeer/doc.go
+++ b/io/nodepeer/doc.go
@@ -1,9 +1,10 @@
-// Package nodepeer carries calls between nodes over multiplexed connections of package io/frame. A Server hands the
-// calls that arrive to a core.Backend; a Dialer is the core.Forwarder of the other side.
+// Package nodepeer carries calls between nodes over multiplexed connections of package io/frame. A Server passes incoming
+// calls to a core.Backend; a Dialer implements core.Forwarder on the calling node.
 //
-// The first message on a connection is hello from the dialer, with a random number that names the connection, and
-// welcome from the server, with the time that it has been running. Then come, for each attempt, open (with the body if it
-// fits in one chunk), body and body-end; in the other direction head (with the body if it is short), answer-body and
-// answer-end, or refused. credit grants further bytes of an answer's body, cancel gives up an attempt, revoke and revoked
-// settle whether an attempt of an earlier connection has run.
+// A connection starts with hello from the dialer, which contains the random ID of the connection, and welcome from the
+// server, which contains the uptime of its process. Each attempt of a call is a stream: the dialer sends open (with the body
+// if it fits in one chunk), body and body-end; the server replies with head (with the body if it is short), answer-body and
+// answer-end, or with refused. credit extends the flow-control window of an answer's body, and cancel abandons an attempt.
+// revoke keeps an attempt of a lost connection from running if it has not started, and revoked returns the result. key and
+// key-reply carry claims of idempotency keys, their settlement and the handover of stored keys.
 package nodepeer
--- a/io/nodepeer/keepalive.go
+++ b/io/nodepeer/keepalive.go
@@ -6,7 +6,8 @@
 	"github.com/juju/errors"
 )
 
-// start reads what the peer sends, and checks the connection from time to time. An idle connection has one goroutine.
+// start begins to read messages and schedules the first check. The timer needs no goroutine, so that an idle connection has
+// only that of its reader.
 func (c *clientConn) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -15,13 +16,14 @@
 	c.dialer.tasks.Go(c.receive)
 }
 
-// hasOutstanding needs the lock; it says whether something is expected from the peer.
+// hasOutstanding reports whether a reply from the peer is outstanding. It needs the lock.
 func (c *clientConn) hasOutstanding() bool {
 	return len(c.streams)+len(c.revokes)+len(c.claims) > 0
 }
 
-// busy needs the lock until something is outstanding, and returns errUnsent if the connection is lost or being closed.
-// Silence counts from the first outstanding call, since an idle connection gets no pings.
+// beginUse prepares the connection for a call or request, or returns errUnsent if it is lost or being closed. The caller
+// holds the lock until the call or request is registered. Silence counts from the first outstanding call, since an idle
+// connection gets no pings.
 func (c *clientConn) beginUse() error {
 	if c.lost {
 		return errUnsent
@@ -34,7 +36,7 @@
 	return nil
 }
 
-// scheduleCheck needs the lock.
+// scheduleCheck lets the next check run no later than the given time. It needs the lock.
 func (c *clientConn) scheduleCheck(at time.Time) {
 	if c.timer != nil && at.Before(c.nextCheck) {
 		c.nextCheck = at
@@ -42,7 +44,8 @@
 	}
 }
 
-// tick runs a check unless the connection is lost; until then, the reader keeps the counter of tasks above zero.
+// tick runs a check unless the connection is lost. Until then the reader keeps the counter of the WaitGroup above zero, so
+// that Add cannot race with Wait.
 func (c *clientConn) tick() {
 	c.mu.Lock()
 	if c.lost {
@@ -55,9 +58,9 @@
 	c.check(time.Now())
 }
 
-// check sends a ping if one is due, and ends a connection that is silent or idle. It counts no silence for the time in
-// which this process itself stood still: what the peer sent is waiting unread. An idle connection is marked as lost under
-// the lock under which calls and questions begin, so that none begins on a connection that is being closed.
+// check sends a ping if one is due, and closes a connection that is silent or idle. A pause of this process does not count
+// as silence, since messages that the peer has sent meanwhile are still unread. An idle connection is marked as lost under
+// the lock under which calls and requests are registered, so that none starts on a connection that is being closed.
 func (c *clientConn) check(now time.Time) {
 	c.mu.Lock()
 	if now.Sub(c.lastCheck) > 2*checkInterval {
--- a/io/nodepeer/messages.go
+++ b/io/nodepeer/messages.go
@@ -10,7 +10,7 @@
 	"parsleyport/io/frame"
 )
 
-// Message types; a number is never reused for another message.
+// Message types. A number is never reused for another message.
 const (
 	typeHello frame.Type = iota + 1
 	typeWelcome
@@ -32,14 +32,14 @@
 	typeKeyReply
 )
 
-// helloMessage says which packing the dialer reads, and where it is.
+// helloMessage states the dialer's data centre and the dictionary with which it can read compressed messages.
 type helloMessage struct {
 	Connection   uint64             `msgpack:"connection"`
 	CompressorID frame.CompressorID `msgpack:"packing,omitempty"`
 	DataCentre   core.DataCentre    `msgpack:"data-centre,omitempty"`
 }
 
-// welcomeMessage names the packing that both ends use from then on; zero if none.
+// welcomeMessage states the dictionary that both ends compress with from then on, or zero for no compression.
 type welcomeMessage struct {
 	RunningUS    int64              `msgpack:"running-us"`
 	CompressorID frame.CompressorID `msgpack:"packing,omitempty"`
@@ -61,8 +61,8 @@
 	IdempotencyKey core.IdempotencyKey `msgpack:"idempotency-key"`
 	Priority       core.Priority       `msgpack:"priority"`
 	RemainingUS    int64               `msgpack:"remaining-us"`
-	SoftDeadlineUS int64               `msgpack:"aim-us,omitempty"`      // until Call.Aim, which may be past; zero if not stated
-	StartByUS      int64               `msgpack:"start-by-us,omitempty"` // the same for Call.StartBy
+	SoftDeadlineUS int64               `msgpack:"aim-us,omitempty"`      // time left until Call.SoftDeadline, negative if past; zero if unset
+	StartByUS      int64               `msgpack:"start-by-us,omitempty"` // time left until Call.StartBy, likewise
 	Depth          int                 `msgpack:"depth"`
 	AttemptsLeft   int                 `msgpack:"attempts"`
 	Hedge          bool                `msgpack:"hedge"`
@@ -80,7 +80,7 @@
 	Sequence uint64 `msgpack:"sequence"`
 }
 
-// headMessage has Whole set if Body is the whole body, which Length and Sum then cover.
+// headMessage is the head of an answer. If Whole is set, Body is the complete body, and Length and Checksum are its own.
 type headMessage struct {
 	Sequence uint64              `msgpack:"sequence"`
 	Status   int                 `msgpack:"status"`
@@ -92,9 +92,9 @@
 	Load     loadMessage         `msgpack:"load"`
 }
 
-// loadMessage is a core.Load.
+// loadMessage encodes a core.Load.
 type loadMessage struct {
-	//lint:ignore U1000 tells the msgpack library the form
+	//lint:ignore U1000 makes the msgpack library encode the fields as an array
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Running, Waiting, Limit int
@@ -112,7 +112,7 @@
 	}
 }
 
-// load leaves out what no node can mean.
+// decode returns the zero Load if a value is negative or out of range.
 func (m loadMessage) decode() core.Load {
 	if m.Running < 0 || m.Waiting < 0 || m.Limit < 0 || m.ServiceUS < 0 || m.ServiceUS > maxServiceTimeUS || m.RouteUS < 0 || m.RouteUS > maxServiceTimeUS {
 		return core.Load{}
@@ -126,10 +126,10 @@
 	}
 }
 
-// maxServiceTimeUS is a day.
+// maxServiceTimeUS is one day; longer service times are treated as invalid.
 const maxServiceTimeUS = int64(24 * time.Hour / time.Microsecond)
 
-// answerEndMessage has Fault set if the body broke off at the backend server.
+// answerEndMessage ends the body of an answer. Fault is set if the body was not read or sent to its end.
 type answerEndMessage struct {
 	Sequence uint64 `msgpack:"sequence"`
 	Length   int64  `msgpack:"length"`
@@ -195,7 +195,7 @@
 	return message
 }
 
-// microsecondsUntil avoids the zero that stands for no point in time.
+// microsecondsUntil returns zero only for the zero time; a time less than 1 µs from now becomes -1.
 func microsecondsUntil(at, now time.Time) int64 {
 	if at.IsZero() {
 		return 0
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -226,7 +226,7 @@
 		cause = core.CauseLeaving
 	case message.RemainingUS <= 0:
 		cause = core.CauseDeadline
-	case len(s.calls) >= s.options.MaxCalls, s.bodyBytes+message.Length > maxBufferedBodies:
+	case len(s.calls) >= s.options.MaxCalls, s.bodyBytes+message.Length > maxBufferedBodyBytes:
 		cause = core.CauseQueueFull
 	}
 	if cause != "" {
