--- a/io/nodepeer/answer.go
+++ b/io/nodepeer/answer.go
@@ -12,7 +12,7 @@
 	"parsleyport/core"
 )
 
-// run hands one call to the backend and sends what comes of it.
+// run passes a call to the backend and sends the answer or the refusal.
 func (s *Server) run(call *serverCall) {
 	ctx, cancel := context.WithDeadline(call.ctx, call.call.Deadline)
 	defer cancel()
@@ -37,7 +37,7 @@
 	s.removeCall(call, ran)
 }
 
-// judge answers the revocations that came while the backend had the call.
+// resolveRevocations records the outcome and replies to the revocations that arrived while the backend handled the call.
 func (s *Server) resolveRevocations(call *serverCall, outcome core.Outcome) {
 	s.mu.Lock()
 	call.outcome = outcome
@@ -68,7 +68,7 @@
 	})
 }
 
-// stream sends an answer. A body that is stated to fit in one chunk goes with the head, in one frame.
+// sendAnswer sends an answer. A body whose Content-Length fits in one chunk is sent together with the head, in one frame.
 func (c *serverCall) sendAnswer(ctx context.Context, answer *core.Answer) {
 	head := headMessage{
 		Sequence: c.key.Sequence,
@@ -113,7 +113,7 @@
 	for {
 		n, err := body.Read(chunk)
 		if n > 0 {
-			_, _ = digest.Write(chunk[:n]) // a Digest never fails
+			_, _ = digest.Write(chunk[:n]) // Digest.Write never returns an error
 			length += int64(n)
 			if !c.sendChunk(ctx, chunk[:n]) {
 				return
--- a/io/nodepeer/server.go
+++ b/io/nodepeer/server.go
@@ -15,28 +15,28 @@
 	"parsleyport/io/frame"
 )
 
-// Causes of the end of a call's context at the server.
+// Causes of the cancellation of a call's context at the server.
 const (
 	errConnectionLost = errors.ConstError("connection to the calling node was lost")
 	errCancelled      = errors.ConstError("cancelled by the calling node")
 	errRevoked        = errors.ConstError("revoked by the calling node")
-	errProtocol       = errors.ConstError("peer broke the protocol")
+	errProtocol       = errors.ConstError("peer violated the protocol")
 )
 
-// ServerOptions configures a Server; Listener replaces Address if it is set.
+// ServerOptions configures a Server. If Listener is set, Address is ignored.
 type ServerOptions struct {
 	Address  string
 	Listener net.Listener
 	Backend  core.Backend
 	Logger   zerolog.Logger
 	Metrics  *metrics.Set
-	MaxCalls int // zero for 4096
+	MaxCalls int // maximum number of concurrent calls, 0 for 4096
 
 	DataCentre core.DataCentre
-	Compressor *frame.Compressor // for dialers in other data centres; nil for none
+	Compressor *frame.Compressor // for dialers in other data centres; nil for no compression
 }
 
-// Server takes calls from other nodes and hands them to a core.Backend.
+// Server accepts calls from other nodes and passes them to a core.Backend. It also holds idempotency keys.
 type Server struct {
 	options  ServerOptions
 	listener net.Listener
@@ -54,22 +54,22 @@
 	memberships map[core.ServiceName]membership
 	snapshots   heldSnapshots
 	handedOver  bool
-	agesFunc    func(idempotency.Key) map[core.NodeID]time.Duration // nil before there are Claims
+	agesFunc    func(idempotency.Key) map[core.NodeID]time.Duration // nil until NewClaims sets it
 	calls       map[idempotency.AttemptKey]*serverCall
 	connections map[*serverConn]struct{}
 	bodyBytes   int
 	leaving     bool
 	closed      bool
-	idle        chan struct{} // closed when leaving and the last call has ended
+	idle        chan struct{} // closed when the server is leaving and its last call has ended
 }
 
-// NewServer listens and starts to take calls; the clean-up function closes all connections and waits for the goroutines.
+// NewServer listens and starts to accept connections. The cleanup function closes all connections and waits for the goroutines.
 func NewServer(options ServerOptions) (*Server, func(), error) {
 	listener := options.Listener
 	if listener == nil {
 		var err error
 		if listener, err = net.Listen("tcp", options.Address); err != nil {
-			return nil, nil, errors.Annotate(err, "listen for calls of other nodes")
+			return nil, nil, errors.Annotate(err, "listen for calls from other nodes")
 		}
 	}
 	if options.Metrics == nil {
@@ -98,11 +98,11 @@
 	return s, s.close, nil
 }
 
-// Address returns the address that the server listens on.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Drain tells the dialers to open no more calls here, refuses those that still come as leaving, and returns when all
-// begun calls have ended, or the context's error.
+// Drain tells the dialers to send no more calls, refuses those that still arrive with CauseLeaving, and returns when all
+// accepted calls have ended, or the context's error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	if !s.leaving {
@@ -125,7 +125,7 @@
 	}
 }
 
-// signalIfIdle needs the lock.
+// signalIfIdle wakes Drain if the last call has ended. It needs the lock.
 func (s *Server) signalIfIdle() {
 	if !s.leaving || len(s.calls) > 0 {
 		return
@@ -155,7 +155,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of file descriptors: connections that end free some
+			time.Sleep(10 * time.Millisecond) // probably out of file descriptors, which closing connections release
 			continue
 		}
 		s.addConnection(conn)
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -12,7 +12,7 @@
 	"parsleyport/io/frame"
 )
 
-// serverConn is one connection from a dialer; serve is its only reader.
+// serverConn is one connection from a dialer. Only serve reads from it.
 type serverConn struct {
 	server   *Server
 	frames   *frame.Conn
@@ -22,7 +22,7 @@
 	lastPong time.Time // latest pong or welcome
 }
 
-// serverCall is one attempt; the fields below mu belong to the server's lock.
+// serverCall is one attempt. The server's lock guards the fields of the second group.
 type serverCall struct {
 	key      idempotency.AttemptKey
 	conn     *serverConn
@@ -35,12 +35,12 @@
 
 	body               []byte
 	reservedBytes      int
-	started            bool         // Handle has been called
+	started            bool         // run has been started, which calls Handle
 	outcome            core.Outcome // empty until Handle has returned
 	pendingRevocations []pendingRevocation
 }
 
-// revoker waits for the verdict on an attempt.
+// pendingRevocation is a revocation that waits for the outcome of an attempt.
 type pendingRevocation struct {
 	conn  *serverConn
 	token uint64
@@ -51,7 +51,7 @@
 	_ = c.frames.Close()
 }
 
-// send ends the connection if the message cannot be written.
+// send writes a message, and closes the connection and returns false if that fails.
 func (c *serverConn) send(kind frame.Type, message any) bool {
 	if err := c.frames.Send(time.Now().Add(writeTimeout), kind, message); err != nil {
 		c.fail(errConnectionLost)
@@ -80,7 +80,7 @@
 
 func (c *serverConn) dispatch(received frame.Frame) error {
 	if (c.id == 0) != (received.Type == typeHello) {
-		return errors.Annotatef(errProtocol, "message type %d", received.Type)
+		return errors.Annotatef(errProtocol, "unexpected message type %d", received.Type)
 	}
 	switch received.Type {
 	case typeHello:
@@ -103,11 +103,11 @@
 		c.pong()
 		return nil
 	}
-	return errors.Annotatef(errProtocol, "message type %d", received.Type)
+	return errors.Annotatef(errProtocol, "unexpected message type %d", received.Type)
 }
 
-// pong tells the dialer that its bytes are read. It answers other messages too, since a ping may wait behind bodies for
-// longer than silenceTimeout on a slow connection.
+// pong tells the dialer that its messages are being read. It is sent after other messages too, since a ping may be queued
+// behind bodies for longer than silenceTimeout on a slow connection.
 func (c *serverConn) pong() {
 	c.lastPong = time.Now()
 	c.send(typePong, emptyMessage{})
@@ -212,7 +212,8 @@
 	return nil
 }
 
-// register needs the lock; it returns a cause to refuse the attempt or an error that ends the connection.
+// register records the attempt and returns a cause if it must be refused, or an error if the connection must be closed. It
+// needs the lock.
 func (s *Server) register(key idempotency.AttemptKey, message openMessage, now time.Time) (core.RefusalCause, error) {
 	switch s.attempts.Arrived(now, key) {
 	case idempotency.ArrivalRepeated:
@@ -251,11 +252,11 @@
 	return c.server.calls[c.attemptKey(sequence)]
 }
 
-// body collects a long body; the attempt is handed over only when all of it is there and its sum is right.
+// body collects the chunks of a long body. The attempt starts only when the body is complete and its checksum is right.
 func (c *serverConn) body(message bodyMessage) error {
 	call := c.call(message.Sequence)
 	if call == nil || call.started {
-		return nil // refused or cancelled while the body was on its way
+		return nil // refused or cancelled while the body was in flight
 	}
 	if len(call.body)+len(message.Bytes) > call.length {
 		return errors.Annotatef(errProtocol, "body of sequence %d is too long", message.Sequence)
@@ -275,7 +276,7 @@
 func (c *serverConn) startCall(call *serverCall) error {
 	s := c.server
 	if len(call.body) != call.length || xxhash.Sum64(call.body) != call.checksum {
-		return errors.Annotatef(errProtocol, "body of sequence %d is cut or corrupted", call.key.Sequence)
+		return errors.Annotatef(errProtocol, "body of sequence %d is truncated or corrupted", call.key.Sequence)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,7 +316,8 @@
 	return nil
 }
 
-// revoke answers at once, unless the attempt is with the backend: then its end decides.
+// revoke replies at once unless the backend is handling the attempt; then the attempt is cancelled, and the reply follows
+// when the outcome is known.
 func (c *serverConn) revoke(message revokeMessage) error {
 	s := c.server
 	key := idempotency.AttemptKey{
@@ -362,7 +364,7 @@
 	})
 }
 
-// end needs the lock.
+// removeCall forgets a call and wakes Drain if it was the last. It needs the lock.
 func (s *Server) removeCall(call *serverCall, ran bool) {
 	if s.calls[call.key] != call {
 		return
--- a/io/nodepeer/stream.go
+++ b/io/nodepeer/stream.go
@@ -13,20 +13,21 @@
 	"parsleyport/core"
 )
 
-// Errors of an answer's body; none of them is io.EOF.
+// Errors of reading an answer's body. None of them is io.EOF, so that a partial body cannot pass for a complete one.
 const (
-	// ErrTruncated means that the body ended before its end message, or that the backend server broke it off.
+	// ErrTruncated means that the body ended before its end message, or that the server could not read or send all of it.
 	ErrTruncated = errors.ConstError("answer body was cut off")
-	// ErrCorrupted means that the body does not have the length and sum of its end message.
+	// ErrCorrupted means that the length or checksum of the body differs from that in its end message.
 	ErrCorrupted = errors.ConstError("answer body is corrupted")
 )
 
-// stream is one attempt at the dialer. The connection's reader adds to it, and one goroutine of the caller takes.
+// stream is one attempt at the dialer. The connection's reader adds messages to it, and one goroutine of the caller consumes
+// them.
 type stream struct {
 	conn     *clientConn
 	sequence uint64
 	cancel   context.CancelFunc
-	changed  chan struct{} // holds one token when something was added
+	changed  chan struct{} // has one element after a message was added
 
 	mu          sync.Mutex
 	head        *headMessage
@@ -57,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.head != nil || message.Status < 100 || message.Status > 999 {
-		return errors.Annotatef(errProtocol, "head of sequence %d", s.sequence)
+		return errors.Annotatef(errProtocol, "repeated or invalid head of sequence %d", s.sequence)
 	}
 	s.head = &message
 	if message.Whole {
@@ -77,7 +78,7 @@
 	defer s.mu.Unlock()
 	s.unreadBytes += len(bytes)
 	if s.head == nil || s.unreadBytes > answerWindowBytes {
-		return errors.Annotatef(errProtocol, "answer body of sequence %d", s.sequence)
+		return errors.Annotatef(errProtocol, "answer body before the head or beyond the window of sequence %d", s.sequence)
 	}
 	s.chunks = append(s.chunks, bytes)
 	s.signal()
@@ -88,7 +89,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.head == nil {
-		return errors.Annotatef(errProtocol, "answer end of sequence %d", s.sequence)
+		return errors.Annotatef(errProtocol, "answer end before the head of sequence %d", s.sequence)
 	}
 	s.end = &message
 	s.conn.remove(s.sequence)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// await waits for the head or the refusal; its error is errConnectionLost or the context's.
+// await waits for the head or the refusal. Its error is errConnectionLost or the context's error.
 func (s *stream) await(ctx context.Context) (*core.Answer, *refusedMessage, error) {
 	for {
 		s.mu.Lock()
@@ -140,7 +141,7 @@
 	return s.head != nil || s.refused != nil
 }
 
-// abandon cancels the attempt and waits a short time for the peer's reply that it had not run.
+// abandon cancels the attempt and waits up to cancelReplyTimeout for the peer's reply that it has not run.
 func (s *stream) abandon(cause error) (*refusedMessage, error) {
 	defer s.conn.remove(s.sequence)
 	s.conn.send(typeCancel, sequenceMessage{
@@ -178,14 +179,14 @@
 	}
 }
 
-// answerBody checks length and sum before it returns io.EOF.
+// answerBody reads the body of an answer and verifies its length and checksum before it returns io.EOF.
 type answerBody struct {
 	stream          *stream
 	ctx             context.Context
 	digest          *xxhash.Digest
 	length          int64
 	chunk           []byte
-	uncreditedBytes int // bytes read since the latest credit
+	uncreditedBytes int // bytes read since the latest credit message
 	err             error
 }
 
@@ -199,7 +200,7 @@
 	}
 	n := copy(target, b.chunk)
 	b.chunk = b.chunk[n:]
-	_, _ = b.digest.Write(target[:n]) // a Digest never fails
+	_, _ = b.digest.Write(target[:n]) // Digest.Write never returns an error
 	b.length += int64(n)
 	b.returnCredit(n)
 	return n, nil
@@ -271,7 +272,7 @@
 	return len(s.chunks) > 0 || s.end != nil
 }
 
-// Close implements io.Closer; an attempt whose answer has not ended is cancelled.
+// Close implements io.Closer. It cancels the attempt if its answer has not ended.
 func (b *answerBody) Close() error {
 	s := b.stream
 	s.mu.Lock()
