--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -16,41 +16,41 @@
 const (
 	errDialerClosed = errors.ConstError("dialer is closed")
 	errLeaving      = errors.ConstError("peer is leaving")
-	// errUnsent means that the connection was closed before anything was sent, so that another one can be taken.
-	errUnsent = errors.ConstError("connection was closed before its use")
+	// errUnsent means that the connection was closed before anything was sent, so that another connection can be used.
+	errUnsent = errors.ConstError("connection was closed before anything was sent")
 )
 
-// suspectSilence is the silence after which a connection gets no new calls while it may still turn out to be alive.
+// suspectSilence is the silence after which a connection gets no new calls, although it is not yet considered dead.
 const suspectSilence = pingInterval + checkInterval
 
-// clientConn is one connection to a peer; receive is its only reader.
+// clientConn is one connection to a peer. Only receive reads from it.
 type clientConn struct {
 	dialer     *Dialer
 	pool       *peerPool
 	frames     *frame.Conn
 	id         uint64
 	dialStart  time.Time
-	dialNumber uint64        // of the dial, counted by the dialer
+	dialNumber uint64        // assigned by the dialer in the order of its dials
 	done       chan struct{} // closed when the connection is lost
-	welcomed   chan struct{} // closed on welcome
+	welcomed   chan struct{} // closed by the peer's welcome
 
-	lastDialAtLoss uint64 // number of the latest dial when the connection was lost; set before done is closed
+	lastDialAtLoss uint64 // number of the dialer's latest dial when the connection was lost; set before done is closed
 
 	mu                sync.Mutex
 	streams           map[uint64]*stream
 	revokes           map[uint64]chan bool
 	claims            map[uint64]chan keyReply
 	lastSequence      uint64 // sequence of the latest attempt
-	lastToken         uint64 // of the latest revocation
+	lastToken         uint64 // token of the latest revocation, claim or settlement
 	lost              bool
 	goawayReceived    bool
-	lastReceived      time.Time   // latest byte from the peer, or the time at which the connection got its first outstanding call
-	idleUntil         time.Time   // the connection is closed at this time unless something is outstanding
-	peerStartedBefore time.Time   // the peer's process has started before this time
-	lastPing          time.Time   // latest ping
-	pinging           bool        // the latest ping is still being written
-	lastCheck         time.Time   // latest check
-	nextCheck         time.Time   // next check
+	lastReceived      time.Time // latest message from the peer, or the start of the first outstanding call if that is later
+	idleUntil         time.Time // the connection is closed at this time unless something is outstanding
+	peerStartedBefore time.Time // the peer's process started before this time
+	lastPing          time.Time
+	pinging           bool // the latest ping is still being written
+	lastCheck         time.Time
+	nextCheck         time.Time
 	timer             *time.Timer // runs the next check; nil before start
 }
 
@@ -91,7 +91,7 @@
 	return !c.lost && !(busy && now.Sub(c.lastReceived) > suspectSilence)
 }
 
-// fail ends the connection; its streams and revocations learn of it from done.
+// fail closes the connection because of an error. Its streams and requests learn of it from done.
 func (c *clientConn) fail(cause error) {
 	c.mu.Lock()
 	if c.lost {
@@ -103,11 +103,11 @@
 	c.mu.Unlock()
 	c.closeLost()
 	if calls > 0 {
-		c.dialer.options.Logger.Warn().Str("peer", c.frames.RemoteAddr().String()).Int("calls", calls).Err(cause).Msg("connection with calls lost")
+		c.dialer.options.Logger.Warn().Str("peer", c.frames.RemoteAddr().String()).Int("calls", calls).Err(cause).Msg("connection lost with outstanding calls")
 	}
 }
 
-// end closes a connection that has been marked as lost.
+// closeLost closes a connection that has been marked as lost.
 func (c *clientConn) closeLost() {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -125,7 +125,7 @@
 	return true
 }
 
-// register takes a sequence for an attempt that has not been sent yet; it returns errUnsent or the context's error.
+// register assigns a sequence number to an attempt before it is sent. It returns errUnsent or the context's error.
 func (c *clientConn) register(ctx context.Context, cancel context.CancelFunc) (*stream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 	c.idleUntil = time.Now().Add(idleTimeout)
 }
 
-// sendCall sends an attempt; false means that some of it may have been sent and that the connection is lost.
+// sendCall sends an attempt. It returns false if the connection was lost, when part of the attempt may have been sent.
 func (c *clientConn) sendCall(sequence uint64, call *core.Call) bool {
 	open := newOpenMessage(sequence, call, time.Now())
 	if !c.send(typeOpen, open) {
@@ -169,7 +169,8 @@
 	})
 }
 
-// question makes a revocation or a claim outstanding, so that the connection is not closed as idle, and returns its token.
+// beginRequest registers an outstanding revocation or claim, which keeps the connection from being closed as idle, and returns
+// its token.
 func beginRequest[T any](c *clientConn, requests *map[uint64]chan T) (uint64, chan T, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,7 +186,7 @@
 	return c.lastToken, reply, nil
 }
 
-// revoke asks the peer to see to it that an attempt of an earlier connection never runs.
+// revoke asks the peer to ensure that an attempt of an earlier connection never runs. It returns false if it may have run.
 func (c *clientConn) revoke(ctx context.Context, s *stream) (bool, error) {
 	token, verdict, err := beginRequest(c, &c.revokes)
 	if err != nil {
@@ -213,7 +214,7 @@
 	return awaitReply(ctx, c, verdict)
 }
 
-// reply waits for the reply to a question. One that has arrived counts, even if the connection has been lost since.
+// awaitReply waits for the reply to a request. A reply that has arrived is returned even if the connection was lost since.
 func awaitReply[T any](ctx context.Context, c *clientConn, replies chan T) (reply T, err error) {
 	select {
 	case reply = <-replies:
@@ -250,7 +251,7 @@
 	c.idleUntil = time.Now().Add(idleTimeout)
 }
 
-// greet sends the hello that precedes all other messages.
+// sendHello sends hello, which precedes all other messages.
 func (c *clientConn) sendHello() error {
 	err := c.frames.Send(time.Now().Add(writeTimeout), typeHello, helloMessage{
 		Connection:   c.id,
@@ -263,7 +264,7 @@
 	return err
 }
 
-// receive reads until the connection is lost; nothing in it waits for a caller.
+// receive reads messages until the connection is lost. It never waits for a caller.
 func (c *clientConn) receive() {
 	for {
 		received, err := c.frames.Receive(time.Time{})
@@ -312,7 +313,7 @@
 	case typePong:
 		return nil
 	}
-	return errors.Annotatef(errProtocol, "message type %d", received.Type)
+	return errors.Annotatef(errProtocol, "unexpected message type %d", received.Type)
 }
 
 func (c *clientConn) handleWelcome(message welcomeMessage) error {
@@ -327,7 +328,7 @@
 	return nil
 }
 
-// deliver drops messages for attempts that have been given up.
+// deliver passes a message to its stream, and drops it if the attempt has been abandoned.
 func (c *clientConn) deliver(sequence uint64, handle func(*stream) error) error {
 	c.mu.Lock()
 	s := c.streams[sequence]
@@ -346,12 +347,13 @@
 	return deliverReply(c, &c.claims, message.Token, message)
 }
 
-// answered leaves the question outstanding until the one who asked has the answer, and drops a second answer.
+// deliverReply passes a reply to the goroutine that waits for it, and drops a second reply. The request stays outstanding until
+// endRequest.
 func deliverReply[T any](c *clientConn, requests *map[uint64]chan T, token uint64, reply T) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case (*requests)[token] <- reply: // nil, and so never ready, if nobody waits any more
+	case (*requests)[token] <- reply: // the channel is nil, and so never ready, if nobody waits any more
 	default:
 	}
 	return nil
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -14,13 +14,13 @@
 	"parsleyport/io/frame"
 )
 
-// DialerOptions configures a Dialer. Calls to Self go to Local without a connection; Dial replaces a TCP dial.
+// DialerOptions configures a Dialer. Calls to Self go to Local without a connection. Dial, if set, replaces the TCP dial.
 type DialerOptions struct {
 	Self               core.NodeID
 	Local              core.Backend
-	ConnectionsPerPeer int // zero for 2
+	ConnectionsPerPeer int // maximum, 0 for 2
 	DataCentre         core.DataCentre
-	Compressor         *frame.Compressor // for peers in other data centres; nil for none
+	Compressor         *frame.Compressor // for peers in other data centres; nil for no compression
 	Logger             zerolog.Logger
 	Metrics            *metrics.Set
 	Dial               func(ctx context.Context, address string) (net.Conn, error)
@@ -42,15 +42,15 @@
 	lastDial uint64 // number of the latest dial
 }
 
-// peer is the pool of one address; its fields belong to the dialer's lock.
+// peerPool holds the connections to one address. The dialer's lock guards its fields.
 type peerPool struct {
 	connections []*clientConn
-	dialing     chan struct{} // closed when the dial that is under way has ended
-	dialError   error         // of the latest dial
-	failedAt    time.Time     // latest failed dial
+	dialing     chan struct{} // closed when the dial in progress has ended; nil if there is none
+	dialError   error         // result of the latest dial
+	failedAt    time.Time     // time of the latest failed dial
 }
 
-// NewDialer returns a dialer; the clean-up function closes all connections and waits for the goroutines.
+// NewDialer returns a dialer. The cleanup function closes all connections and waits for the goroutines.
 func NewDialer(options DialerOptions) (*Dialer, func(), error) {
 	if options.Metrics == nil {
 		options.Metrics = metrics.NewSet()
@@ -93,7 +93,7 @@
 	d.tasks.Wait()
 }
 
-// Forward implements core.Forwarder; the context must live until the answer's body is closed.
+// Forward implements core.Forwarder. The context must stay valid until the answer's body is closed.
 func (d *Dialer) Forward(ctx context.Context, to core.Endpoint, call *core.Call) (*core.Answer, core.Outcome, error) {
 	if to.Node == d.options.Self && d.options.Local != nil {
 		return d.options.Local.Handle(ctx, call)
@@ -140,7 +140,7 @@
 	return nil, core.OutcomeUnknown, err
 }
 
-// register takes a sequence on a live connection; an error means that nothing has been sent.
+// register assigns a live connection and a sequence number to an attempt. On an error nothing has been sent.
 func (d *Dialer) register(ctx context.Context, cancel context.CancelFunc, address string) (*stream, error) {
 	var s *stream
 	err := retryUnsent(func() error {
@@ -153,7 +153,7 @@
 	return s, err
 }
 
-// retryUnsent takes another connection as long as the one that was chosen is closed before its use.
+// retryUnsent repeats use with another connection as long as the chosen one is closed before anything is sent.
 func retryUnsent(use func() error) error {
 	for {
 		if err := use(); !errors.Is(err, errUnsent) {
@@ -162,8 +162,8 @@
 	}
 }
 
-// settle finds out over a new connection whether an attempt whose connection was lost has run. It is not-run only if
-// the same run of the server says that it has not begun and never will.
+// resolveLostAttempt finds out over a new connection whether an attempt whose connection was lost has run. The outcome is
+// not-run only if the same process of the server confirms that the attempt has not started and never will.
 func (d *Dialer) resolveLostAttempt(ctx context.Context, address string, s *stream) (*core.Answer, core.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
@@ -188,7 +188,7 @@
 	}
 }
 
-// connection returns a connection for a call, or errLeaving if the peer has said that it takes none.
+// connection returns a connection for a call, or errLeaving if the peer has announced that it accepts no more calls.
 func (d *Dialer) connection(ctx context.Context, address string) (*clientConn, error) {
 	d.mu.Lock()
 	p := d.pools[address]
@@ -200,8 +200,8 @@
 	return d.connectionAfter(ctx, address, 0)
 }
 
-// connectionAfter returns a connection whose dial has a greater number than the given one, dialling if need be. A
-// leaving peer still answers revocations and claims.
+// connectionAfter returns a connection whose dial number is greater than after, and dials if there is none. It works for a
+// leaving peer too, which still replies to revocations and claims.
 func (d *Dialer) connectionAfter(ctx context.Context, address string, after uint64) (*clientConn, error) {
 	for {
 		d.mu.Lock()
@@ -225,7 +225,7 @@
 		}
 		d.mu.Unlock()
 		if best != nil {
-			return best, nil // the pool grows for the calls that follow
+			return best, nil // later calls use the new connection
 		}
 		select {
 		case <-wait:
@@ -241,7 +241,7 @@
 	}
 }
 
-// peer needs the lock; it drops pools without connections when there are too many.
+// poolFor returns the pool of an address. If there are too many, it removes those without connections. It needs the lock.
 func (d *Dialer) poolFor(address string) (*peerPool, error) {
 	if d.ctx.Err() != nil {
 		return nil, errDialerClosed
@@ -264,7 +264,8 @@
 	return p, nil
 }
 
-// best returns the connection with the fewest calls among those that are not suspected to be silent.
+// leastLoaded returns the connection with the fewest calls among the usable ones with a dial number greater than after, and
+// the number of usable ones. A connection that is suspected to be silent is not usable.
 func (p *peerPool) leastLoaded(after uint64, now time.Time) (*clientConn, int) {
 	var best *clientConn
 	fewest, usable := 0, 0
@@ -280,7 +281,7 @@
 	return best, usable
 }
 
-// leaving says whether the peer has sent goaway and its connections still live.
+// leaving reports whether the peer has sent goaway on a connection that is still open.
 func (p *peerPool) leaving() bool {
 	for _, c := range p.connections {
 		if c.isDraining() {
@@ -319,7 +320,7 @@
 	d.mu.Unlock()
 }
 
-// drop removes a connection from its pool and returns the number of the latest dial.
+// removeConnection removes a connection from its pool and returns the number of the latest dial.
 func (d *Dialer) removeConnection(c *clientConn) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/nodepeer/handover.go
+++ b/io/nodepeer/handover.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// maxSnapshotBytes bounds what a node keeps for nodes that have left, within the 128 MB that a node may use. A memory that
-	// does not fit is forgotten, as in a crash.
+	// maxSnapshotBytes bounds the snapshots that a node holds for nodes that have left; a node may use 128 MB in all. A
+	// snapshot that does not fit is dropped, as if its node had crashed.
 	maxSnapshotBytes = 32 << 20
-	// maxPartBytes bounds one message of a memory that is handed over.
+	// maxPartBytes bounds the part of a snapshot that is sent in one message.
 	maxPartBytes = 1 << 20
-	// handoverTimeout bounds the time that handing over adds to a planned stop.
+	// handoverTimeout bounds the time by which the handover prolongs a planned stop.
 	handoverTimeout = 3 * time.Second
-	// restoreTimeout is how long a node that has started asks for its memory.
+	// restoreTimeout bounds the time in which a started node asks for its snapshot, from its first announcement of a service.
 	restoreTimeout       = 10 * time.Second
 	restoreRetryInterval = 250 * time.Millisecond
 )
 
-// handoverRequest gives a part of the memory of a node that leaves to its custodian, or asks for a part of it.
+// handoverRequest sends a part of a leaving node's snapshot to the node that will hold it, or fetches a part if Fetch is set.
 type handoverRequest struct {
 	Node           core.NodeID                        `msgpack:"node"`
 	Incarnation    core.Incarnation                   `msgpack:"incarnation"`
 	Fetch          bool                               `msgpack:"take"`
 	Part           int                                `msgpack:"part"`
 	Parts          int                                `msgpack:"parts"`
-	MembershipAges map[core.ServiceName]time.Duration `msgpack:"members"` // how long the node has been one of each service's
+	MembershipAges map[core.ServiceName]time.Duration `msgpack:"members"` // how long the node has been a node of each service
 	Entries        []idempotency.Entry                `msgpack:"entries"`
 }
 
-// handoverReply has Parts zero if the custodian has no whole memory of the node, or does not take it.
+// handoverReply answers a handoverRequest. Parts is zero if the snapshot was not accepted, or if none is available to fetch.
 type handoverReply struct {
 	Parts          int                                `msgpack:"parts"`
-	SinceHandover  time.Duration                      `msgpack:"away"` // since the memory was handed over
+	SinceHandover  time.Duration                      `msgpack:"away"`
 	MembershipAges map[core.ServiceName]time.Duration `msgpack:"members"`
 	Entries        []idempotency.Entry                `msgpack:"entries"`
 }
 
-// custody is the memory of one node that has left.
+// keySnapshot holds the idempotency keys and service memberships of a node that has left.
 type keySnapshot struct {
 	incarnation    core.Incarnation
 	membershipAges map[core.ServiceName]time.Duration
@@ -51,10 +51,10 @@
 	partCount      int
 	bytes          int
 	receivedAt     time.Time
-	fetchedBy      core.Incarnation // the first later run that asked for it; zero if none
+	fetchedBy      core.Incarnation // the first later run of the node that fetched it; zero if none
 }
 
-// custodies are the memories that a node keeps for others. The server's lock guards them.
+// heldSnapshots are the snapshots that a node holds for others. The server's lock guards them.
 type heldSnapshots map[core.NodeID]*keySnapshot
 
 func (h heldSnapshots) handle(now time.Time, request *handoverRequest, leaving bool) *handoverReply {
@@ -96,7 +96,8 @@
 	}
 }
 
-// take gives a memory to one later run of its node only: the grants of that run are not in it.
+// fetch returns a part of a snapshot. It serves only one later run of the node, since the snapshot lacks the keys that this
+// run has granted.
 func (h heldSnapshots) fetch(now time.Time, request *handoverRequest) *handoverReply {
 	snapshot := h[request.Node]
 	if snapshot == nil || len(snapshot.parts) != snapshot.partCount || request.Part < 0 || request.Part >= snapshot.partCount {
@@ -114,7 +115,7 @@
 	}
 }
 
-// freeze ends the grants of this node and returns its memory.
+// freezeKeys stops granting claims and returns the ages of this node's memberships and its keys.
 func (s *Server) freezeKeys() (map[core.ServiceName]time.Duration, []idempotency.Entry) {
 	now := time.Now()
 	s.mu.Lock()
@@ -127,7 +128,7 @@
 	return ages, s.keys.Export(now)
 }
 
-// restore adds the memory of this node's earlier run.
+// restoreKeys merges in the keys and memberships of this node's previous run.
 func (s *Server) restoreKeys(sinceHandover time.Duration, ages map[core.ServiceName]time.Duration, entries []idempotency.Entry) {
 	now := time.Now()
 	s.mu.Lock()
@@ -152,8 +153,8 @@
 	return lo.Keys(s.memberships)
 }
 
-// HandOver gives the memory of keys to another node of the service, for the time until this node has been started again.
-// From then on this node grants no claims. It is the last step of a planned stop.
+// HandOver sends this node's keys to another node of its services, which holds them until this node is started again. From
+// then on this node grants no claims. It is the last step of a planned stop. It returns an error if no node accepts the keys.
 func (c *Claims) HandOver(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -176,7 +177,7 @@
 			return nil
 		}
 	}
-	return errors.New("no node takes the memory of idempotency keys")
+	return errors.New("no other node accepted the idempotency keys")
 }
 
 func (c *Claims) sendSnapshot(ctx context.Context, to core.Endpoint, ages map[core.ServiceName]time.Duration, parts [][]idempotency.Entry) bool {
@@ -198,7 +199,7 @@
 	return true
 }
 
-// custodians returns the nodes that may keep the memory of this one, in an order on which its next run agrees.
+// snapshotHolders returns the nodes that may hold the snapshot of this one, in the same order for the leaving and the next run.
 func (c *Claims) snapshotHolders(services []core.ServiceName) []core.Endpoint {
 	var holders []core.Endpoint
 	for _, service := range services {
@@ -212,7 +213,7 @@
 	return holders
 }
 
-// restoreSnapshot asks for the memory of this node's earlier run once the node announces a service.
+// restoreSnapshot fetches the snapshot of this node's previous run, once the node announces a service.
 func (c *Claims) restoreSnapshot(ctx context.Context) {
 	ticker := time.NewTicker(restoreRetryInterval)
 	defer ticker.Stop()
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -33,7 +33,7 @@
 	return c.holders.Ages(time.Now(), key)
 }
 
-// learn returns the same holders with what another node knows of them.
+// mergeAges returns the holders with the greater ages that another node has reported, and records these ages.
 func (c *Claims) mergeAges(key idempotency.Key, holders []idempotency.Holder, ages map[core.NodeID]time.Duration) []idempotency.Holder {
 	now := time.Now()
 	c.mu.Lock()
@@ -47,7 +47,7 @@
 	})
 }
 
-// holderReply is a holder's reply with the time at which it came; reached is false if it has not replied.
+// holderReply is a holder's reply and its time of receipt; reached is false if there was no reply.
 type holderReply struct {
 	keyReply
 	reached    bool
@@ -80,14 +80,14 @@
 	}
 }
 
-// isOriginal reports whether a holder was known when calls of the service began: nodes observe a service once its record is
-// accepted. Such a holder may have granted any key before it was restarted.
+// isOriginal reports whether a holder was already known when the first calls of the service could be made, since nodes observe
+// a service from the acceptance of its record. Such a holder may have granted any key before it was restarted.
 func (c *Claims) isOriginal(service core.ServiceName, firstSeen time.Time) bool {
 	since, known := c.serviceSince(service)
 	return known && !firstSeen.After(since.Add(idempotency.JoinLag))
 }
 
-// covers reports whether a holder that has been a node of the service for so long knows all that happened in the window.
+// covers reports whether a holder that has been a node of the service for that long has seen all claims of the window.
 func (c *Claims) covers(service core.ServiceName, member time.Duration) bool {
 	if member >= idempotency.Window+idempotency.JoinLag {
 		return true
