--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// holderTimeout bounds the question to one holder; one that takes longer counts as out of reach.
+	// holderTimeout bounds a request to one holder. A holder that takes longer counts as unreachable.
 	holderTimeout = 500 * time.Millisecond
-	// settleGracePeriod is how long after the call's deadline its entry node may still settle the key.
+	// settleGracePeriod is the time after a call's deadline in which its entry node may still settle the key.
 	settleGracePeriod = 2 * time.Second
-	// runningPollInterval is how often a resend asks whether the running call has been answered.
+	// runningPollInterval is the interval at which a resend asks whether the running call has been answered.
 	runningPollInterval = 50 * time.Millisecond
 	observeInterval     = time.Second
-	// maxMemberships bounds the services that one node has announced within the window.
+	// maxMemberships bounds the services that a node remembers having announced within the window.
 	maxMemberships = 64
-	// probeTimeout bounds the question whether a silent holder answers again. It exceeds silenceTimeout, so that a connection
-	// that has gone silent is found dead and replaced.
+	// probeTimeout bounds a probe of an unresponsive holder. It exceeds silenceTimeout, so that a silent connection is detected
+	// and replaced within one probe.
 	probeTimeout = 2 * time.Second
-	// maxUnresponsiveHolders bounds the holders that are not waited for.
+	// maxUnresponsiveHolders bounds the holders that are recorded as unresponsive. Calls wait for any others up to holderTimeout.
 	maxUnresponsiveHolders = 1024
 )
 
-// errUnresponsive means that a holder did not answer an earlier call in time and has not been heard since.
-const errUnresponsive = errors.ConstError("holder is silent")
+// errUnresponsive means that a holder did not reply to an earlier request in time, and to none since, or has handed its keys over.
+const errUnresponsive = errors.ConstError("holder is unresponsive")
 
-// keyMessage claims a key or settles it. Verdict is empty in a claim.
+// keyMessage claims a key if Verdict is empty, settles it if Verdict is set, or carries a handover.
 type keyMessage struct {
 	Token       uint64                      `msgpack:"token"`
 	Key         idempotency.Key             `msgpack:"key"`
@@ -43,32 +43,32 @@
 	Verdict     idempotency.Verdict         `msgpack:"verdict"`
 	Answer      *idempotency.RecordedAnswer `msgpack:"answer"`
 	Handover    *handoverRequest            `msgpack:"custody"`
-	WantAges    bool                        `msgpack:"want-ages"` // from a node that has just started
+	WantAges    bool                        `msgpack:"want-ages"` // the sender has just started and asks for Ages in the reply
 }
 
-// keyReply answers a keyMessage.
+// keyReply replies to a keyMessage. Its memberships are those of the holder for the key's service.
 type keyReply struct {
 	Token        uint64                      `msgpack:"token"`
-	MembershipUS int64                       `msgpack:"member-us"` // how long the holder has been one of the service's nodes
-	RunUS        int64                       `msgpack:"run-us"`    // how long of that in its present run
+	MembershipUS int64                       `msgpack:"member-us"` // how long the holder has been a node of the service
+	RunUS        int64                       `msgpack:"run-us"`    // how long of that in its current run
 	Verdict      idempotency.Verdict         `msgpack:"verdict"`
 	Answer       *idempotency.RecordedAnswer `msgpack:"answer"`
-	HandedOver   bool                        `msgpack:"left"` // the holder has handed its memory over and grants nothing more
+	HandedOver   bool                        `msgpack:"left"` // the holder has handed its keys over and grants no more claims
 	Handover     *handoverReply              `msgpack:"custody"`
 
 	Ages map[core.NodeID]time.Duration `msgpack:"ages"` // how long the holder has known each of the key's holders
 }
 
-// membership is the time in which this node has announced a service; other nodes ask it for keys until the window after
-// it has left.
+// membership is the time in which this node has announced a service. It is kept for the window after the node has left the
+// service, because other nodes claim keys from it until then.
 type membership struct {
 	since    time.Time
-	runSince time.Time // later than since if an earlier run's memory was taken back
-	leftAt   time.Time // zero while it announces the service
+	runSince time.Time // start in the current run; later than since if the keys of a previous run were restored
+	leftAt   time.Time // zero while the node announces the service
 }
 
-// Announced tells the server, as a holder of idempotency keys, that this node announces a service or no longer does so.
-// A node that was never told is taken for one that has just joined.
+// SetAnnounced records whether this node announces a service, and so holds its idempotency keys. Without it, other nodes treat
+// this one as a node that has just joined.
 func (s *Server) SetAnnounced(service core.ServiceName, present bool) {
 	now := time.Now()
 	s.mu.Lock()
@@ -92,7 +92,7 @@
 	s.memberships[service] = m
 }
 
-// membershipAges returns how long the node has been one of the service's nodes, in all and in its present run. It needs the lock.
+// membershipAges returns how long the node has been a node of the service, in total and in its current run. It needs the lock.
 func (s *Server) membershipAges(now time.Time, service core.ServiceName) (member, run time.Duration) {
 	m, known := s.memberships[service]
 	if !known || (!m.leftAt.IsZero() && now.Sub(m.leftAt) > idempotency.Window) {
@@ -101,7 +101,7 @@
 	return now.Sub(m.since), now.Sub(m.runSince)
 }
 
-// handleKey is the holder's side of a claim.
+// handleKey handles a claim, a settlement or a handover on the holder's side.
 func (s *Server) handleKey(message keyMessage) keyReply {
 	now := time.Now()
 	s.mu.Lock()
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// ClaimsOptions configures Claims. Server is this node's own memory of keys. Incarnation grows with each start of the node.
-// ServiceSince returns a time before which no call of the service can have been made; it may be nil. Without it, keyed calls
-// are answered with unknown until some node has announced the service for the window.
+// ClaimsOptions configures Claims. Server holds this node's own keys. Incarnation increases with each start of the node.
+// ServiceSince returns a time before which no call of the service can have been made; it may be nil. Without such a time, keyed
+// calls are answered with unknown until some node has announced the service for the window.
 type ClaimsOptions struct {
 	Self         core.NodeID
 	Incarnation  core.Incarnation
@@ -156,7 +156,7 @@
 	Metrics      *metrics.Set
 }
 
-// Claims claims and settles idempotency keys at the nodes that hold them.
+// Claims claims and settles idempotency keys at their holders.
 type Claims struct {
 	options ClaimsOptions
 	granted *metrics.Counter
@@ -166,11 +166,12 @@
 
 	mu           sync.Mutex
 	holders      *idempotency.Holders
-	pending      map[core.CallID][]core.Endpoint // of calls whose claim was granted, until they are settled
-	unresponsive map[string]time.Time            // address of a holder that did not answer in time, and since when
+	pending      map[core.CallID][]core.Endpoint // the holders asked for each call whose claim has not been settled
+	unresponsive map[string]time.Time            // time of the first missed reply, by the address of the holder
 }
 
-// NewClaims starts to observe the endpoints of all services; the clean-up function ends that.
+// NewClaims starts to observe the endpoints of all services, to probe unresponsive holders and to fetch the keys of the node's
+// previous run. The cleanup function ends that.
 func NewClaims(options ClaimsOptions) (*Claims, func(), error) {
 	if options.Server == nil || options.Dialer == nil || options.Endpoints == nil || options.Services == nil {
 		return nil, nil, errors.New("server, dialer, endpoints and services must be set")
@@ -218,8 +219,8 @@
 	c.holders.Observe(time.Now(), service, endpoints)
 }
 
-// Claim returns VerdictGranted if the call may run. It waits for a running call with the same key until the context
-// ends, and then returns VerdictUnknown.
+// Claim returns VerdictGranted if the call may run. While a call with the same key is running, it waits and asks again, until
+// the context ends and it returns VerdictUnknown.
 func (c *Claims) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	c.observeService(call.Service)
 	for {
@@ -242,7 +243,7 @@
 	}
 }
 
-// claimOnce asks the first holder before the second, so that of two calls with one key only one gets both.
+// claimOnce asks the holders one after another in their order, so that of two concurrent calls with one key only one is granted.
 func (c *Claims) claimOnce(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	message := keyMessage{
 		Key:         idempotency.KeyOf(call),
@@ -266,7 +267,7 @@
 	c.pending[call.ID] = lo.Map(holders[:len(asked)], func(h idempotency.Holder, _ int) core.Endpoint { return h.Endpoint })
 	c.mu.Unlock()
 	if verdict != idempotency.VerdictGranted {
-		c.Settle(ctx, call, idempotency.VerdictGranted, nil) // gives back what was won
+		c.Settle(ctx, call, idempotency.VerdictGranted, nil) // releases the key where it was granted
 	}
 	return verdict, answer
 }
@@ -311,11 +312,11 @@
 	})
 	switch {
 	case err == nil:
-		c.setUnresponsive(address, reply.HandedOver) // one that has left will soon be out of reach
+		c.setUnresponsive(address, reply.HandedOver) // a holder that has handed its keys over is about to stop
 		if reply.HandedOver {
 			err = errUnresponsive
 		}
-	case ctx.Err() == nil: // not just the end of the call
+	case ctx.Err() == nil: // the holder's timeout or connection failed, not the call's own deadline
 		c.setUnresponsive(address, true)
 	}
 	return reply, err
@@ -336,7 +337,7 @@
 	} else if since, known := c.unresponsive[address]; !known && len(c.unresponsive) < maxUnresponsiveHolders {
 		c.unresponsive[address] = time.Now()
 	} else if known && time.Since(since) > idempotency.Window {
-		delete(c.unresponsive, address) // it is no longer a holder
+		delete(c.unresponsive, address) // after the window it is no longer a holder
 	}
 }
 
@@ -353,7 +354,7 @@
 	}
 }
 
-// probeUnresponsive asks the holders that did not answer in time whether they do now, so that no call waits to find out.
+// probeUnresponsive probes the holders that missed a reply, so that no call has to wait to find out whether they reply again.
 func (c *Claims) probeUnresponsive(ctx context.Context) {
 	c.mu.Lock()
 	addresses := lo.Keys(c.unresponsive)
@@ -361,15 +362,15 @@
 	var asked sync.WaitGroup
 	for _, address := range addresses {
 		asked.Go(func() {
-			probe := keyMessage{Verdict: idempotency.VerdictUnknown} // settles a key that nobody has claimed
+			probe := keyMessage{Verdict: idempotency.VerdictUnknown} // settles a key that no call has claimed
 			_, _ = c.askRemote(ctx, address, probe, probeTimeout)
 		})
 	}
 	asked.Wait()
 }
 
-// Settle records at the nodes that were asked what became of a call whose claim was granted: VerdictAnswered with the
-// answer, VerdictUnknown, or VerdictGranted if the call was not run.
+// Settle records the outcome of a call at the holders that were asked: VerdictAnswered with the answer, VerdictUnknown, or
+// VerdictGranted if the call has not run.
 func (c *Claims) Settle(ctx context.Context, call *core.Call, verdict idempotency.Verdict, answer *idempotency.RecordedAnswer) {
 	message := keyMessage{
 		Key:     idempotency.KeyOf(call),
@@ -382,6 +383,6 @@
 	delete(c.pending, call.ID)
 	c.mu.Unlock()
 	for _, holder := range holders {
-		_, _ = c.ask(ctx, holder, message) // a holder that does not learn of it answers a resend with unknown
+		_, _ = c.ask(ctx, holder, message) // a holder that misses the settlement answers resends with unknown
 	}
 }
