--- a/io/nodepeer/bench_test.go
+++ b/io/nodepeer/bench_test.go
@@ -23,14 +23,14 @@
 
 const (
 	benchPeers = 2700
-	benchBusy  = 100
-	benchSpan  = 3 * time.Second
+	benchBusyPeers  = 100
+	benchDuration  = 3 * time.Second
 )
 
-// memory returns what is live after a collection, and what the process has resident, in KiB.
+// memory returns the live memory after a garbage collection and the resident memory of the process, in KiB.
 func memory(b *testing.B) (live, resident float64) {
 	runtime.GC()
-	runtime.GC() // the second one drops what sync.Pool keeps
+	runtime.GC() // the second collection frees what sync.Pool keeps
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	status, err := os.ReadFile("/proc/self/status")
@@ -57,7 +57,7 @@
 	dialer *Dialer
 }
 
-// newBenchNode has a dialer whose peers are all the server of the same process, over loopback.
+// newBenchNode returns a node whose peers are all the server of the same process, over loopback.
 func newBenchNode(b *testing.B) *benchNode {
 	answer := make([]byte, 4<<10)
 	backend := &countingBackend{handle: func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// BenchmarkConnections measures a node that has called 2,700 peers, two calls at a time, and goes on to call 100 of them,
-// first at a bounded rate and then without pause.
-// Both ends are in the process: it is a node that as many others call.
+// BenchmarkConnections measures a node that has made two concurrent calls to each of 2,700 peers and then calls 100 of them,
+// first at a bounded rate and then without a pause. Both ends are in the process, as on a node that is called by as many
+// others.
 func BenchmarkConnections(b *testing.B) {
 	debug.FreeOSMemory()
 	n := newBenchNode(b)
@@ -124,35 +124,35 @@
 		}
 		calls, spent := n.callBusyPeers(b, pause, func() {
 			live, resident := memory(b)
-			b.ReportMetric((live-idle)/benchBusy, name+"-KiB/peer")
+			b.ReportMetric((live-idle)/benchBusyPeers, name+"-KiB/peer")
 			b.ReportMetric((resident-baseResident)/1024, name+"-RSS-MiB")
 		})
-		b.ReportMetric(float64(calls)/benchSpan.Seconds(), name+"-calls/s")
+		b.ReportMetric(float64(calls)/benchDuration.Seconds(), name+"-calls/s")
 		b.ReportMetric(float64(spent.Microseconds())/float64(calls), name+"-processor-µs/call")
 	}
 }
 
-// callBusyPeers makes four calls at a time to each of 100 peers, and returns the calls and their processor time.
+// callBusyPeers makes four concurrent calls to each of 100 peers, and returns the number of calls and their processor time.
 func (n *benchNode) callBusyPeers(b *testing.B, pause time.Duration, meanwhile func()) (int64, time.Duration) {
 	var callers sync.WaitGroup
 	var calls atomic.Int64
 	began, spent := time.Now(), processorTime(b)
-	for i := range 4 * benchBusy {
+	for i := range 4 * benchBusyPeers {
 		callers.Go(func() {
-			for time.Since(began) < benchSpan {
-				n.call(b, i%benchBusy)
+			for time.Since(began) < benchDuration {
+				n.call(b, i%benchBusyPeers)
 				calls.Add(1)
 				time.Sleep(pause)
 			}
 		})
 	}
-	time.Sleep(benchSpan * 2 / 3)
+	time.Sleep(benchDuration * 2 / 3)
 	meanwhile()
 	callers.Wait()
 	return calls.Load(), processorTime(b) - spent
 }
 
-// BenchmarkServerEnd measures the server's end of idle connections alone; the other ends are bare sockets.
+// BenchmarkServerEnd measures only the server's end of idle connections; the other ends are plain sockets.
 func BenchmarkServerEnd(b *testing.B) {
 	n := newBenchNode(b)
 	var ends []net.Conn
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -316,7 +316,7 @@
 		if reply.HandedOver {
 			err = errUnresponsive
 		}
-	case ctx.Err() == nil: // the holder's timeout or connection failed, not the call's own deadline
+	case ctx.Err() == nil: // the request failed although the call has not ended
 		c.setUnresponsive(address, true)
 	}
 	return reply, err
--- a/io/nodepeer/claims_test.go
+++ b/io/nodepeer/claims_test.go
@@ -15,13 +15,13 @@
 	"parsleyport/io/frame"
 )
 
-// listed is a core.EndpointSource with one list.
-type staticEndpoints []core.Endpoint
+// fixedEndpoints is a core.EndpointSource with the same endpoints for all services.
+type fixedEndpoints []core.Endpoint
 
-func (l staticEndpoints) Endpoints(core.ServiceName) []core.Endpoint { return l }
+func (l fixedEndpoints) Endpoints(core.ServiceName) []core.Endpoint { return l }
 
 // newTestClaims returns the claims of an entry node that is itself a holder.
-func newTestClaims(t *testing.T, b *testPair, endpoints staticEndpoints) *Claims {
+func newTestClaims(t *testing.T, b *testPair, endpoints fixedEndpoints) *Claims {
 	own := newFakeNetwork()
 	server, stop, err := NewServer(ServerOptions{Listener: own, Backend: b.backend})
 	if err != nil {
@@ -47,15 +47,15 @@
 	return call
 }
 
-// Guards against each keyed call waiting anew for a holder that has gone silent, and against a holder that is left out for
-// good although it answers again.
+// Guards against every keyed call waiting for a holder that does not reply, and against a holder that is never asked again
+// although it replies again.
 func TestOnlyFirstClaimWaitsForUnresponsiveHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
 		b.server.SetAnnounced("orders", true)
 		var silent, asked atomic.Int64
-		b.network.decide = func(_ int, direction bool, kind frame.Type) frameAction {
+		b.network.actionFor = func(_ int, direction bool, kind frame.Type) frameAction {
 			if direction == toServer && kind == typeKey {
 				asked.Add(1)
 			}
@@ -64,7 +64,7 @@
 			}
 			return pass
 		}
-		claims := newTestClaims(t, b, staticEndpoints{{Node: "entry", Service: "orders"}, {Node: "b", Address: "b", Service: "orders"}})
+		claims := newTestClaims(t, b, fixedEndpoints{{Node: "entry", Service: "orders"}, {Node: "b", Address: "b", Service: "orders"}})
 		claim := func(n int) time.Duration {
 			began := time.Now()
 			_, _ = claims.Claim(context.Background(), keyedCall(n))
@@ -76,7 +76,7 @@
 		c.Assert(claim(1) >= holderTimeout, qt.IsTrue)
 		for n := range 20 {
 			c.Assert(claim(2+n), qt.Equals, time.Duration(0))
-			time.Sleep(300 * time.Millisecond) // the holder is asked again meanwhile
+			time.Sleep(300 * time.Millisecond) // the holder is probed meanwhile
 		}
 		silent.Store(0)
 		time.Sleep(5 * time.Second)
@@ -86,8 +86,8 @@
 	})
 }
 
-// Guards against a place that goes to another node after a crash, because the entry node saw a holder a moment after the
-// service began and takes it for a newcomer.
+// Guards against an entry node that treats a holder as newly joined because it saw it a moment after the service was accepted.
+// After a crash of that holder, another node would take its place.
 func TestInitialNodeOfServiceCountsAsRestarted(t *testing.T) {
 	c := qt.New(t)
 	began := time.Now().Add(-time.Minute)
--- a/io/nodepeer/compressor_test.go
+++ b/io/nodepeer/compressor_test.go
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-// Guards against processes whose packings differ although their settings are the same: the order of a map differs.
+// Guards against processes with different dictionaries for the same settings, because maps are encoded in random order.
 func TestEqualSettingsGiveEqualCompressors(t *testing.T) {
 	c := qt.New(t)
 	first, err := NewCompressor(core.DefaultHeaderNames())
@@ -49,25 +49,25 @@
 	c.Assert(others.ID(), qt.Not(qt.Equals), first.ID())
 }
 
-// Guards against calls that are not packed between data centres, against work for packing within one, and against packed messages
-// to a peer that does not read them.
+// Guards against uncompressed calls between data centres, compression within one data centre, and compressed messages to a peer
+// that cannot read them.
 func TestCallsBetweenDataCentresAreCompressed(t *testing.T) {
 	c := qt.New(t)
 	compressor, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
 	other, err := NewCompressor(core.HeaderNames{})
 	c.Assert(err, qt.IsNil)
-	plain := bytesOfCalls(c, "here", "here", compressor, compressor)
-	compressed := bytesOfCalls(c, "here", "there", compressor, compressor)
-	c.Assert(compressed*2 < plain, qt.IsTrue, qt.Commentf("%d bytes, %d plain", compressed, plain))
-	for name, dialers := range map[string]*frame.Compressor{"no packing": nil, "another packing": other} {
-		bytes := bytesOfCalls(c, "here", "there", dialers, compressor)
-		c.Assert(bytes > plain*9/10, qt.IsTrue, qt.Commentf("%s: %d bytes, %d plain", name, bytes, plain))
+	uncompressed := trafficOfCalls(c, "here", "here", compressor, compressor)
+	compressed := trafficOfCalls(c, "here", "there", compressor, compressor)
+	c.Assert(compressed*2 < uncompressed, qt.IsTrue, qt.Commentf("%d bytes, %d uncompressed", compressed, uncompressed))
+	for name, dialers := range map[string]*frame.Compressor{"no compressor": nil, "another dictionary": other} {
+		bytes := trafficOfCalls(c, "here", "there", dialers, compressor)
+		c.Assert(bytes > uncompressed*9/10, qt.IsTrue, qt.Commentf("%s: %d bytes, %d uncompressed", name, bytes, uncompressed))
 	}
 }
 
-// bytesOfCalls makes calls between two nodes.
-func bytesOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Compressor) int64 {
+// trafficOfCalls returns the bytes on the wire of 100 calls between two nodes.
+func trafficOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Compressor) int64 {
 	backend := &staticBackend{}
 	server, stop, err := NewServer(ServerOptions{
 		Address:    "127.0.0.1:0",
--- a/io/nodepeer/handover_test.go
+++ b/io/nodepeer/handover_test.go
@@ -16,12 +16,12 @@
 	"parsleyport/core/idempotency"
 )
 
-// fleet is a core.EndpointSource of nodes that can be restarted.
+// testCluster is a core.EndpointSource of nodes that can be restarted.
 type testCluster struct {
 	mu        sync.Mutex
 	endpoints [4]core.Endpoint
-	networks  map[string]*fakeNetwork // of each run, by its address
-	accepted  time.Time               // the service's record
+	networks  map[string]*fakeNetwork // by the address of a run
+	accepted  time.Time               // when the service's record was accepted
 }
 
 func (f *testCluster) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -45,23 +45,23 @@
 	return slices.Clone(f.endpoints[:3])
 }
 
-// start returns a run of a node; the last one of the fleet is an entry node that holds no keys.
-func (f *testCluster) startNode(c *qt.C, i int, run core.Incarnation) (*Server, *Claims, func()) {
-	address, n := fmt.Sprint(i, "-", run), newFakeNetwork()
+// startNode starts a run of a node. The last node of the cluster is an entry node that holds no keys.
+func (f *testCluster) startNode(c *qt.C, i int, incarnation core.Incarnation) (*Server, *Claims, func()) {
+	address, n := fmt.Sprint(i, "-", incarnation), newFakeNetwork()
 	server, stopServer, err := NewServer(ServerOptions{Listener: n})
 	c.Assert(err, qt.IsNil)
 	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: f.dial})
 	c.Assert(err, qt.IsNil)
 	f.mu.Lock()
 	f.networks[address] = n
-	f.endpoints[i] = core.Endpoint{Node: core.NodeID(fmt.Sprint(i)), Service: "orders", Address: address, Incarnation: run}
+	f.endpoints[i] = core.Endpoint{Node: core.NodeID(fmt.Sprint(i)), Service: "orders", Address: address, Incarnation: incarnation}
 	f.mu.Unlock()
 	if i < 3 {
 		server.SetAnnounced("orders", true)
 	}
 	claims, stopClaims, err := NewClaims(ClaimsOptions{
-		Self: core.NodeID(fmt.Sprint(i)), Incarnation: run, Server: server, Dialer: dialer, Endpoints: f,
-		Services:     func() []core.ServiceName { return nil }, // a claim observes its own
+		Self: core.NodeID(fmt.Sprint(i)), Incarnation: incarnation, Server: server, Dialer: dialer, Endpoints: f,
+		Services:     func() []core.ServiceName { return nil }, // claims observe the service
 		ServiceSince: func(core.ServiceName) (time.Time, bool) { return f.accepted, true },
 	})
 	c.Assert(err, qt.IsNil)
@@ -70,10 +70,10 @@
 	return server, claims, stop
 }
 
-// Guards against a rolling restart after which a resend runs again, waits for nodes that have gone, or no keyed call is
-// taken at all, because every holder has forgotten.
+// Guards against a rolling restart after which every holder has lost its keys, so that a resend runs again, waits for stopped
+// nodes, or is answered with unknown.
 func TestKeysSurviveRollingRestart(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { rollingRestart(qt.New(t)) }) // ages lose the time of the transfers, here none
+	synctest.Test(t, func(t *testing.T) { rollingRestart(qt.New(t)) }) // transfers take no time here and so lose none of the ages
 }
 
 func rollingRestart(c *qt.C) {
@@ -84,7 +84,7 @@
 		_, claims[i], stops[i] = f.startNode(c, i, 1)
 	}
 	f.accepted = time.Now()
-	time.Sleep(time.Second) // nodes that start together with a claim cannot vouch for the time before
+	time.Sleep(time.Second) // nodes that start at the time of a claim do not know whether it was made before
 	entry := claims[3]
 	first := keyedCall(1)
 	verdict, _ := entry.Claim(context.Background(), first)
@@ -94,7 +94,7 @@
 	for i := range 3 {
 		c.Assert(claims[i].HandOver(context.Background()), qt.IsNil)
 		handedOver := keyedCall(10 + i)
-		verdict, _ = entry.Claim(context.Background(), handedOver) // the two others are a majority
+		verdict, _ = entry.Claim(context.Background(), handedOver) // the two other holders are a majority
 		c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 		entry.Settle(context.Background(), handedOver, idempotency.VerdictGranted, nil)
 		stops[i]()
@@ -102,7 +102,7 @@
 		server, claims[i], stops[i] = f.startNode(c, i, 2)
 		end := time.Now().Add(restoreTimeout)
 		for restored := false; !restored; time.Sleep(restoreRetryInterval) {
-			c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("node %d has no memory", i))
+			c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("node %d has not restored its keys", i))
 			server.mu.Lock()
 			member, _ := server.membershipAges(time.Now(), "orders")
 			restored = !time.Now().Add(-member).After(f.accepted)
@@ -120,8 +120,8 @@
 	c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 }
 
-// Guards against an entry node that has just started and answers keyed calls with unknown, because it takes holders that
-// were restarted for newcomers.
+// Guards against a newly started entry node that answers keyed calls with unknown, because it treats restarted holders as newly
+// joined.
 func TestStartedEntryNodeAdoptsHolderAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -133,7 +133,7 @@
 		}
 		f.accepted = time.Now()
 		time.Sleep(time.Second)
-		verdict, _ := claims[2].Claim(context.Background(), keyedCall(1)) // from here on, node 2 knows the others
+		verdict, _ := claims[2].Claim(context.Background(), keyedCall(1)) // node 2 observes the other nodes from now on
 		c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 		time.Sleep(time.Minute)
 		for _, i := range []int{0, 1, 3} {
@@ -146,17 +146,17 @@
 	})
 }
 
-// Guards against a memory that is given to two runs of a node, of which the second would not know the grants of the first,
-// and against one that is cut or too old.
+// Guards against a snapshot that is given to two runs of a node, of which the second would lack the keys granted by the first,
+// and against one that is incomplete or too old.
 func TestSnapshotIsFetchedByOneRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	k := make(heldSnapshots)
+	held := make(heldSnapshots)
 	ask := func(r handoverRequest) int {
 		r.Node = "n"
-		return k.handle(now, &r, false).Parts
+		return held.handle(now, &r, false).Parts
 	}
-	take := func(run core.Incarnation) int { return ask(handoverRequest{Incarnation: run, Fetch: true}) }
+	take := func(incarnation core.Incarnation) int { return ask(handoverRequest{Incarnation: incarnation, Fetch: true}) }
 	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 0, Parts: 2}), qt.Equals, 2)
 	c.Assert(take(2), qt.Equals, 0) // the second part is missing
 	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 1, Parts: 2}), qt.Equals, 2)
@@ -167,7 +167,7 @@
 	c.Assert(ask(handoverRequest{Incarnation: 2, Part: 0, Parts: 1}), qt.Equals, 1)
 	now = now.Add(idempotency.Window + 1)
 	c.Assert(take(3), qt.Equals, 0)
-	c.Assert(k, qt.HasLen, 0)
-	c.Assert(k.handle(now, &handoverRequest{Node: "n", Parts: 1}, true).Parts, qt.Equals, 0) // this node leaves too
+	c.Assert(held, qt.HasLen, 0)
+	c.Assert(held.handle(now, &handoverRequest{Node: "n", Parts: 1}, true).Parts, qt.Equals, 0) // this node is leaving too
 	c.Assert(ask(handoverRequest{Parts: 1, Entries: []idempotency.Entry{{Answer: &idempotency.RecordedAnswer{Body: make([]byte, maxSnapshotBytes)}}}}), qt.Equals, 0)
 }
--- a/io/nodepeer/keepalive_test.go
+++ b/io/nodepeer/keepalive_test.go
@@ -17,8 +17,8 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against waiting for the deadline on a connection that has gone silent, and against calling its queued calls
-// unknown or its running ones not run.
+// Guards against calls that wait for their deadline on a silent connection, against queued calls reported as unknown, and
+// against running calls reported as not run.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, running := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -34,27 +34,27 @@
 				<-ctx.Done()
 				return nil, core.OutcomeUnknown, ctx.Err()
 			}
-			b.network.decide = func(number int, direction bool, kind frame.Type) frameAction {
+			b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 				if number == 1 && (kind == typePing || kind == typePong) {
 					return blackhole
 				}
 				return pass
 			}
 			began := time.Now()
-			_, outcome, _ := b.forward(callFor("first", nil))
+			_, outcome, _ := b.call(callFor("first", nil))
 			c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue, qt.Commentf("took %v", time.Since(began)))
 			if running {
 				c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 			} else {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 			}
-			_, outcome, _ = b.forward(callFor("second", nil))
+			_, outcome, _ = b.call(callFor("second", nil))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 	}
 }
 
-// Guards against taking a pause of this process for a silent peer, and its running calls for unknown.
+// Guards against a pause of this process that is counted as silence of the peer, so that running calls become unknown.
 func TestProcessPauseIsNotCountedAsSilence(t *testing.T) {
 	c := qt.New(t)
 	near, far := net.Pipe()
@@ -72,10 +72,10 @@
 		now = now.Add(checkInterval)
 	}
 	c.Assert(dialer.silent.Get(), qt.Equals, uint64(1))
-	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceTimeout) // 5 s of pause
+	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceTimeout) // the pause takes 5 s
 }
 
-// Guards against a call or claim that begins on a connection that is being closed as idle, and so becomes unknown.
+// Guards against a call or claim that starts on a connection while it is closed as idle, and so becomes unknown.
 func TestNothingStartsOnClosingConnection(t *testing.T) {
 	c := qt.New(t)
 	b := newTestPair(t, 1)
@@ -95,7 +95,7 @@
 					c.Check(err, qt.IsNil)
 					return
 				}
-				answer, outcome, err := b.forward(callFor(fmt.Sprint(i), nil))
+				answer, outcome, err := b.call(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered, qt.Commentf("error %v", err))
 				if answer != nil {
 					_, err = io.ReadAll(answer.Body)
--- a/io/nodepeer/network_test.go
+++ b/io/nodepeer/network_test.go
@@ -16,16 +16,16 @@
 	"parsleyport/io/frame"
 )
 
-// action is what the network does with one frame.
+// frameAction is what the network does with a frame.
 type frameAction int
 
 const (
 	pass        frameAction = iota
-	closeBefore             // the connection ends before this frame
-	closeAfter              // the connection ends after this frame
-	blackhole               // nothing passes on this connection in this direction any more
-	delay                   // waits for network.release and then passes
-	corrupt                 // the last byte is changed
+	closeBefore             // closes the connection instead of forwarding the frame
+	closeAfter              // forwards the frame and then closes the connection
+	blackhole               // drops this and all later frames of the connection in this direction
+	delay                   // forwards the frame once fakeNetwork.release is closed
+	corrupt                 // changes the last byte
 )
 
 const (
@@ -33,10 +33,10 @@
 	toDialer = false
 )
 
-// network joins dialers and a server by pipes and decides on every frame. It reads what it swallows, as a kernel does
-// for a peer that has gone silent.
+// fakeNetwork connects dialers and a server by pipes and decides what happens to each frame. It reads dropped frames too, as
+// the kernel does for a process that has stopped responding.
 type fakeNetwork struct {
-	decide  func(connection int, toServer bool, kind frame.Type) frameAction
+	actionFor  func(connection int, toServer bool, kind frame.Type) frameAction
 	release chan struct{}
 	accept  chan net.Conn
 	closed  chan struct{}
@@ -49,7 +49,7 @@
 
 func newFakeNetwork() *fakeNetwork {
 	return &fakeNetwork{
-		decide:  func(int, bool, frame.Type) frameAction { return pass },
+		actionFor:  func(int, bool, frame.Type) frameAction { return pass },
 		release: make(chan struct{}),
 		accept:  make(chan net.Conn),
 		closed:  make(chan struct{}),
@@ -99,7 +99,7 @@
 		if _, err := io.ReadFull(from, rest); err != nil {
 			return
 		}
-		action := n.decide(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
+		action := n.actionFor(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
 		silent = silent || action == blackhole
 		if silent {
 			continue
@@ -137,7 +137,7 @@
 	b.runs[id]++
 }
 
-// Handle runs the call, unless a handler is set.
+// Handle calls the handler if one is set; otherwise it counts the run and returns the body.
 func (b *countingBackend) Handle(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 	if b.handle != nil {
 		return b.handle(ctx, call)
@@ -150,13 +150,13 @@
 	return &core.Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body))}
 }
 
-// queueUntilCancelled is the handler of a backend whose queue never moves.
+// queueUntilCancelled is the handler of a backend whose queue never advances.
 func queueUntilCancelled(ctx context.Context, _ *core.Call) (*core.Answer, core.Outcome, error) {
 	<-ctx.Done()
 	return nil, core.OutcomeNotRun, &core.Refusal{Cause: core.CauseRevoked}
 }
 
-// bench is one dialer and one server, joined by a network.
+// testPair is a dialer and a server, connected by a fakeNetwork.
 type testPair struct {
 	network *fakeNetwork
 	backend *countingBackend
@@ -168,7 +168,7 @@
 func newTestPair(t *testing.T, connections int) *testPair {
 	b := &testPair{network: newFakeNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
 	b.startServer(t)
-	time.Sleep(time.Second) // a server that starts together with the dial cannot vouch for the time before
+	time.Sleep(time.Second) // a server that starts at the time of the dial does not know of earlier attempts
 	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: b.network.dial, ConnectionsPerPeer: connections})
 	if err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 	return &core.Call{ID: core.CallID(id), Method: "POST", Target: "/", Body: body, Deadline: time.Now().Add(20 * time.Second)}
 }
 
-func (b *testPair) forward(call *core.Call) (*core.Answer, core.Outcome, error) {
+func (b *testPair) call(call *core.Call) (*core.Answer, core.Outcome, error) {
 	return b.dialer.Forward(context.Background(), core.Endpoint{Node: "b", Address: "b"}, call)
 }
 
--- a/io/nodepeer/nodepeer_test.go
+++ b/io/nodepeer/nodepeer_test.go
@@ -20,27 +20,28 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against a second run, a false not-run and a part taken for the whole, whichever message a connection is cut at.
+// Guards against a second run, a wrong not-run, and a partial body taken for a complete one when a connection is cut at any
+// message.
 func TestConnectionCutAtEachMessage(t *testing.T) {
 	for _, action := range []frameAction{closeBefore, closeAfter} {
 		for position := int64(1); ; position++ {
 			cut := false
 			synctest.Test(t, func(t *testing.T) { cut = cutAt(t, action, position) })
 			if !cut {
-				qt.Assert(t, position > 12, qt.IsTrue) // hello, welcome, open, 4 of the body, head, 4 of the answer, ends
+				qt.Assert(t, position > 12, qt.IsTrue) // hello, welcome, open, 4 body, head, 4 answer-body and the ends
 				break
 			}
 		}
 	}
 }
 
-// cutAt returns false if the call needs fewer messages than that.
+// cutAt cuts the connection at a message. It returns false if the call ends before that message.
 func cutAt(t *testing.T, action frameAction, position int64) bool {
 	c := qt.New(t)
 	b := newTestPair(t, 1)
 	var frames atomic.Int64
 	var cut atomic.Bool
-	b.network.decide = func(int, bool, frame.Type) frameAction {
+	b.network.actionFor = func(int, bool, frame.Type) frameAction {
 		if frames.Add(1) == position {
 			cut.Store(true)
 			return action
@@ -48,16 +49,16 @@
 		return pass
 	}
 	call := callFor("once", longBody("abc"))
-	for range 5 { // as for a call that is not idempotent: again only after not-run
+	for range 5 { // as for a call that is not idempotent, which is retried only after not-run
 		ranBefore := b.backend.runCount("once")
-		answer, outcome, err := b.forward(call)
+		answer, outcome, err := b.call(call)
 		switch outcome {
 		case core.OutcomeNotRun:
 			c.Assert(b.backend.runCount("once"), qt.Equals, ranBefore)
 			continue
 		case core.OutcomeAnswered:
 			got, readErr := io.ReadAll(answer.Body)
-			c.Assert(readErr != nil || bytes.Equal(got, call.Body), qt.IsTrue, qt.Commentf("%d bytes pass for the whole", len(got)))
+			c.Assert(readErr != nil || bytes.Equal(got, call.Body), qt.IsTrue, qt.Commentf("%d bytes taken for the complete body", len(got)))
 			c.Assert(answer.Body.Close(), qt.IsNil)
 		default:
 			c.Assert(err, qt.IsNotNil)
@@ -69,7 +70,7 @@
 	return cut.Load()
 }
 
-// Guards against an answer that reaches another call when answers come late and in another order.
+// Guards against an answer that is delivered to another call when answers arrive late and out of order.
 func TestAnswersOutOfOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -84,7 +85,7 @@
 		for i := range 50 {
 			callers.Go(func() {
 				id := fmt.Sprint(i)
-				answer, outcome, _ := b.forward(callFor(id, nil))
+				answer, outcome, _ := b.call(callFor(id, nil))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 				got, err := io.ReadAll(answer.Body)
 				c.Check(err, qt.IsNil)
@@ -95,19 +96,19 @@
 	})
 }
 
-// Guards against a changed body that passes for the backend server's, in one frame or in many.
+// Guards against a corrupted body that is accepted, whether it is sent in one frame or several.
 func TestCorruptedBodyIsAnError(t *testing.T) {
 	for _, kind := range []frame.Type{typeAnswerBody, typeAnswerEnd, typeBody} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			b := newTestPair(t, 1)
-			b.network.decide = func(number int, _ bool, seen frame.Type) frameAction {
+			b.network.actionFor = func(number int, _ bool, seen frame.Type) frameAction {
 				if seen == kind && number == 1 {
 					return corrupt
 				}
 				return pass
 			}
-			answer, outcome, _ := b.forward(callFor("x", longBody("abc")))
+			answer, outcome, _ := b.call(callFor("x", longBody("abc")))
 			if kind == typeBody {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 				c.Assert(b.backend.runCount("x"), qt.Equals, 0)
@@ -120,9 +121,9 @@
 	}
 }
 
-// Guards against an answer that the backend server broke off and that passes for a whole one.
+// Guards against a body that the backend server has cut off and that is taken for a complete one.
 func TestTruncatedBodyIsAnError(t *testing.T) {
-	for _, stated := range []string{"", "9"} { // in several frames, and in one
+	for _, stated := range []string{"", "9"} { // the body is sent in several frames, and in one
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			b := newTestPair(t, 1)
@@ -132,7 +133,7 @@
 				answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte("part")), iotest.ErrReader(io.ErrUnexpectedEOF)))
 				return answer, core.OutcomeAnswered, nil
 			}
-			answer, outcome, err := b.forward(callFor("x", nil))
+			answer, outcome, err := b.call(callFor("x", nil))
 			if outcome == core.OutcomeAnswered {
 				_, err = io.ReadAll(answer.Body)
 			} else {
@@ -143,7 +144,7 @@
 	}
 }
 
-// Guards against a slow upload that is taken for a silent connection because the pings wait behind it.
+// Guards against a slow upload that is treated as a silent connection because pings wait behind the body.
 func TestSlowUploadIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -171,23 +172,23 @@
 	})
 }
 
-// Guards against a revocation over an idle connection of the pool that has gone silent together with the lost one.
+// Guards against a revocation over an idle connection of the pool that went silent together with the lost one.
 func TestRevocationUsesNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 2)
 		b.backend.handle = queueUntilCancelled
 		var silent atomic.Bool
-		b.network.decide = func(number int, _ bool, _ frame.Type) frameAction {
+		b.network.actionFor = func(number int, _ bool, _ frame.Type) frameAction {
 			if number <= 2 && silent.Load() {
 				return blackhole
 			}
 			return pass
 		}
 		var callers sync.WaitGroup
-		for i := range poolGrowthCalls + 1 { // the last call lets the pool grow
+		for i := range poolGrowthCalls + 1 { // the last call makes the pool grow
 			callers.Go(func() {
-				_, outcome, err := b.forward(callFor(fmt.Sprint(i), nil))
+				_, outcome, err := b.call(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeNotRun, qt.Commentf("error %v", err))
 			})
 			synctest.Wait()
@@ -200,13 +201,13 @@
 	})
 }
 
-// Guards against a queued call that runs after its connection was lost, for a caller that no longer listens.
+// Guards against a queued call that runs after its connection was lost, when its caller no longer waits for it.
 func TestLostConnectionCancelsQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
 		b.backend.handle = queueUntilCancelled
-		go func() { _, _, _ = b.forward(callFor("x", nil)) }()
+		go func() { _, _, _ = b.call(callFor("x", nil)) }()
 		synctest.Wait()
 		c.Assert(b.server.calls, qt.HasLen, 1)
 		b.dialer.close()
@@ -215,7 +216,7 @@
 	})
 }
 
-// Guards against taking a backend server that is slow for a connection that is dead.
+// Guards against a slow backend server that is treated as a dead connection.
 func TestSlowBackendKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -224,7 +225,7 @@
 			time.Sleep(15 * time.Second)
 			return answerWith([]byte("late")), core.OutcomeAnswered, nil
 		}
-		answer, outcome, _ := b.forward(callFor("x", nil))
+		answer, outcome, _ := b.call(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		got, err := io.ReadAll(answer.Body)
 		c.Assert(err, qt.IsNil)
@@ -233,20 +234,20 @@
 	})
 }
 
-// Guards against a run after not-run: the open is held up in the network and arrives after its revocation.
+// Guards against a call that runs after not-run, when the network delays its open until after the revocation.
 func TestOpenAfterRevocationNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := newTestPair(t, 1)
-		b.network.decide = func(number int, direction bool, kind frame.Type) frameAction {
+		b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toServer && kind == typeOpen {
 				return delay
 			}
 			return pass
 		}
 		began := time.Now()
-		_, outcome, err := b.forward(callFor("x", nil))
-		c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue) // although the ping cannot be written
+		_, outcome, err := b.call(callFor("x", nil))
+		c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue) // although the ping is blocked in its write
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(err, qt.ErrorMatches, "not run: revoked.*")
 		close(b.network.release)
@@ -255,7 +256,7 @@
 	})
 }
 
-// Guards against a not-run from a process that cannot know: the server that had the call has been replaced.
+// Guards against not-run from a restarted server, which does not know whether its previous process ran the call.
 func TestRevocationAtRestartedServerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -276,20 +277,20 @@
 			b.startServer(t)
 			close(restarted)
 		}()
-		b.network.decide = func(number int, direction bool, kind frame.Type) frameAction {
+		b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toDialer && kind == typeRefused {
 				return blackhole
 			}
 			return pass
 		}
-		_, outcome, _ := b.forward(callFor("x", nil))
+		_, outcome, _ := b.call(callFor("x", nil))
 		<-restarted
 		c.Assert(b.backend.runCount("x"), qt.Equals, 1)
 		c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 	})
 }
 
-// Guards against one caller that does not read its answer holding up the connection's other calls.
+// Guards against a caller that does not read its answer and thereby blocks the other calls of the connection.
 func TestSlowReaderDoesNotDelayOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -301,12 +302,12 @@
 			}
 			return answerWith([]byte("quick")), core.OutcomeAnswered, nil
 		}
-		slow, outcome, _ := b.forward(callFor("slow", nil))
+		slow, outcome, _ := b.call(callFor("slow", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		synctest.Wait()
 		c.Assert(slow.Body.(*answerBody).stream.unreadBytes <= answerWindowBytes, qt.IsTrue)
 		began := time.Now()
-		quick, outcome, _ := b.forward(callFor("quick", nil))
+		quick, outcome, _ := b.call(callFor("quick", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		_, err := io.ReadAll(quick.Body)
 		c.Assert(err, qt.IsNil)
@@ -324,7 +325,7 @@
 		c := qt.New(t)
 		b := newTestPair(t, 1)
 		b.network.refuse = true
-		_, outcome, err := b.forward(callFor("x", nil))
+		_, outcome, err := b.call(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		var refusal *core.Refusal
 		c.Assert(errors.As(err, &refusal), qt.IsTrue)
@@ -332,7 +333,7 @@
 	})
 }
 
-// Guards against a queued call that runs after its caller has given up, and against calling it unknown.
+// Guards against a queued call that runs after its caller has cancelled it, and against reporting it as unknown.
 func TestCancelledCallLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -347,7 +348,7 @@
 	})
 }
 
-// Guards against a planned stop that cuts off a begun call or takes a new one.
+// Guards against a planned stop that cuts off an accepted call or accepts a new one.
 func TestDrainFinishesBegunCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -357,7 +358,7 @@
 			return answerWith(longBody("abc")), core.OutcomeAnswered, nil
 		}
 		var opens atomic.Int64
-		b.network.decide = func(_ int, _ bool, kind frame.Type) frameAction {
+		b.network.actionFor = func(_ int, _ bool, kind frame.Type) frameAction {
 			if kind == typeOpen {
 				opens.Add(1)
 			}
@@ -365,7 +366,7 @@
 		}
 		begun := make(chan error, 1)
 		go func() {
-			answer, outcome, err := b.forward(callFor("begun", nil))
+			answer, outcome, err := b.call(callFor("begun", nil))
 			if outcome == core.OutcomeAnswered {
 				_, err = io.ReadAll(answer.Body)
 			}
@@ -376,21 +377,21 @@
 		began := time.Now()
 		go func() {
 			err := b.server.Drain(context.Background())
-			c.Check(time.Since(began), qt.Equals, 2*time.Second) // when the begun call ends
+			c.Check(time.Since(began), qt.Equals, 2*time.Second) // when the accepted call ends
 			drained <- err
 		}()
 		synctest.Wait()
-		_, outcome, err := b.forward(callFor("new", nil))
+		_, outcome, err := b.call(callFor("new", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(err, qt.ErrorMatches, "not run: leaving")
-		c.Assert(b.network.dials, qt.Equals, 1) // a leaving peer is not dialled for each call
+		c.Assert(b.network.dials, qt.Equals, 1) // calls to a leaving peer do not dial it
 		c.Assert(opens.Load(), qt.Equals, int64(1))
 		c.Assert(<-begun, qt.IsNil)
 		c.Assert(<-drained, qt.IsNil)
 	})
 }
 
-// Guards against a panic or an endless loop on messages that a broken peer sends.
+// Guards against a panic or an endless loop on invalid messages from a peer.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeOpen), 0x80})
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeHead), 0x80})
