--- a/io/nodepeer/bench_test.go
+++ b/io/nodepeer/bench_test.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	benchPeers = 2700
-	benchBusyPeers  = 100
+	benchPeers     = 2700
+	benchBusyPeers = 100
 	benchDuration  = 3 * time.Second
 )
 
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -299,8 +299,8 @@
 	return c.askRemote(ctx, holder.Address, message, holderTimeout)
 }
 
-func (c *Claims) askRemote(ctx context.Context, address string, message keyMessage, limit time.Duration) (keyReply, error) {
-	limited, cancel := context.WithTimeout(ctx, limit)
+func (c *Claims) askRemote(ctx context.Context, address string, message keyMessage, timeout time.Duration) (keyReply, error) {
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var reply keyReply
 	err := retryUnsent(func() error {
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -33,9 +33,9 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	dials    *metrics.Counter
-	failures *metrics.Counter
-	silent   *metrics.Counter
+	dials             *metrics.Counter
+	failures          *metrics.Counter
+	silentConnections *metrics.Counter
 
 	mu       sync.Mutex
 	pools    map[string]*peerPool
@@ -68,13 +68,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dialer{
-		options:  options,
-		ctx:      ctx,
-		cancel:   cancel,
-		dials:    options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="connected"}`),
-		failures: options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
-		silent:   options.Metrics.GetOrCreateCounter("parsleyport_peer_silent_connections_total"),
-		pools:    make(map[string]*peerPool),
+		options:           options,
+		ctx:               ctx,
+		cancel:            cancel,
+		dials:             options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="connected"}`),
+		failures:          options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
+		silentConnections: options.Metrics.GetOrCreateCounter("parsleyport_peer_silent_connections_total"),
+		pools:             make(map[string]*peerPool),
 	}
 	return d, d.close, nil
 }
--- a/io/nodepeer/handover_test.go
+++ b/io/nodepeer/handover_test.go
@@ -156,7 +156,9 @@
 		r.Node = "n"
 		return held.handle(now, &r, false).Parts
 	}
-	take := func(incarnation core.Incarnation) int { return ask(handoverRequest{Incarnation: incarnation, Fetch: true}) }
+	take := func(incarnation core.Incarnation) int {
+		return ask(handoverRequest{Incarnation: incarnation, Fetch: true})
+	}
 	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 0, Parts: 2}), qt.Equals, 2)
 	c.Assert(take(2), qt.Equals, 0) // the second part is missing
 	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 1, Parts: 2}), qt.Equals, 2)
--- a/io/nodepeer/keepalive.go
+++ b/io/nodepeer/keepalive.go
@@ -85,7 +85,7 @@
 	c.mu.Unlock()
 	switch {
 	case silent:
-		c.dialer.silent.Inc()
+		c.dialer.silentConnections.Inc()
 		c.fail(errors.Annotate(errConnectionLost, "silent"))
 	case idle:
 		c.closeLost()
--- a/io/nodepeer/keepalive_test.go
+++ b/io/nodepeer/keepalive_test.go
@@ -71,7 +71,7 @@
 	for conn.check(now); !conn.lost && now.Before(began.Add(10*time.Second)); conn.check(now) {
 		now = now.Add(checkInterval)
 	}
-	c.Assert(dialer.silent.Get(), qt.Equals, uint64(1))
+	c.Assert(dialer.silentConnections.Get(), qt.Equals, uint64(1))
 	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceTimeout) // the pause takes 5 s
 }
 
--- a/io/nodepeer/network_test.go
+++ b/io/nodepeer/network_test.go
@@ -36,23 +36,23 @@
 // fakeNetwork connects dialers and a server by pipes and decides what happens to each frame. It reads dropped frames too, as
 // the kernel does for a process that has stopped responding.
 type fakeNetwork struct {
-	actionFor  func(connection int, toServer bool, kind frame.Type) frameAction
-	release chan struct{}
-	accept  chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
-	tasks   sync.WaitGroup
-	mu      sync.Mutex
-	dials   int
-	refuse  bool
+	actionFor func(connection int, toServer bool, kind frame.Type) frameAction
+	release   chan struct{}
+	accept    chan net.Conn
+	closed    chan struct{}
+	once      sync.Once
+	tasks     sync.WaitGroup
+	mu        sync.Mutex
+	dials     int
+	refuse    bool
 }
 
 func newFakeNetwork() *fakeNetwork {
 	return &fakeNetwork{
-		actionFor:  func(int, bool, frame.Type) frameAction { return pass },
-		release: make(chan struct{}),
-		accept:  make(chan net.Conn),
-		closed:  make(chan struct{}),
+		actionFor: func(int, bool, frame.Type) frameAction { return pass },
+		release:   make(chan struct{}),
+		accept:    make(chan net.Conn),
+		closed:    make(chan struct{}),
 	}
 }
 
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -84,19 +84,19 @@
 	}
 	switch received.Type {
 	case typeHello:
-		return decodeAndHandle(received, c.hello)
+		return decodeAndHandle(received, c.handleHello)
 	case typeOpen:
-		return decodeAndHandle(received, c.open)
+		return decodeAndHandle(received, c.handleOpen)
 	case typeBody:
-		return decodeAndHandle(received, c.body)
+		return decodeAndHandle(received, c.handleBody)
 	case typeBodyEnd:
-		return decodeAndHandle(received, c.bodyEnd)
+		return decodeAndHandle(received, c.handleBodyEnd)
 	case typeCancel:
-		return decodeAndHandle(received, c.cancelCall)
+		return decodeAndHandle(received, c.handleCancel)
 	case typeCredit:
-		return decodeAndHandle(received, c.addCredit)
+		return decodeAndHandle(received, c.handleCredit)
 	case typeRevoke:
-		return decodeAndHandle(received, c.revoke)
+		return decodeAndHandle(received, c.handleRevoke)
 	case typeKey:
 		return decodeAndHandle(received, c.handleKey)
 	case typePing:
@@ -121,7 +121,7 @@
 	return handle(message)
 }
 
-func (c *serverConn) hello(message helloMessage) error {
+func (c *serverConn) handleHello(message helloMessage) error {
 	s := c.server
 	s.mu.Lock()
 	connected := message.Connection != 0 && s.attempts.Connected(time.Now(), message.Connection)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (c *serverConn) open(message openMessage) error {
+func (c *serverConn) handleOpen(message openMessage) error {
 	s, now := c.server, time.Now()
 	key := c.attemptKey(message.Sequence)
 	if message.Length < 0 || message.Length > maxBodyBytes || len(message.Body) > message.Length {
@@ -246,15 +246,15 @@
 	})
 }
 
-func (c *serverConn) call(sequence uint64) *serverCall {
+func (c *serverConn) findCall(sequence uint64) *serverCall {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.server.calls[c.attemptKey(sequence)]
 }
 
-// body collects the chunks of a long body. The attempt starts only when the body is complete and its checksum is right.
-func (c *serverConn) body(message bodyMessage) error {
-	call := c.call(message.Sequence)
+// handleBody collects the chunks of a long body. The attempt starts only when the body is complete and its checksum is right.
+func (c *serverConn) handleBody(message bodyMessage) error {
+	call := c.findCall(message.Sequence)
 	if call == nil || call.started {
 		return nil // refused or cancelled while the body was in flight
 	}
@@ -265,8 +265,8 @@
 	return nil
 }
 
-func (c *serverConn) bodyEnd(message sequenceMessage) error {
-	call := c.call(message.Sequence)
+func (c *serverConn) handleBodyEnd(message sequenceMessage) error {
+	call := c.findCall(message.Sequence)
 	if call == nil || call.started {
 		return nil
 	}
@@ -289,7 +289,7 @@
 	return nil
 }
 
-func (c *serverConn) cancelCall(message sequenceMessage) error {
+func (c *serverConn) handleCancel(message sequenceMessage) error {
 	s := c.server
 	s.mu.Lock()
 	call := s.calls[c.attemptKey(message.Sequence)]
@@ -309,16 +309,16 @@
 	return nil
 }
 
-func (c *serverConn) addCredit(message creditMessage) error {
-	if call := c.call(message.Sequence); call != nil {
+func (c *serverConn) handleCredit(message creditMessage) error {
+	if call := c.findCall(message.Sequence); call != nil {
 		call.credit.add(message.Bytes)
 	}
 	return nil
 }
 
-// revoke replies at once unless the backend is handling the attempt; then the attempt is cancelled, and the reply follows
+// handleRevoke replies at once unless the backend is handling the attempt; then the attempt is cancelled, and the reply follows
 // when the outcome is known.
-func (c *serverConn) revoke(message revokeMessage) error {
+func (c *serverConn) handleRevoke(message revokeMessage) error {
 	s := c.server
 	key := idempotency.AttemptKey{
 		Connection: message.Connection,
