--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -30,7 +30,7 @@
 	maxUnresponsiveHolders = 1024
 )
 
-// errUnresponsive means that a holder did not reply to an earlier request in time, and to none since, or has handed its keys over.
+// errUnresponsive means that a holder missed a reply and has sent none since, or that it has handed its keys over.
 const errUnresponsive = errors.ConstError("holder is unresponsive")
 
 // keyMessage claims a key if Verdict is empty, settles it if Verdict is set, or carries a handover.
--- a/io/nodepeer/limits.go
+++ b/io/nodepeer/limits.go
@@ -10,9 +10,9 @@
 	// writeTimeout bounds one write, including the wait for other senders on a busy connection. Pings detect a silent peer
 	// much earlier.
 	writeTimeout = 10 * time.Second
-	// idleTimeout is the time after its latest call or request at which the dialer closes a connection (clientConn.idleUntil). It is
-	// shorter than serverIdleTimeout, so that the dialer closes first. An idle connection costs 13 KiB at both ends together;
-	// without it, the next call waits one round trip for a new connection.
+	// idleTimeout is the time after its latest call or request at which the dialer closes a connection (clientConn.idleUntil).
+	// It is shorter than serverIdleTimeout, so that the dialer closes first. An idle connection costs 13 KiB at both ends
+	// together; without it, the next call waits one round trip for a new connection.
 	idleTimeout       = time.Minute
 	serverIdleTimeout = 2 * time.Minute // far below idempotency.Window, so that no open arrives after its revocation has expired
 
