--- a/io/nodepeer/packing_test.go
+++ b/io/nodepeer/compressor_test.go
@@ -16,64 +16,64 @@
 	"parsleyport/io/frame"
 )
 
-// countedConn counts the bytes of a connection in both directions.
-type countedConn struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(data []byte) (int, error) {
+func (c countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(data []byte) (int, error) {
+func (c countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Guards against processes whose packings differ although their settings are the same: the order of a map differs.
-func TestPackingsOfEqualSettingsAreEqual(t *testing.T) {
+// Guards against processes with different dictionaries for the same settings, because maps are encoded in random order.
+func TestEqualSettingsGiveEqualCompressors(t *testing.T) {
 	c := qt.New(t)
-	first, err := NewPacking(core.DefaultHeaderNames())
+	first, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
 	for range 50 {
-		next, err := NewPacking(core.DefaultHeaderNames())
+		next, err := NewCompressor(core.DefaultHeaderNames())
 		c.Assert(err, qt.IsNil)
 		c.Assert(next.ID(), qt.Equals, first.ID())
 	}
-	others, err := NewPacking(core.HeaderNames{CallID: "X-Call"})
+	others, err := NewCompressor(core.HeaderNames{CallID: "X-Call"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(others.ID(), qt.Not(qt.Equals), first.ID())
 }
 
-// Guards against calls that are not packed between data centres, against work for packing within one, and against packed messages
-// to a peer that does not read them.
-func TestCallsBetweenDataCentresArePacked(t *testing.T) {
+// Guards against uncompressed calls between data centres, compression within one data centre, and compressed messages to a peer
+// that cannot read them.
+func TestCallsBetweenDataCentresAreCompressed(t *testing.T) {
 	c := qt.New(t)
-	packing, err := NewPacking(core.DefaultHeaderNames())
+	compressor, err := NewCompressor(core.DefaultHeaderNames())
 	c.Assert(err, qt.IsNil)
-	other, err := NewPacking(core.HeaderNames{})
+	other, err := NewCompressor(core.HeaderNames{})
 	c.Assert(err, qt.IsNil)
-	plain := bytesOfCalls(c, "here", "here", packing, packing)
-	packed := bytesOfCalls(c, "here", "there", packing, packing)
-	c.Assert(packed*2 < plain, qt.IsTrue, qt.Commentf("%d bytes, %d plain", packed, plain))
-	for name, dialers := range map[string]*frame.Compressor{"no packing": nil, "another packing": other} {
-		bytes := bytesOfCalls(c, "here", "there", dialers, packing)
-		c.Assert(bytes > plain*9/10, qt.IsTrue, qt.Commentf("%s: %d bytes, %d plain", name, bytes, plain))
+	uncompressed := trafficOfCalls(c, "here", "here", compressor, compressor)
+	compressed := trafficOfCalls(c, "here", "there", compressor, compressor)
+	c.Assert(compressed*2 < uncompressed, qt.IsTrue, qt.Commentf("%d bytes, %d uncompressed", compressed, uncompressed))
+	for name, dialers := range map[string]*frame.Compressor{"no compressor": nil, "another dictionary": other} {
+		bytes := trafficOfCalls(c, "here", "there", dialers, compressor)
+		c.Assert(bytes > uncompressed*9/10, qt.IsTrue, qt.Commentf("%s: %d bytes, %d uncompressed", name, bytes, uncompressed))
 	}
 }
 
-// bytesOfCalls makes calls between two nodes.
-func bytesOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Compressor) int64 {
-	backend := &handledBackend{}
+// trafficOfCalls returns the bytes on the wire of 100 calls between two nodes.
+func trafficOfCalls(c *qt.C, from, to core.DataCentre, dialers, servers *frame.Compressor) int64 {
+	backend := &staticBackend{}
 	server, stop, err := NewServer(ServerOptions{
 		Address:    "127.0.0.1:0",
 		Backend:    backend,
 		DataCentre: to,
-		Packing:    servers,
+		Compressor: servers,
 	})
 	c.Assert(err, qt.IsNil)
 	defer stop()
@@ -81,10 +81,10 @@
 	dialer, stopDialer, err := NewDialer(DialerOptions{
 		Self:       "self",
 		DataCentre: from,
-		Packing:    dialers,
+		Compressor: dialers,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-			return countedConn{Conn: conn, bytes: &bytes}, err
+			return countingConn{Conn: conn, bytes: &bytes}, err
 		},
 	})
 	c.Assert(err, qt.IsNil)
@@ -109,9 +109,9 @@
 	return bytes.Load()
 }
 
-type handledBackend struct{}
+type staticBackend struct{}
 
-func (*handledBackend) Handle(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
+func (*staticBackend) Handle(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 	return &core.Answer{
 		Status: http.StatusOK,
 		Header: http.Header{"Content-Type": {"application/json"}},
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -14,13 +14,13 @@
 	"parsleyport/io/frame"
 )
 
-// DialerOptions configures a Dialer. Calls to Self go to Local without a connection; Dial replaces a TCP dial.
+// DialerOptions configures a Dialer. Calls to Self go to Local without a connection. Dial, if set, replaces the TCP dial.
 type DialerOptions struct {
 	Self               core.NodeID
 	Local              core.Backend
-	ConnectionsPerPeer int // zero for 2
+	ConnectionsPerPeer int // maximum, 0 for 2
 	DataCentre         core.DataCentre
-	Packing            *frame.Compressor // for peers in other data centres; nil for none
+	Compressor         *frame.Compressor // for peers in other data centres; nil for no compression
 	Logger             zerolog.Logger
 	Metrics            *metrics.Set
 	Dial               func(ctx context.Context, address string) (net.Conn, error)
@@ -33,24 +33,24 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	dials    *metrics.Counter
-	failures *metrics.Counter
-	silent   *metrics.Counter
+	dials             *metrics.Counter
+	failures          *metrics.Counter
+	silentConnections *metrics.Counter
 
-	mu      sync.Mutex
-	peers   map[string]*peer
-	dialled uint64 // number of the latest dial
+	mu       sync.Mutex
+	pools    map[string]*peerPool
+	lastDial uint64 // number of the latest dial
 }
 
-// peer is the pool of one address; its fields belong to the dialer's lock.
-type peer struct {
+// peerPool holds the connections to one address. The dialer's lock guards its fields.
+type peerPool struct {
 	connections []*clientConn
-	dialing     chan struct{} // closed when the dial that is under way has ended
-	dialError   error         // of the latest dial
-	failed      time.Time     // latest failed dial
+	dialing     chan struct{} // closed when the dial in progress has ended; nil if there is none
+	dialError   error         // result of the latest dial
+	failedAt    time.Time     // time of the latest failed dial
 }
 
-// NewDialer returns a dialer; the clean-up function closes all connections and waits for the goroutines.
+// NewDialer returns a dialer. The cleanup function closes all connections and waits for the goroutines.
 func NewDialer(options DialerOptions) (*Dialer, func(), error) {
 	if options.Metrics == nil {
 		options.Metrics = metrics.NewSet()
@@ -68,13 +68,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dialer{
-		options:  options,
-		ctx:      ctx,
-		cancel:   cancel,
-		dials:    options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="connected"}`),
-		failures: options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
-		silent:   options.Metrics.GetOrCreateCounter("parsleyport_peer_silent_connections_total"),
-		peers:    make(map[string]*peer),
+		options:           options,
+		ctx:               ctx,
+		cancel:            cancel,
+		dials:             options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="connected"}`),
+		failures:          options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
+		silentConnections: options.Metrics.GetOrCreateCounter("parsleyport_peer_silent_connections_total"),
+		pools:             make(map[string]*peerPool),
 	}
 	return d, d.close, nil
 }
@@ -83,7 +83,7 @@
 	d.cancel()
 	d.mu.Lock()
 	var open []*clientConn
-	for _, p := range d.peers {
+	for _, p := range d.pools {
 		open = append(open, p.connections...)
 	}
 	d.mu.Unlock()
@@ -93,7 +93,7 @@
 	d.tasks.Wait()
 }
 
-// Forward implements core.Forwarder; the context must live until the answer's body is closed.
+// Forward implements core.Forwarder. The context must stay valid until the answer's body is closed.
 func (d *Dialer) Forward(ctx context.Context, to core.Endpoint, call *core.Call) (*core.Answer, core.Outcome, error) {
 	if to.Node == d.options.Self && d.options.Local != nil {
 		return d.options.Local.Handle(ctx, call)
@@ -120,7 +120,7 @@
 		}
 	}
 	if !s.conn.sendCall(s.sequence, call) {
-		return d.settle(ctx, address, s)
+		return d.resolveLostAttempt(ctx, address, s)
 	}
 	answer, refusal, err := s.await(ctx)
 	switch {
@@ -130,17 +130,17 @@
 		return nil, core.OutcomeNotRun, &core.Refusal{
 			Cause:  refusal.Cause,
 			Detail: refusal.Detail,
-			Load:   refusal.Load.load(),
+			Load:   refusal.Load.decode(),
 		}
 	case refusal != nil:
 		return nil, core.OutcomeUnknown, errors.New(refusal.Detail)
 	case errors.Is(err, errConnectionLost):
-		return d.settle(ctx, address, s)
+		return d.resolveLostAttempt(ctx, address, s)
 	}
 	return nil, core.OutcomeUnknown, err
 }
 
-// register takes a sequence on a live connection; an error means that nothing has been sent.
+// register assigns a live connection and a sequence number to an attempt. On an error nothing has been sent.
 func (d *Dialer) register(ctx context.Context, cancel context.CancelFunc, address string) (*stream, error) {
 	var s *stream
 	err := retryUnsent(func() error {
@@ -153,7 +153,7 @@
 	return s, err
 }
 
-// retryUnsent takes another connection as long as the one that was chosen is closed before its use.
+// retryUnsent repeats use with another connection as long as the chosen one is closed before anything is sent.
 func retryUnsent(use func() error) error {
 	for {
 		if err := use(); !errors.Is(err, errUnsent) {
@@ -162,15 +162,15 @@
 	}
 }
 
-// settle finds out over a new connection whether an attempt whose connection was lost has run. It is not-run only if
-// the same run of the server says that it has not begun and never will.
-func (d *Dialer) settle(ctx context.Context, address string, s *stream) (*core.Answer, core.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, revokeLimit)
+// resolveLostAttempt finds out over a new connection whether an attempt whose connection was lost has run. The outcome is
+// not-run only if the same process of the server confirms that the attempt has not started and never will.
+func (d *Dialer) resolveLostAttempt(ctx context.Context, address string, s *stream) (*core.Answer, core.Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	<-s.conn.done
 	revoked := false
 	err := retryUnsent(func() error {
-		c, err := d.connectionAfter(ctx, address, s.conn.lostBefore)
+		c, err := d.connectionAfter(ctx, address, s.conn.lastDialAtLoss)
 		if err == nil {
 			revoked, err = c.revoke(ctx, s)
 		}
@@ -188,10 +188,10 @@
 	}
 }
 
-// connection returns a connection for a call, or errLeaving if the peer has said that it takes none.
+// connection returns a connection for a call, or errLeaving if the peer has announced that it accepts no more calls.
 func (d *Dialer) connection(ctx context.Context, address string) (*clientConn, error) {
 	d.mu.Lock()
-	p := d.peers[address]
+	p := d.pools[address]
 	leaving := p != nil && p.leaving()
 	d.mu.Unlock()
 	if leaving {
@@ -200,18 +200,18 @@
 	return d.connectionAfter(ctx, address, 0)
 }
 
-// connectionAfter returns a connection whose dial has a greater number than the given one, dialling if need be. A
-// leaving peer still answers revocations and claims.
+// connectionAfter returns a connection whose dial number is greater than after, and dials if there is none. It works for a
+// leaving peer too, which still replies to revocations and claims.
 func (d *Dialer) connectionAfter(ctx context.Context, address string, after uint64) (*clientConn, error) {
 	for {
 		d.mu.Lock()
-		p, err := d.peer(address)
+		p, err := d.poolFor(address)
 		if err != nil {
 			d.mu.Unlock()
 			return nil, err
 		}
-		best, usable := p.best(after, time.Now())
-		if best != nil && (usable >= d.options.ConnectionsPerPeer || best.outstanding() < growAt || p.dialing != nil || time.Since(p.failed) < redialAfter) {
+		best, usable := p.leastLoaded(after, time.Now())
+		if best != nil && (usable >= d.options.ConnectionsPerPeer || best.callCount() < poolGrowthCalls || p.dialing != nil || time.Since(p.failedAt) < redialBackoff) {
 			d.mu.Unlock()
 			return best, nil
 		}
@@ -219,13 +219,13 @@
 		if wait == nil {
 			wait = make(chan struct{})
 			p.dialing = wait
-			d.dialled++
-			number := d.dialled
-			d.tasks.Go(func() { d.dial(address, p, number) })
+			d.lastDial++
+			dialNumber := d.lastDial
+			d.tasks.Go(func() { d.dial(address, p, dialNumber) })
 		}
 		d.mu.Unlock()
 		if best != nil {
-			return best, nil // the pool grows for the calls that follow
+			return best, nil // later calls use the new connection
 		}
 		select {
 		case <-wait:
@@ -241,64 +241,65 @@
 	}
 }
 
-// peer needs the lock; it drops pools without connections when there are too many.
-func (d *Dialer) peer(address string) (*peer, error) {
+// poolFor returns the pool of an address. If there are too many, it removes those without connections. It needs the lock.
+func (d *Dialer) poolFor(address string) (*peerPool, error) {
 	if d.ctx.Err() != nil {
 		return nil, errDialerClosed
 	}
-	if p := d.peers[address]; p != nil {
+	if p := d.pools[address]; p != nil {
 		return p, nil
 	}
-	if len(d.peers) >= maxPeers {
-		for each, p := range d.peers {
+	if len(d.pools) >= maxPeers {
+		for each, p := range d.pools {
 			if len(p.connections) == 0 && p.dialing == nil {
-				delete(d.peers, each)
+				delete(d.pools, each)
 			}
 		}
 	}
-	if len(d.peers) >= maxPeers {
+	if len(d.pools) >= maxPeers {
 		return nil, errors.Errorf("%d peers have connections, no more are allowed", maxPeers)
 	}
-	p := &peer{}
-	d.peers[address] = p
+	p := &peerPool{}
+	d.pools[address] = p
 	return p, nil
 }
 
-// best returns the connection with the fewest calls among those that are not suspected to be silent.
-func (p *peer) best(after uint64, now time.Time) (*clientConn, int) {
+// leastLoaded returns the connection with the fewest calls among the usable ones with a dial number greater than after, and
+// the number of usable ones. A connection that is suspected to be silent is not usable.
+func (p *peerPool) leastLoaded(after uint64, now time.Time) (*clientConn, int) {
 	var best *clientConn
 	fewest, usable := 0, 0
 	for _, c := range p.connections {
-		if c.number <= after || !c.usable(now) {
+		if c.dialNumber <= after || !c.usable(now) {
 			continue
 		}
 		usable++
-		if n := c.outstanding(); best == nil || n < fewest {
+		if n := c.callCount(); best == nil || n < fewest {
 			best, fewest = c, n
 		}
 	}
 	return best, usable
 }
 
-// leaving says whether the peer has sent goaway and its connections still live.
-func (p *peer) leaving() bool {
+// leaving reports whether the peer has sent goaway on a connection that is still open.
+func (p *peerPool) leaving() bool {
 	for _, c := range p.connections {
-		if c.saidGoaway() {
+		if c.isDraining() {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Dialer) dial(address string, p *peer, number uint64) {
-	ctx, cancel := context.WithTimeout(d.ctx, connectLimit)
+func (d *Dialer) dial(address string, p *peerPool, dialNumber uint64) {
+	ctx, cancel := context.WithTimeout(d.ctx, connectTimeout)
 	defer cancel()
-	dialled := time.Now()
+	dialStart := time.Now()
 	conn, err := d.options.Dial(ctx, address)
 	var c *clientConn
 	if err == nil {
-		c = newClientConn(d, p, conn, dialled, number)
-		err = c.greet()
+		c = newClientConn(d, p, conn, dialStart, dialNumber)
+		err = c.sendHello()
 	}
 	d.mu.Lock()
 	if err == nil && d.ctx.Err() != nil {
@@ -311,7 +312,7 @@
 		d.dials.Inc()
 		c.start()
 	} else {
-		p.failed = time.Now()
+		p.failedAt = time.Now()
 		d.failures.Inc()
 	}
 	close(p.dialing)
@@ -319,15 +320,15 @@
 	d.mu.Unlock()
 }
 
-// drop removes a connection from its pool and returns the number of the latest dial.
-func (d *Dialer) drop(c *clientConn) uint64 {
+// removeConnection removes a connection from its pool and returns the number of the latest dial.
+func (d *Dialer) removeConnection(c *clientConn) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, each := range c.peer.connections {
+	for i, each := range c.pool.connections {
 		if each == c {
-			c.peer.connections = append(c.peer.connections[:i], c.peer.connections[i+1:]...)
+			c.pool.connections = append(c.pool.connections[:i], c.pool.connections[i+1:]...)
 			break
 		}
 	}
-	return d.dialled
+	return d.lastDial
 }
--- a/io/nodepeer/check_test.go
+++ b/io/nodepeer/keepalive_test.go
@@ -17,13 +17,13 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against waiting for the deadline on a connection that has gone silent, and against calling its queued calls
-// unknown or its running ones not run.
+// Guards against calls that wait for their deadline on a silent connection, against queued calls reported as unknown, and
+// against running calls reported as not run.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, running := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, 1)
+			b := newTestPair(t, 1)
 			b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 				if call.ID != "first" {
 					return answerWith(nil), core.OutcomeAnswered, nil
@@ -34,28 +34,28 @@
 				<-ctx.Done()
 				return nil, core.OutcomeUnknown, ctx.Err()
 			}
-			b.network.decide = func(number int, direction bool, kind frame.Type) action {
+			b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 				if number == 1 && (kind == typePing || kind == typePong) {
-					return swallow
+					return blackhole
 				}
 				return pass
 			}
 			began := time.Now()
-			_, outcome, _ := b.forward(callFor("first", nil))
+			_, outcome, _ := b.call(callFor("first", nil))
 			c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue, qt.Commentf("took %v", time.Since(began)))
 			if running {
 				c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 			} else {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 			}
-			_, outcome, _ = b.forward(callFor("second", nil))
+			_, outcome, _ = b.call(callFor("second", nil))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 	}
 }
 
-// Guards against taking a pause of this process for a silent peer, and its running calls for unknown.
-func TestOwnPauseIsNoSilence(t *testing.T) {
+// Guards against a pause of this process that is counted as silence of the peer, so that running calls become unknown.
+func TestProcessPauseIsNotCountedAsSilence(t *testing.T) {
 	c := qt.New(t)
 	near, far := net.Pipe()
 	defer far.Close()
@@ -63,23 +63,23 @@
 	dialer, stop, err := NewDialer(DialerOptions{})
 	c.Assert(err, qt.IsNil)
 	defer stop()
-	conn := newClientConn(dialer, &peer{}, near, time.Now(), 1)
+	conn := newClientConn(dialer, &peerPool{}, near, time.Now(), 1)
 	_, err = conn.register(context.Background(), func() {})
 	c.Assert(err, qt.IsNil)
 	began := time.Now()
 	now := began.Add(5 * time.Second)
 	for conn.check(now); !conn.lost && now.Before(began.Add(10*time.Second)); conn.check(now) {
-		now = now.Add(checkEvery)
+		now = now.Add(checkInterval)
 	}
-	c.Assert(dialer.silent.Get(), qt.Equals, uint64(1))
-	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceLimit) // 5 s of pause
+	c.Assert(dialer.silentConnections.Get(), qt.Equals, uint64(1))
+	c.Assert(now.Sub(began), qt.Equals, 5*time.Second+silenceTimeout) // the pause takes 5 s
 }
 
-// Guards against a call or claim that begins on a connection that is being closed as idle, and so becomes unknown.
-func TestNothingBeginsOnAClosingConnection(t *testing.T) {
+// Guards against a call or claim that starts on a connection while it is closed as idle, and so becomes unknown.
+func TestNothingStartsOnClosingConnection(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, 1)
-	claims := &Claims{options: ClaimsOptions{Dialer: b.dialer}, silent: make(map[string]time.Time)}
+	b := newTestPair(t, 1)
+	claims := &Claims{options: ClaimsOptions{Dialer: b.dialer}, unresponsive: make(map[string]time.Time)}
 	for i := range 1000 {
 		conn, err := b.dialer.connectionAfter(context.Background(), "b", 0)
 		c.Assert(err, qt.IsNil)
@@ -91,11 +91,11 @@
 		for range 4 {
 			users.Go(func() {
 				if i%2 == 0 {
-					_, err := claims.askRemote(context.Background(), "b", keyMessage{Verdict: idempotency.VerdictUnknown}, silentLimit)
+					_, err := claims.askRemote(context.Background(), "b", keyMessage{Verdict: idempotency.VerdictUnknown}, probeTimeout)
 					c.Check(err, qt.IsNil)
 					return
 				}
-				answer, outcome, err := b.forward(callFor(fmt.Sprint(i), nil))
+				answer, outcome, err := b.call(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered, qt.Commentf("error %v", err))
 				if answer != nil {
 					_, err = io.ReadAll(answer.Body)
--- a/io/nodepeer/network_test.go
+++ b/io/nodepeer/network_test.go
@@ -16,16 +16,16 @@
 	"parsleyport/io/frame"
 )
 
-// action is what the network does with one frame.
-type action int
+// frameAction is what the network does with a frame.
+type frameAction int
 
 const (
-	pass    action = iota
-	cutHere        // the connection ends before this frame
-	cutNext        // the connection ends after this frame
-	swallow        // nothing passes on this connection in this direction any more
-	hold           // waits for network.release and then passes
-	corrupt        // the last byte is changed
+	pass        frameAction = iota
+	closeBefore             // closes the connection instead of forwarding the frame
+	closeAfter              // forwards the frame and then closes the connection
+	blackhole               // drops this and all later frames of the connection in this direction
+	delay                   // forwards the frame once fakeNetwork.release is closed
+	corrupt                 // changes the last byte
 )
 
 const (
@@ -33,30 +33,30 @@
 	toDialer = false
 )
 
-// network joins dialers and a server by pipes and decides on every frame. It reads what it swallows, as a kernel does
-// for a peer that has gone silent.
-type network struct {
-	decide  func(connection int, toServer bool, kind frame.Type) action
-	release chan struct{}
-	accept  chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
-	tasks   sync.WaitGroup
-	mu      sync.Mutex
-	dials   int
-	refuse  bool
-}
-
-func newNetwork() *network {
-	return &network{
-		decide:  func(int, bool, frame.Type) action { return pass },
-		release: make(chan struct{}),
-		accept:  make(chan net.Conn),
-		closed:  make(chan struct{}),
+// fakeNetwork connects dialers and a server by pipes and decides what happens to each frame. It reads dropped frames too, as
+// the kernel does for a process that has stopped responding.
+type fakeNetwork struct {
+	actionFor func(connection int, toServer bool, kind frame.Type) frameAction
+	release   chan struct{}
+	accept    chan net.Conn
+	closed    chan struct{}
+	once      sync.Once
+	tasks     sync.WaitGroup
+	mu        sync.Mutex
+	dials     int
+	refuse    bool
+}
+
+func newFakeNetwork() *fakeNetwork {
+	return &fakeNetwork{
+		actionFor: func(int, bool, frame.Type) frameAction { return pass },
+		release:   make(chan struct{}),
+		accept:    make(chan net.Conn),
+		closed:    make(chan struct{}),
 	}
 }
 
-func (n *network) Accept() (net.Conn, error) {
+func (n *fakeNetwork) Accept() (net.Conn, error) {
 	select {
 	case conn := <-n.accept:
 		return conn, nil
@@ -64,10 +64,10 @@
 		return nil, net.ErrClosed
 	}
 }
-func (n *network) Close() error   { n.once.Do(func() { close(n.closed) }); return nil }
-func (n *network) Addr() net.Addr { return &net.TCPAddr{} }
+func (n *fakeNetwork) Close() error   { n.once.Do(func() { close(n.closed) }); return nil }
+func (n *fakeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (n *network) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (n *fakeNetwork) dial(ctx context.Context, _ string) (net.Conn, error) {
 	n.mu.Lock()
 	n.dials++
 	number, refuse := n.dials, n.refuse
@@ -87,7 +87,7 @@
 	return near, nil
 }
 
-func (n *network) relay(number int, direction bool, from, to net.Conn) {
+func (n *fakeNetwork) relay(number int, direction bool, from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	for silent := false; ; {
@@ -99,20 +99,20 @@
 		if _, err := io.ReadFull(from, rest); err != nil {
 			return
 		}
-		verdict := n.decide(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
-		silent = silent || verdict == swallow
+		action := n.actionFor(number, direction, frame.Type(binary.BigEndian.Uint16(rest)))
+		silent = silent || action == blackhole
 		if silent {
 			continue
 		}
-		switch verdict {
-		case cutHere:
+		switch action {
+		case closeBefore:
 			return
-		case hold:
+		case delay:
 			<-n.release
 		case corrupt:
 			rest[len(rest)-1] ^= 1
 		}
-		if _, err := to.Write(append(head[:], rest...)); err != nil || verdict == cutNext {
+		if _, err := to.Write(append(head[:], rest...)); err != nil || action == closeAfter {
 			return
 		}
 	}
@@ -125,24 +125,24 @@
 	handle func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error)
 }
 
-func (b *countingBackend) ran(id core.CallID) int {
+func (b *countingBackend) runCount(id core.CallID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[id]
 }
 
-func (b *countingBackend) begin(id core.CallID) {
+func (b *countingBackend) countRun(id core.CallID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[id]++
 }
 
-// Handle runs the call, unless a handler is set.
+// Handle calls the handler if one is set; otherwise it counts the run and returns the body.
 func (b *countingBackend) Handle(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 	if b.handle != nil {
 		return b.handle(ctx, call)
 	}
-	b.begin(call.ID)
+	b.countRun(call.ID)
 	return answerWith(call.Body), core.OutcomeAnswered, nil
 }
 
@@ -150,25 +150,25 @@
 	return &core.Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body))}
 }
 
-// queueUntilCancelled is the handler of a backend whose queue never moves.
+// queueUntilCancelled is the handler of a backend whose queue never advances.
 func queueUntilCancelled(ctx context.Context, _ *core.Call) (*core.Answer, core.Outcome, error) {
 	<-ctx.Done()
 	return nil, core.OutcomeNotRun, &core.Refusal{Cause: core.CauseRevoked}
 }
 
-// bench is one dialer and one server, joined by a network.
-type bench struct {
-	network *network
+// testPair is a dialer and a server, connected by a fakeNetwork.
+type testPair struct {
+	network *fakeNetwork
 	backend *countingBackend
 	server  *Server
 	dialer  *Dialer
 	stop    func() // stops the server
 }
 
-func newBench(t *testing.T, connections int) *bench {
-	b := &bench{network: newNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
+func newTestPair(t *testing.T, connections int) *testPair {
+	b := &testPair{network: newFakeNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
 	b.startServer(t)
-	time.Sleep(time.Second) // a server that starts together with the dial cannot vouch for the time before
+	time.Sleep(time.Second) // a server that starts at the time of the dial does not know of earlier attempts
 	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: b.network.dial, ConnectionsPerPeer: connections})
 	if err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 	return b
 }
 
-func (b *bench) startServer(t *testing.T) {
+func (b *testPair) startServer(t *testing.T) {
 	var err error
 	if b.server, b.stop, err = NewServer(ServerOptions{Listener: b.network, Backend: b.backend}); err != nil {
 		t.Fatal(err)
@@ -193,8 +193,8 @@
 	return &core.Call{ID: core.CallID(id), Method: "POST", Target: "/", Body: body, Deadline: time.Now().Add(20 * time.Second)}
 }
 
-func (b *bench) forward(call *core.Call) (*core.Answer, core.Outcome, error) {
+func (b *testPair) call(call *core.Call) (*core.Answer, core.Outcome, error) {
 	return b.dialer.Forward(context.Background(), core.Endpoint{Node: "b", Address: "b"}, call)
 }
 
-func long(seed string) []byte { return []byte(strings.Repeat(seed, 100_000/len(seed))) }
+func longBody(seed string) []byte { return []byte(strings.Repeat(seed, 100_000/len(seed))) }
--- a/io/nodepeer/nodepeer_test.go
+++ b/io/nodepeer/nodepeer_test.go
@@ -20,44 +20,45 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against a second run, a false not-run and a part taken for the whole, whichever message a connection is cut at.
-func TestCutAtEachMessage(t *testing.T) {
-	for _, verdict := range []action{cutHere, cutNext} {
+// Guards against a second run, a wrong not-run, and a partial body taken for a complete one when a connection is cut at any
+// message.
+func TestConnectionCutAtEachMessage(t *testing.T) {
+	for _, action := range []frameAction{closeBefore, closeAfter} {
 		for position := int64(1); ; position++ {
 			cut := false
-			synctest.Test(t, func(t *testing.T) { cut = cutAt(t, verdict, position) })
+			synctest.Test(t, func(t *testing.T) { cut = cutAt(t, action, position) })
 			if !cut {
-				qt.Assert(t, position > 12, qt.IsTrue) // hello, welcome, open, 4 of the body, head, 4 of the answer, ends
+				qt.Assert(t, position > 12, qt.IsTrue) // hello, welcome, open, 4 body, head, 4 answer-body and the ends
 				break
 			}
 		}
 	}
 }
 
-// cutAt returns false if the call needs fewer messages than that.
-func cutAt(t *testing.T, verdict action, position int64) bool {
+// cutAt cuts the connection at a message. It returns false if the call ends before that message.
+func cutAt(t *testing.T, action frameAction, position int64) bool {
 	c := qt.New(t)
-	b := newBench(t, 1)
+	b := newTestPair(t, 1)
 	var frames atomic.Int64
 	var cut atomic.Bool
-	b.network.decide = func(int, bool, frame.Type) action {
+	b.network.actionFor = func(int, bool, frame.Type) frameAction {
 		if frames.Add(1) == position {
 			cut.Store(true)
-			return verdict
+			return action
 		}
 		return pass
 	}
-	call := callFor("once", long("abc"))
-	for range 5 { // as for a call that is not idempotent: again only after not-run
-		ranBefore := b.backend.ran("once")
-		answer, outcome, err := b.forward(call)
+	call := callFor("once", longBody("abc"))
+	for range 5 { // as for a call that is not idempotent, which is retried only after not-run
+		ranBefore := b.backend.runCount("once")
+		answer, outcome, err := b.call(call)
 		switch outcome {
 		case core.OutcomeNotRun:
-			c.Assert(b.backend.ran("once"), qt.Equals, ranBefore)
+			c.Assert(b.backend.runCount("once"), qt.Equals, ranBefore)
 			continue
 		case core.OutcomeAnswered:
 			got, readErr := io.ReadAll(answer.Body)
-			c.Assert(readErr != nil || bytes.Equal(got, call.Body), qt.IsTrue, qt.Commentf("%d bytes pass for the whole", len(got)))
+			c.Assert(readErr != nil || bytes.Equal(got, call.Body), qt.IsTrue, qt.Commentf("%d bytes taken for the complete body", len(got)))
 			c.Assert(answer.Body.Close(), qt.IsNil)
 		default:
 			c.Assert(err, qt.IsNotNil)
@@ -65,15 +66,15 @@
 		break
 	}
 	synctest.Wait()
-	c.Assert(b.backend.ran("once") <= 1, qt.IsTrue, qt.Commentf("cut at message %d", position))
+	c.Assert(b.backend.runCount("once") <= 1, qt.IsTrue, qt.Commentf("cut at message %d", position))
 	return cut.Load()
 }
 
-// Guards against an answer that reaches another call when answers come late and in another order.
+// Guards against an answer that is delivered to another call when answers arrive late and out of order.
 func TestAnswersOutOfOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			delay := time.Duration(0)
 			_, _ = fmt.Sscan(string(call.ID), (*int64)(&delay))
@@ -84,7 +85,7 @@
 		for i := range 50 {
 			callers.Go(func() {
 				id := fmt.Sprint(i)
-				answer, outcome, _ := b.forward(callFor(id, nil))
+				answer, outcome, _ := b.call(callFor(id, nil))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 				got, err := io.ReadAll(answer.Body)
 				c.Check(err, qt.IsNil)
@@ -95,44 +96,44 @@
 	})
 }
 
-// Guards against a changed body that passes for the backend server's, in one frame or in many.
+// Guards against a corrupted body that is accepted, whether it is sent in one frame or several.
 func TestCorruptedBodyIsAnError(t *testing.T) {
 	for _, kind := range []frame.Type{typeAnswerBody, typeAnswerEnd, typeBody} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, 1)
-			b.network.decide = func(number int, _ bool, seen frame.Type) action {
+			b := newTestPair(t, 1)
+			b.network.actionFor = func(number int, _ bool, seen frame.Type) frameAction {
 				if seen == kind && number == 1 {
 					return corrupt
 				}
 				return pass
 			}
-			answer, outcome, _ := b.forward(callFor("x", long("abc")))
+			answer, outcome, _ := b.call(callFor("x", longBody("abc")))
 			if kind == typeBody {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
-				c.Assert(b.backend.ran("x"), qt.Equals, 0)
+				c.Assert(b.backend.runCount("x"), qt.Equals, 0)
 				return
 			}
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			_, err := io.ReadAll(answer.Body)
-			c.Assert(errors.Is(err, ErrCorrupted) || errors.Is(err, ErrCut), qt.IsTrue, qt.Commentf("error %v", err))
+			c.Assert(errors.Is(err, ErrCorrupted) || errors.Is(err, ErrTruncated), qt.IsTrue, qt.Commentf("error %v", err))
 		})
 	}
 }
 
-// Guards against an answer that the backend server broke off and that passes for a whole one.
-func TestBrokenBodyIsAnError(t *testing.T) {
-	for _, stated := range []string{"", "9"} { // in several frames, and in one
+// Guards against a body that the backend server has cut off and that is taken for a complete one.
+func TestTruncatedBodyIsAnError(t *testing.T) {
+	for _, stated := range []string{"", "9"} { // the body is sent in several frames, and in one
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, 1)
+			b := newTestPair(t, 1)
 			b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 				answer := answerWith(nil)
 				answer.Header.Set("Content-Length", stated)
 				answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte("part")), iotest.ErrReader(io.ErrUnexpectedEOF)))
 				return answer, core.OutcomeAnswered, nil
 			}
-			answer, outcome, err := b.forward(callFor("x", nil))
+			answer, outcome, err := b.call(callFor("x", nil))
 			if outcome == core.OutcomeAnswered {
 				_, err = io.ReadAll(answer.Body)
 			} else {
@@ -143,11 +144,11 @@
 	}
 }
 
-// Guards against a slow upload that is taken for a silent connection because the pings wait behind it.
-func TestUploadShowsProgress(t *testing.T) {
+// Guards against a slow upload that is treated as a silent connection because pings wait behind the body.
+func TestSlowUploadIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		conn, err := b.network.dial(t.Context(), "b")
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
@@ -163,7 +164,7 @@
 		for heard, pongs := time.Now(), 0; pongs < 4; heard = time.Now() {
 			received, err := frames.Receive(time.Time{})
 			c.Assert(err, qt.IsNil)
-			c.Assert(time.Since(heard) < silenceLimit, qt.IsTrue)
+			c.Assert(time.Since(heard) < silenceTimeout, qt.IsTrue)
 			if received.Type == typePong {
 				pongs++
 			}
@@ -171,23 +172,23 @@
 	})
 }
 
-// Guards against a revocation over an idle connection of the pool that has gone silent together with the lost one.
-func TestRevocationTakesANewConnection(t *testing.T) {
+// Guards against a revocation over an idle connection of the pool that went silent together with the lost one.
+func TestRevocationUsesNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 2)
+		b := newTestPair(t, 2)
 		b.backend.handle = queueUntilCancelled
 		var silent atomic.Bool
-		b.network.decide = func(number int, _ bool, _ frame.Type) action {
+		b.network.actionFor = func(number int, _ bool, _ frame.Type) frameAction {
 			if number <= 2 && silent.Load() {
-				return swallow
+				return blackhole
 			}
 			return pass
 		}
 		var callers sync.WaitGroup
-		for i := range growAt + 1 { // the last call lets the pool grow
+		for i := range poolGrowthCalls + 1 { // the last call makes the pool grow
 			callers.Go(func() {
-				_, outcome, err := b.forward(callFor(fmt.Sprint(i), nil))
+				_, outcome, err := b.call(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeNotRun, qt.Commentf("error %v", err))
 			})
 			synctest.Wait()
@@ -200,13 +201,13 @@
 	})
 }
 
-// Guards against a queued call that runs after its connection was lost, for a caller that no longer listens.
-func TestLostConnectionEmptiesTheQueue(t *testing.T) {
+// Guards against a queued call that runs after its connection was lost, when its caller no longer waits for it.
+func TestLostConnectionCancelsQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = queueUntilCancelled
-		go func() { _, _, _ = b.forward(callFor("x", nil)) }()
+		go func() { _, _, _ = b.call(callFor("x", nil)) }()
 		synctest.Wait()
 		c.Assert(b.server.calls, qt.HasLen, 1)
 		b.dialer.close()
@@ -215,16 +216,16 @@
 	})
 }
 
-// Guards against taking a backend server that is slow for a connection that is dead.
+// Guards against a slow backend server that is treated as a dead connection.
 func TestSlowBackendKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 			time.Sleep(15 * time.Second)
 			return answerWith([]byte("late")), core.OutcomeAnswered, nil
 		}
-		answer, outcome, _ := b.forward(callFor("x", nil))
+		answer, outcome, _ := b.call(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		got, err := io.ReadAll(answer.Body)
 		c.Assert(err, qt.IsNil)
@@ -233,36 +234,36 @@
 	})
 }
 
-// Guards against a run after not-run: the open is held up in the network and arrives after its revocation.
+// Guards against a call that runs after not-run, when the network delays its open until after the revocation.
 func TestOpenAfterRevocationNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
-		b.network.decide = func(number int, direction bool, kind frame.Type) action {
+		b := newTestPair(t, 1)
+		b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toServer && kind == typeOpen {
-				return hold
+				return delay
 			}
 			return pass
 		}
 		began := time.Now()
-		_, outcome, err := b.forward(callFor("x", nil))
-		c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue) // although the ping cannot be written
+		_, outcome, err := b.call(callFor("x", nil))
+		c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue) // although the ping is blocked in its write
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(err, qt.ErrorMatches, "not run: revoked.*")
 		close(b.network.release)
 		time.Sleep(5 * time.Second)
-		c.Assert(b.backend.ran("x"), qt.Equals, 0)
+		c.Assert(b.backend.runCount("x"), qt.Equals, 0)
 	})
 }
 
-// Guards against a not-run from a process that cannot know: the server that had the call has been replaced.
+// Guards against not-run from a restarted server, which does not know whether its previous process ran the call.
 func TestRevocationAtRestartedServerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		started, restarted := make(chan struct{}), make(chan struct{})
 		b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
-			b.backend.begin(call.ID)
+			b.backend.countRun(call.ID)
 			close(started)
 			<-ctx.Done()
 			return nil, core.OutcomeUnknown, ctx.Err()
@@ -276,37 +277,37 @@
 			b.startServer(t)
 			close(restarted)
 		}()
-		b.network.decide = func(number int, direction bool, kind frame.Type) action {
+		b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toDialer && kind == typeRefused {
-				return swallow
+				return blackhole
 			}
 			return pass
 		}
-		_, outcome, _ := b.forward(callFor("x", nil))
+		_, outcome, _ := b.call(callFor("x", nil))
 		<-restarted
-		c.Assert(b.backend.ran("x"), qt.Equals, 1)
+		c.Assert(b.backend.runCount("x"), qt.Equals, 1)
 		c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 	})
 }
 
-// Guards against one caller that does not read its answer holding up the connection's other calls.
-func TestSlowReaderDelaysNobody(t *testing.T) {
+// Guards against a caller that does not read its answer and thereby blocks the other calls of the connection.
+func TestSlowReaderDoesNotDelayOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
-		big := bytes.Repeat([]byte("x"), 5*answerWindow)
+		b := newTestPair(t, 1)
+		big := bytes.Repeat([]byte("x"), 5*answerWindowBytes)
 		b.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			if call.ID == "slow" {
 				return answerWith(big), core.OutcomeAnswered, nil
 			}
 			return answerWith([]byte("quick")), core.OutcomeAnswered, nil
 		}
-		slow, outcome, _ := b.forward(callFor("slow", nil))
+		slow, outcome, _ := b.call(callFor("slow", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		synctest.Wait()
-		c.Assert(slow.Body.(*answerBody).stream.unread <= answerWindow, qt.IsTrue)
+		c.Assert(slow.Body.(*answerBody).stream.unreadBytes <= answerWindowBytes, qt.IsTrue)
 		began := time.Now()
-		quick, outcome, _ := b.forward(callFor("quick", nil))
+		quick, outcome, _ := b.call(callFor("quick", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		_, err := io.ReadAll(quick.Body)
 		c.Assert(err, qt.IsNil)
@@ -322,9 +323,9 @@
 func TestFailedConnectIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.network.refuse = true
-		_, outcome, err := b.forward(callFor("x", nil))
+		_, outcome, err := b.call(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		var refusal *core.Refusal
 		c.Assert(errors.As(err, &refusal), qt.IsTrue)
@@ -332,11 +333,11 @@
 	})
 }
 
-// Guards against a queued call that runs after its caller has given up, and against calling it unknown.
+// Guards against a queued call that runs after its caller has cancelled it, and against reporting it as unknown.
 func TestCancelledCallLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = queueUntilCancelled
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -347,17 +348,17 @@
 	})
 }
 
-// Guards against a planned stop that cuts off a begun call or takes a new one.
+// Guards against a planned stop that cuts off an accepted call or accepts a new one.
 func TestDrainFinishesBegunCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBench(t, 1)
+		b := newTestPair(t, 1)
 		b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 			time.Sleep(3 * time.Second)
-			return answerWith(long("abc")), core.OutcomeAnswered, nil
+			return answerWith(longBody("abc")), core.OutcomeAnswered, nil
 		}
 		var opens atomic.Int64
-		b.network.decide = func(_ int, _ bool, kind frame.Type) action {
+		b.network.actionFor = func(_ int, _ bool, kind frame.Type) frameAction {
 			if kind == typeOpen {
 				opens.Add(1)
 			}
@@ -365,7 +366,7 @@
 		}
 		begun := make(chan error, 1)
 		go func() {
-			answer, outcome, err := b.forward(callFor("begun", nil))
+			answer, outcome, err := b.call(callFor("begun", nil))
 			if outcome == core.OutcomeAnswered {
 				_, err = io.ReadAll(answer.Body)
 			}
@@ -376,27 +377,27 @@
 		began := time.Now()
 		go func() {
 			err := b.server.Drain(context.Background())
-			c.Check(time.Since(began), qt.Equals, 2*time.Second) // when the begun call ends
+			c.Check(time.Since(began), qt.Equals, 2*time.Second) // when the accepted call ends
 			drained <- err
 		}()
 		synctest.Wait()
-		_, outcome, err := b.forward(callFor("new", nil))
+		_, outcome, err := b.call(callFor("new", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(err, qt.ErrorMatches, "not run: leaving")
-		c.Assert(b.network.dials, qt.Equals, 1) // a leaving peer is not dialled for each call
+		c.Assert(b.network.dials, qt.Equals, 1) // calls to a leaving peer do not dial it
 		c.Assert(opens.Load(), qt.Equals, int64(1))
 		c.Assert(<-begun, qt.IsNil)
 		c.Assert(<-drained, qt.IsNil)
 	})
 }
 
-// Guards against a panic or an endless loop on messages that a broken peer sends.
+// Guards against a panic or an endless loop on invalid messages from a peer.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeOpen), 0x80})
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeHead), 0x80})
 	f.Add([]byte{0, 0, 0, 3, 0, byte(typeKey), 0x80, 0, 0, 0, 3, 0, byte(typeRevoke), 0x80})
 	backend := &countingBackend{runs: make(map[core.CallID]int)}
-	server, stop, err := NewServer(ServerOptions{Listener: newNetwork(), Backend: backend})
+	server, stop, err := NewServer(ServerOptions{Listener: newFakeNetwork(), Backend: backend})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -415,9 +416,9 @@
 		atServer := &serverConn{server: server, frames: frame.New(near, nil), ctx: ctx, cancel: cancel}
 		if server.attempts.Connected(time.Now(), 1) {
 			atServer.id = 1
-			defer server.forget(atServer)
+			defer server.removeConnection(atServer)
 		}
-		atDialer := newClientConn(dialer, &peer{}, near, time.Now(), 1)
+		atDialer := newClientConn(dialer, &peerPool{}, near, time.Now(), 1)
 		stream, _ := atDialer.register(ctx, func() {})
 		_ = stream
 		for reader := bytes.NewReader(input); ; {
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -12,36 +12,36 @@
 	"parsleyport/io/frame"
 )
 
-// serverConn is one connection from a dialer; serve is its only reader.
+// serverConn is one connection from a dialer. Only serve reads from it.
 type serverConn struct {
-	server *Server
-	frames *frame.Conn
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	id     uint64    // zero until hello
-	ponged time.Time // latest pong or welcome
+	server   *Server
+	frames   *frame.Conn
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	id       uint64    // zero until hello
+	lastPong time.Time // latest pong or welcome
 }
 
-// serverCall is one attempt; the fields below mu belong to the server's lock.
+// serverCall is one attempt. The server's lock guards the fields of the second group.
 type serverCall struct {
-	key    idempotency.AttemptKey
-	conn   *serverConn
-	call   *core.Call
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	credit *credit
-	length int
-	sum    uint64
+	key      idempotency.AttemptKey
+	conn     *serverConn
+	call     *core.Call
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	credit   *credit
+	length   int
+	checksum uint64
 
-	body     []byte
-	reserved int
-	handed   bool         // Handle has been called
-	outcome  core.Outcome // empty until Handle has returned
-	revokers []revoker
+	body               []byte
+	reservedBytes      int
+	started            bool         // run has been started, which calls Handle
+	outcome            core.Outcome // empty until Handle has returned
+	pendingRevocations []pendingRevocation
 }
 
-// revoker waits for the verdict on an attempt.
-type revoker struct {
+// pendingRevocation is a revocation that waits for the outcome of an attempt.
+type pendingRevocation struct {
 	conn  *serverConn
 	token uint64
 }
@@ -51,9 +51,9 @@
 	_ = c.frames.Close()
 }
 
-// send ends the connection if the message cannot be written.
+// send writes a message, and closes the connection and returns false if that fails.
 func (c *serverConn) send(kind frame.Type, message any) bool {
-	if err := c.frames.Send(time.Now().Add(writeLimit), kind, message); err != nil {
+	if err := c.frames.Send(time.Now().Add(writeTimeout), kind, message); err != nil {
 		c.fail(errConnectionLost)
 		return false
 	}
@@ -61,9 +61,9 @@
 }
 
 func (c *serverConn) serve() {
-	defer c.server.forget(c)
+	defer c.server.removeConnection(c)
 	for {
-		received, err := c.frames.Receive(time.Now().Add(serverIdleLimit))
+		received, err := c.frames.Receive(time.Now().Add(serverIdleTimeout))
 		if err != nil {
 			c.fail(errConnectionLost)
 			return
@@ -72,7 +72,7 @@
 			c.fail(err)
 			return
 		}
-		if time.Since(c.ponged) >= pingInterval {
+		if time.Since(c.lastPong) >= pingInterval {
 			c.pong()
 		}
 	}
@@ -80,40 +80,40 @@
 
 func (c *serverConn) dispatch(received frame.Frame) error {
 	if (c.id == 0) != (received.Type == typeHello) {
-		return errors.Annotatef(errProtocol, "message type %d", received.Type)
+		return errors.Annotatef(errProtocol, "unexpected message type %d", received.Type)
 	}
 	switch received.Type {
 	case typeHello:
-		return decoded(received, c.hello)
+		return decodeAndHandle(received, c.handleHello)
 	case typeOpen:
-		return decoded(received, c.open)
+		return decodeAndHandle(received, c.handleOpen)
 	case typeBody:
-		return decoded(received, c.body)
+		return decodeAndHandle(received, c.handleBody)
 	case typeBodyEnd:
-		return decoded(received, c.bodyEnd)
+		return decodeAndHandle(received, c.handleBodyEnd)
 	case typeCancel:
-		return decoded(received, c.cancelCall)
+		return decodeAndHandle(received, c.handleCancel)
 	case typeCredit:
-		return decoded(received, c.grant)
+		return decodeAndHandle(received, c.handleCredit)
 	case typeRevoke:
-		return decoded(received, c.revoke)
+		return decodeAndHandle(received, c.handleRevoke)
 	case typeKey:
-		return decoded(received, c.keepKey)
+		return decodeAndHandle(received, c.handleKey)
 	case typePing:
 		c.pong()
 		return nil
 	}
-	return errors.Annotatef(errProtocol, "message type %d", received.Type)
+	return errors.Annotatef(errProtocol, "unexpected message type %d", received.Type)
 }
 
-// pong tells the dialer that its bytes are read. It answers other messages too, since a ping may wait behind bodies for
-// longer than silenceLimit on a slow connection.
+// pong tells the dialer that its messages are being read. It is sent after other messages too, since a ping may be queued
+// behind bodies for longer than silenceTimeout on a slow connection.
 func (c *serverConn) pong() {
-	c.ponged = time.Now()
+	c.lastPong = time.Now()
 	c.send(typePong, emptyMessage{})
 }
 
-func decoded[T any](received frame.Frame, handle func(T) error) error {
+func decodeAndHandle[T any](received frame.Frame, handle func(T) error) error {
 	var message T
 	if err := received.Decode(&message); err != nil {
 		return err
@@ -121,7 +121,7 @@
 	return handle(message)
 }
 
-func (c *serverConn) hello(message helloMessage) error {
+func (c *serverConn) handleHello(message helloMessage) error {
 	s := c.server
 	s.mu.Lock()
 	connected := message.Connection != 0 && s.attempts.Connected(time.Now(), message.Connection)
@@ -130,23 +130,23 @@
 	if !connected {
 		return errors.Annotate(errProtocol, "hello")
 	}
-	c.id, c.ponged = message.Connection, time.Now()
-	packing := frame.CompressorID(0)
-	if message.DataCentre != s.options.DataCentre && message.Packing == s.options.Packing.ID() {
-		packing = message.Packing
+	c.id, c.lastPong = message.Connection, time.Now()
+	compressorID := frame.CompressorID(0)
+	if message.DataCentre != s.options.DataCentre && message.CompressorID == s.options.Compressor.ID() {
+		compressorID = message.CompressorID
 	}
 	c.send(typeWelcome, welcomeMessage{
-		RunningUS: time.Since(s.started).Microseconds(),
-		Packing:   packing,
+		RunningUS:    time.Since(s.started).Microseconds(),
+		CompressorID: compressorID,
 	})
-	c.frames.SetPeerCompressor(packing)
+	c.frames.SetPeerCompressor(compressorID)
 	if leaving {
 		c.send(typeGoaway, emptyMessage{})
 	}
 	return nil
 }
 
-func (s *Server) forget(c *serverConn) {
+func (s *Server) removeConnection(c *serverConn) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,24 +156,24 @@
 	}
 	s.attempts.Disconnected(now, c.id)
 	for key, call := range s.calls {
-		if call.conn == c && !call.handed {
-			s.end(call, false)
+		if call.conn == c && !call.started {
+			s.removeCall(call, false)
 			delete(s.calls, key)
 		}
 	}
-	s.signalIdle()
+	s.signalIfIdle()
 }
 
-func (c *serverConn) key(sequence uint64) idempotency.AttemptKey {
+func (c *serverConn) attemptKey(sequence uint64) idempotency.AttemptKey {
 	return idempotency.AttemptKey{
 		Connection: c.id,
 		Sequence:   sequence,
 	}
 }
 
-func (c *serverConn) open(message openMessage) error {
+func (c *serverConn) handleOpen(message openMessage) error {
 	s, now := c.server, time.Now()
-	key := c.key(message.Sequence)
+	key := c.attemptKey(message.Sequence)
 	if message.Length < 0 || message.Length > maxBodyBytes || len(message.Body) > message.Length {
 		return errors.Annotatef(errProtocol, "open with a body of %d bytes", message.Length)
 	}
@@ -191,28 +191,29 @@
 	}
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	call := &serverCall{
-		key:      key,
-		conn:     c,
-		call:     callOf(message, now),
-		ctx:      ctx,
-		cancel:   cancel,
-		credit:   newCredit(answerWindow),
-		length:   message.Length,
-		sum:      message.Sum,
-		body:     message.Body,
-		reserved: message.Length,
+		key:           key,
+		conn:          c,
+		call:          newCall(message, now),
+		ctx:           ctx,
+		cancel:        cancel,
+		credit:        newCredit(answerWindowBytes),
+		length:        message.Length,
+		checksum:      message.Checksum,
+		body:          message.Body,
+		reservedBytes: message.Length,
 	}
 	s.calls[key] = call
-	s.bodyBytes += call.reserved
+	s.bodyBytes += call.reservedBytes
 	s.mu.Unlock()
 	s.accepted.Inc()
 	if len(message.Body) == message.Length {
-		return c.hand(call)
+		return c.startCall(call)
 	}
 	return nil
 }
 
-// register needs the lock; it returns a cause to refuse the attempt or an error that ends the connection.
+// register records the attempt and returns a cause if it must be refused, or an error if the connection must be closed. It
+// needs the lock.
 func (s *Server) register(key idempotency.AttemptKey, message openMessage, now time.Time) (core.RefusalCause, error) {
 	switch s.attempts.Arrived(now, key) {
 	case idempotency.ArrivalRepeated:
@@ -226,7 +227,7 @@
 		cause = core.CauseLeaving
 	case message.RemainingUS <= 0:
 		cause = core.CauseDeadline
-	case len(s.calls) >= s.options.MaxCalls, s.bodyBytes+message.Length > maxBufferedBodies:
+	case len(s.calls) >= s.options.MaxCalls, s.bodyBytes+message.Length > maxBufferedBodyBytes:
 		cause = core.CauseQueueFull
 	}
 	if cause != "" {
@@ -241,21 +242,21 @@
 		Outcome:  outcome,
 		Cause:    refusal.Cause,
 		Detail:   refusal.Detail,
-		Load:     loadOf(refusal.Load),
+		Load:     newLoadMessage(refusal.Load),
 	})
 }
 
-func (c *serverConn) call(sequence uint64) *serverCall {
+func (c *serverConn) findCall(sequence uint64) *serverCall {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.server.calls[c.key(sequence)]
+	return c.server.calls[c.attemptKey(sequence)]
 }
 
-// body collects a long body; the attempt is handed over only when all of it is there and its sum is right.
-func (c *serverConn) body(message bodyMessage) error {
-	call := c.call(message.Sequence)
-	if call == nil || call.handed {
-		return nil // refused or cancelled while the body was on its way
+// handleBody collects the chunks of a long body. The attempt starts only when the body is complete and its checksum is right.
+func (c *serverConn) handleBody(message bodyMessage) error {
+	call := c.findCall(message.Sequence)
+	if call == nil || call.started {
+		return nil // refused or cancelled while the body was in flight
 	}
 	if len(call.body)+len(message.Bytes) > call.length {
 		return errors.Annotatef(errProtocol, "body of sequence %d is too long", message.Sequence)
@@ -264,18 +265,18 @@
 	return nil
 }
 
-func (c *serverConn) bodyEnd(message sequenceMessage) error {
-	call := c.call(message.Sequence)
-	if call == nil || call.handed {
+func (c *serverConn) handleBodyEnd(message sequenceMessage) error {
+	call := c.findCall(message.Sequence)
+	if call == nil || call.started {
 		return nil
 	}
-	return c.hand(call)
+	return c.startCall(call)
 }
 
-func (c *serverConn) hand(call *serverCall) error {
+func (c *serverConn) startCall(call *serverCall) error {
 	s := c.server
-	if len(call.body) != call.length || xxhash.Sum64(call.body) != call.sum {
-		return errors.Annotatef(errProtocol, "body of sequence %d is cut or corrupted", call.key.Sequence)
+	if len(call.body) != call.length || xxhash.Sum64(call.body) != call.checksum {
+		return errors.Annotatef(errProtocol, "body of sequence %d is truncated or corrupted", call.key.Sequence)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -283,18 +284,18 @@
 		return nil
 	}
 	call.call.Body = call.body
-	call.handed = true
+	call.started = true
 	s.tasks.Go(func() { s.run(call) })
 	return nil
 }
 
-func (c *serverConn) cancelCall(message sequenceMessage) error {
+func (c *serverConn) handleCancel(message sequenceMessage) error {
 	s := c.server
 	s.mu.Lock()
-	call := s.calls[c.key(message.Sequence)]
-	waiting := call != nil && !call.handed
+	call := s.calls[c.attemptKey(message.Sequence)]
+	waiting := call != nil && !call.started
 	if waiting {
-		s.end(call, false)
+		s.removeCall(call, false)
 	}
 	s.mu.Unlock()
 	if waiting {
@@ -308,15 +309,16 @@
 	return nil
 }
 
-func (c *serverConn) grant(message creditMessage) error {
-	if call := c.call(message.Sequence); call != nil {
+func (c *serverConn) handleCredit(message creditMessage) error {
+	if call := c.findCall(message.Sequence); call != nil {
 		call.credit.add(message.Bytes)
 	}
 	return nil
 }
 
-// revoke answers at once, unless the attempt is with the backend: then its end decides.
-func (c *serverConn) revoke(message revokeMessage) error {
+// handleRevoke replies at once unless the backend is handling the attempt; then the attempt is cancelled, and the reply follows
+// when the outcome is known.
+func (c *serverConn) handleRevoke(message revokeMessage) error {
 	s := c.server
 	key := idempotency.AttemptKey{
 		Connection: message.Connection,
@@ -327,15 +329,15 @@
 	call := s.calls[key]
 	if verdict == idempotency.RevocationPending && call != nil {
 		switch {
-		case !call.handed:
-			s.end(call, false)
+		case !call.started:
+			s.removeCall(call, false)
 			verdict = idempotency.RevocationDone
 		case call.outcome == core.OutcomeNotRun:
 			verdict = idempotency.RevocationDone
 		case call.outcome != "":
 			verdict = idempotency.RevocationTooLate
 		default:
-			call.revokers = append(call.revokers, revoker{
+			call.pendingRevocations = append(call.pendingRevocations, pendingRevocation{
 				conn:  c,
 				token: message.Token,
 			})
@@ -346,11 +348,11 @@
 		call.cancel(errRevoked)
 		return nil
 	}
-	c.answerRevocation(message.Token, verdict == idempotency.RevocationDone)
+	c.sendRevoked(message.Token, verdict == idempotency.RevocationDone)
 	return nil
 }
 
-func (c *serverConn) answerRevocation(token uint64, revoked bool) {
+func (c *serverConn) sendRevoked(token uint64, revoked bool) {
 	if revoked {
 		c.server.revoked.Inc()
 	} else {
@@ -362,14 +364,14 @@
 	})
 }
 
-// end needs the lock.
-func (s *Server) end(call *serverCall, ran bool) {
+// removeCall forgets a call and wakes Drain if it was the last. It needs the lock.
+func (s *Server) removeCall(call *serverCall, ran bool) {
 	if s.calls[call.key] != call {
 		return
 	}
 	delete(s.calls, call.key)
 	s.attempts.Ended(call.key, ran)
-	s.bodyBytes -= call.reserved
+	s.bodyBytes -= call.reservedBytes
 	call.cancel(nil)
-	s.signalIdle()
+	s.signalIfIdle()
 }
--- a/io/nodepeer/stream.go
+++ b/io/nodepeer/stream.go
@@ -13,28 +13,29 @@
 	"parsleyport/core"
 )
 
-// Errors of an answer's body; none of them is io.EOF.
+// Errors of reading an answer's body. None of them is io.EOF, so that a partial body cannot pass for a complete one.
 const (
-	// ErrCut means that the body ended before its end message, or that the backend server broke it off.
-	ErrCut = errors.ConstError("answer body was cut off")
-	// ErrCorrupted means that the body does not have the length and sum of its end message.
+	// ErrTruncated means that the body ended before its end message, or that the server could not read or send all of it.
+	ErrTruncated = errors.ConstError("answer body was cut off")
+	// ErrCorrupted means that the length or checksum of the body differs from that in its end message.
 	ErrCorrupted = errors.ConstError("answer body is corrupted")
 )
 
-// stream is one attempt at the dialer. The connection's reader adds to it, and one goroutine of the caller takes.
+// stream is one attempt at the dialer. The connection's reader adds messages to it, and one goroutine of the caller consumes
+// them.
 type stream struct {
 	conn     *clientConn
 	sequence uint64
 	cancel   context.CancelFunc
-	changed  chan struct{} // holds one token when something was added
+	changed  chan struct{} // has one element after a message was added
 
-	mu      sync.Mutex
-	head    *headMessage
-	refused *refusedMessage
-	chunks  [][]byte
-	unread  int // bytes in chunks
-	end     *answerEndMessage
-	closed  bool
+	mu          sync.Mutex
+	head        *headMessage
+	refused     *refusedMessage
+	chunks      [][]byte
+	unreadBytes int // bytes in chunks
+	end         *answerEndMessage
+	closed      bool
 }
 
 func newStream(c *clientConn, sequence uint64, cancel context.CancelFunc) *stream {
@@ -57,14 +58,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.head != nil || message.Status < 100 || message.Status > 999 {
-		return errors.Annotatef(errProtocol, "head of sequence %d", s.sequence)
+		return errors.Annotatef(errProtocol, "repeated or invalid head of sequence %d", s.sequence)
 	}
 	s.head = &message
 	if message.Whole {
 		s.chunks = append(s.chunks, message.Body)
 		s.end = &answerEndMessage{
-			Length: message.Length,
-			Sum:    message.Sum,
+			Length:   message.Length,
+			Checksum: message.Checksum,
 		}
 		s.conn.remove(s.sequence)
 	}
@@ -75,9 +76,9 @@
 func (s *stream) addChunk(bytes []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unread += len(bytes)
-	if s.head == nil || s.unread > answerWindow {
-		return errors.Annotatef(errProtocol, "answer body of sequence %d", s.sequence)
+	s.unreadBytes += len(bytes)
+	if s.head == nil || s.unreadBytes > answerWindowBytes {
+		return errors.Annotatef(errProtocol, "answer body before the head or beyond the window of sequence %d", s.sequence)
 	}
 	s.chunks = append(s.chunks, bytes)
 	s.signal()
@@ -88,7 +89,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.head == nil {
-		return errors.Annotatef(errProtocol, "answer end of sequence %d", s.sequence)
+		return errors.Annotatef(errProtocol, "answer end before the head of sequence %d", s.sequence)
 	}
 	s.end = &message
 	s.conn.remove(s.sequence)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// await waits for the head or the refusal; its error is errConnectionLost or the context's.
+// await waits for the head or the refusal. Its error is errConnectionLost or the context's error.
 func (s *stream) await(ctx context.Context) (*core.Answer, *refusedMessage, error) {
 	for {
 		s.mu.Lock()
@@ -123,7 +124,7 @@
 		select {
 		case <-s.changed:
 		case <-s.conn.done:
-			if s.arrived() {
+			if s.hasResult() {
 				continue
 			}
 			return nil, nil, errConnectionLost
@@ -134,19 +135,19 @@
 	}
 }
 
-func (s *stream) arrived() bool {
+func (s *stream) hasResult() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.head != nil || s.refused != nil
 }
 
-// abandon cancels the attempt and waits a short time for the peer's reply that it had not run.
+// abandon cancels the attempt and waits up to cancelReplyTimeout for the peer's reply that it has not run.
 func (s *stream) abandon(cause error) (*refusedMessage, error) {
 	defer s.conn.remove(s.sequence)
 	s.conn.send(typeCancel, sequenceMessage{
 		Sequence: s.sequence,
 	})
-	timer := time.NewTimer(verdictLimit)
+	timer := time.NewTimer(cancelReplyTimeout)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
@@ -169,7 +170,7 @@
 	return &core.Answer{
 		Status: head.Status,
 		Header: http.Header(head.Header),
-		Load:   head.Load.load(),
+		Load:   head.Load.decode(),
 		Body: &answerBody{
 			stream: s,
 			ctx:    ctx,
@@ -178,15 +179,15 @@
 	}
 }
 
-// answerBody checks length and sum before it returns io.EOF.
+// answerBody reads the body of an answer and verifies its length and checksum before it returns io.EOF.
 type answerBody struct {
-	stream  *stream
-	ctx     context.Context
-	digest  *xxhash.Digest
-	length  int64
-	chunk   []byte
-	ungiven int // bytes read since the latest credit
-	err     error
+	stream          *stream
+	ctx             context.Context
+	digest          *xxhash.Digest
+	length          int64
+	chunk           []byte
+	uncreditedBytes int // bytes read since the latest credit message
+	err             error
 }
 
 // Read implements io.Reader.
@@ -199,35 +200,35 @@
 	}
 	n := copy(target, b.chunk)
 	b.chunk = b.chunk[n:]
-	_, _ = b.digest.Write(target[:n]) // a Digest never fails
+	_, _ = b.digest.Write(target[:n]) // Digest.Write never returns an error
 	b.length += int64(n)
-	b.credit(n)
+	b.returnCredit(n)
 	return n, nil
 }
 
-func (b *answerBody) credit(n int) {
-	b.ungiven += n
-	if b.ungiven < answerWindow/2 {
+func (b *answerBody) returnCredit(n int) {
+	b.uncreditedBytes += n
+	if b.uncreditedBytes < answerWindowBytes/2 {
 		return
 	}
 	b.stream.mu.Lock()
 	ended := b.stream.end != nil
-	b.stream.unread -= b.ungiven
+	b.stream.unreadBytes -= b.uncreditedBytes
 	b.stream.mu.Unlock()
 	if !ended {
 		b.stream.conn.send(typeCredit, creditMessage{
 			Sequence: b.stream.sequence,
-			Bytes:    b.ungiven,
+			Bytes:    b.uncreditedBytes,
 		})
 	}
-	b.ungiven = 0
+	b.uncreditedBytes = 0
 }
 
 func (b *answerBody) verify(end *answerEndMessage) error {
 	switch {
 	case end.Fault != "":
-		return errors.Annotate(ErrCut, end.Fault)
-	case end.Length != b.length || end.Sum != b.digest.Sum64():
+		return errors.Annotate(ErrTruncated, end.Fault)
+	case end.Length != b.length || end.Checksum != b.digest.Sum64():
 		return errors.Annotatef(ErrCorrupted, "%d bytes, expected %d", b.length, end.Length)
 	}
 	return io.EOF
@@ -255,23 +256,23 @@
 		select {
 		case <-s.changed:
 		case <-s.conn.done:
-			if s.pending() {
+			if s.hasBodyEvent() {
 				continue
 			}
-			return nil, errors.Annotate(ErrCut, errConnectionLost.Error())
+			return nil, errors.Annotate(ErrTruncated, errConnectionLost.Error())
 		case <-ctx.Done():
-			return nil, errors.Annotate(ErrCut, ctx.Err().Error())
+			return nil, errors.Annotate(ErrTruncated, ctx.Err().Error())
 		}
 	}
 }
 
-func (s *stream) pending() bool {
+func (s *stream) hasBodyEvent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.chunks) > 0 || s.end != nil
 }
 
-// Close implements io.Closer; an attempt whose answer has not ended is cancelled.
+// Close implements io.Closer. It cancels the attempt if its answer has not ended.
 func (b *answerBody) Close() error {
 	s := b.stream
 	s.mu.Lock()
