--- a/io/cli/cause.go
+++ b/io/cli/cause.go
@@ -19,27 +19,27 @@
 	Event   string    `json:"event"`
 	Message string    `json:"message"`
 
-	Call     string             `json:"call"`
-	Outcome  core.Outcome       `json:"outcome"`
-	Status   int                `json:"status"`
-	Cause    core.RefusalCause  `json:"cause"`
-	Detail   string             `json:"detail"`
-	Error    string             `json:"error"`
-	Route    core.RouteName     `json:"route"`
-	Revision core.Revision      `json:"revision"`
-	Attempts int                `json:"attempts"`
-	TookMS   int64              `json:"took-ms"`
-	LeftMS   int64              `json:"left-ms"`
-	Late     bool               `json:"late"`
-	Endpoint string             `json:"endpoint"`
-	State    core.EndpointState `json:"state"`
-	Running  int                `json:"running"`
-	Waiting  int                `json:"waiting"`
-	Slots    int                `json:"slots"`
-	WorkMS   int64              `json:"service-ms"`
-	Parent   string             `json:"parent"`
-	Address  string             `json:"address"`
-	Peer     string             `json:"peer"`
+	Call          string             `json:"call"`
+	Outcome       core.Outcome       `json:"outcome"`
+	Status        int                `json:"status"`
+	Cause         core.RefusalCause  `json:"cause"`
+	Detail        string             `json:"detail"`
+	Error         string             `json:"error"`
+	Route         core.RouteName     `json:"route"`
+	Revision      core.Revision      `json:"revision"`
+	Attempts      int                `json:"attempts"`
+	TookMS        int64              `json:"took-ms"`
+	LeftMS        int64              `json:"left-ms"`
+	Late          bool               `json:"late"`
+	Endpoint      string             `json:"endpoint"`
+	State         core.EndpointState `json:"state"`
+	Running       int                `json:"running"`
+	Waiting       int                `json:"waiting"`
+	Slots         int                `json:"slots"`
+	ServiceTimeMS int64              `json:"service-ms"`
+	Parent        string             `json:"parent"`
+	Address       string             `json:"address"`
+	Peer          string             `json:"peer"`
 }
 
 // The events of lines that name a call.
@@ -48,29 +48,29 @@
 	eventNotAnswered = "call-not-answered"
 )
 
-func (l logLine) writer() string {
+func (l logLine) processName() string {
 	return lo.CoalesceOrEmpty(l.Process, l.Node, l.Control, "?")
 }
 
-func (l logLine) load() string {
+func (l logLine) describeLoad() string {
 	if l.Slots == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d running and %d waiting at %d slots, %d ms a call", l.Running, l.Waiting, l.Slots, l.WorkMS)
+	return fmt.Sprintf("; %d running and %d waiting at %d slots, %d ms a call", l.Running, l.Waiting, l.Slots, l.ServiceTimeMS)
 }
 
 // describe says in one line what a process wrote.
 func (l logLine) describe() string {
 	switch l.Event {
 	case eventNotAnswered:
-		return fmt.Sprintf("not answered here, %s: %s (%d ms left)%s", l.Outcome, l.Error, l.LeftMS, l.load())
+		return fmt.Sprintf("not answered here, %s: %s (%d ms left)%s", l.Outcome, l.Error, l.LeftMS, l.describeLoad())
 	case eventCall:
 		if l.Attempts == 0 {
 			return fmt.Sprintf("refused with %d before it was routed: %s", l.Status, l.Detail)
 		}
 		text := fmt.Sprintf("ended with %d, %s, after %d attempts and %d ms by revision %d", l.Status, l.Outcome, l.Attempts, l.TookMS, l.Revision)
 		if l.Endpoint != "" {
-			text += ", last at " + l.Endpoint + l.load()
+			text += ", last at " + l.Endpoint + l.describeLoad()
 		}
 		return text
 	}
@@ -78,96 +78,96 @@
 	if l.Revision > 0 {
 		text += fmt.Sprintf(" (revision %d)", l.Revision)
 	}
-	for _, named := range []lo.Tuple2[string, string]{
+	for _, field := range []lo.Tuple2[string, string]{
 		{A: "parent", B: l.Parent},
 		{A: "address", B: l.Address},
 		{A: "peer", B: l.Peer},
 		{A: "state", B: string(l.State)},
 		{A: "error", B: l.Error},
 	} {
-		if named.B != "" {
-			text += fmt.Sprintf(" (%s %s)", named.A, named.B)
+		if field.B != "" {
+			text += fmt.Sprintf(" (%s %s)", field.A, field.B)
 		}
 	}
 	return text
 }
 
 // circumstances are the lines without a call that can have decided one.
-var circumstances = []string{
+var contextMessages = []string{
 	"link lost", "attached", "connection with calls lost", "connection closed", "backend server announced",
 	"backend server changed its state", "backend server crashed", "configuration in force", "node is leaving", "node stopped",
 	"process starts",
 }
 
 // account is what the logs say of one call.
-type account struct {
-	Call   string    `json:"call"`
-	Way    []logLine `json:"way"`    // the lines that name the call, by time
-	Around []logLine `json:"around"` // of the same processes, shortly before the end of the call
-	Cause  string    `json:"cause"`
+type explanation struct {
+	Call         string    `json:"call"`
+	CallLines    []logLine `json:"way"`    // the lines that name the call, by time
+	ContextLines []logLine `json:"around"` // of the same processes, shortly before the end of the call
+	Cause        string    `json:"cause"`
 }
 
-// aroundBefore is how long before a call's first line a circumstance can have decided it: the lease of a backend server and
+// contextWindow is how long before a call's first line a circumstance can have decided it: the lease of a backend server and
 // the time in which a lost link is found.
-const aroundBefore = 5 * time.Second
+const contextWindow = 5 * time.Second
 
 // explainCall finds the way of a call and its cause. The calls that its run makes may carry its id and a suffix after a dot.
-func explainCall(id string, lines []logLine) account {
-	a := account{
+func explainCall(id string, lines []logLine) explanation {
+	e := explanation{
 		Call: id,
-		Way: lo.Filter(lines, func(l logLine, _ int) bool {
+		CallLines: lo.Filter(lines, func(l logLine, _ int) bool {
 			return l.Call == id || len(l.Call) > len(id) && l.Call[:len(id)+1] == id+"."
 		}),
 	}
 	byTime := func(x, y logLine) int { return x.Time.Compare(y.Time) }
-	slices.SortStableFunc(a.Way, byTime)
-	if len(a.Way) == 0 {
-		a.Cause = "no line names this call"
-		return a
+	slices.SortStableFunc(e.CallLines, byTime)
+	if len(e.CallLines) == 0 {
+		e.Cause = "no line names this call"
+		return e
 	}
-	first, last := a.Way[0].Time, a.Way[len(a.Way)-1].Time
-	processes := lo.Uniq(lo.FlatMap(a.Way, func(l logLine, _ int) []string { return []string{l.writer(), l.Endpoint} }))
-	a.Around = lo.Filter(lines, func(l logLine, _ int) bool {
-		return l.Call == "" && lo.Contains(circumstances, l.Message) && lo.Contains(processes, l.writer()) &&
-			!l.Time.Before(first.Add(-aroundBefore)) && !l.Time.After(last)
+	first, last := e.CallLines[0].Time, e.CallLines[len(e.CallLines)-1].Time
+	processes := lo.Uniq(lo.FlatMap(e.CallLines, func(l logLine, _ int) []string { return []string{l.processName(), l.Endpoint} }))
+	e.ContextLines = lo.Filter(lines, func(l logLine, _ int) bool {
+		return l.Call == "" && lo.Contains(contextMessages, l.Message) && lo.Contains(processes, l.processName()) &&
+			!l.Time.Before(first.Add(-contextWindow)) && !l.Time.After(last)
 	})
-	slices.SortStableFunc(a.Around, byTime)
-	a.Cause = causeOf(a)
-	return a
+	slices.SortStableFunc(e.ContextLines, byTime)
+	e.Cause = causeOf(e)
+	return e
 }
 
 // last returns the latest line of an event, one of the call itself rather than of the calls that its run made.
-func (a account) last(event string) (logLine, bool) {
-	own := lo.Filter(a.Way, func(l logLine, _ int) bool { return l.Event == event && l.Call == a.Call })
-	if len(own) == 0 {
-		own = lo.Filter(a.Way, func(l logLine, _ int) bool { return l.Event == event })
+func (e explanation) lastLine(event string) (logLine, bool) {
+	lines := lo.Filter(e.CallLines, func(l logLine, _ int) bool { return l.Event == event && l.Call == e.Call })
+	if len(lines) == 0 {
+		lines = lo.Filter(e.CallLines, func(l logLine, _ int) bool { return l.Event == event })
 	}
-	return lo.Last(own)
+	return lo.Last(lines)
 }
 
 // causeOf names what decided, from the entry node's last line and what the node beside the backend server wrote before it.
-func causeOf(a account) string {
-	end, ended := a.last(eventCall)
-	beside, hasBeside := a.last(eventNotAnswered)
+func causeOf(e explanation) string {
+	endLine, ended := e.lastLine(eventCall)
+	backendLine, hasBackendLine := e.lastLine(eventNotAnswered)
 	switch {
 	case !ended:
 		return "the entry node has written no line of its end: it stopped or crashed, or left the line out (parsleyport_log_lines_left_out_total)"
-	case end.Outcome == core.OutcomeNotRun:
-		return "refused: " + refusedBecause(end)
-	case end.Outcome == core.OutcomeUnknown && hasBeside && beside.Outcome == core.OutcomeUnknown:
-		return fmt.Sprintf("unknown: handed to the backend server of %s, then: %s", beside.writer(), beside.Error)
-	case end.Outcome == core.OutcomeUnknown:
-		return unknownBecause(a, end)
-	case end.Status >= 500:
-		return fmt.Sprintf("failed: the backend server of %s answered with %d", end.Endpoint, end.Status)
-	case end.Late:
-		return "late: " + lateBecause(end)
+	case endLine.Outcome == core.OutcomeNotRun:
+		return "refused: " + refusalReason(endLine)
+	case endLine.Outcome == core.OutcomeUnknown && hasBackendLine && backendLine.Outcome == core.OutcomeUnknown:
+		return fmt.Sprintf("unknown: handed to the backend server of %s, then: %s", backendLine.processName(), backendLine.Error)
+	case endLine.Outcome == core.OutcomeUnknown:
+		return unknownOutcomeReason(e, endLine)
+	case endLine.Status >= 500:
+		return fmt.Sprintf("failed: the backend server of %s answered with %d", endLine.Endpoint, endLine.Status)
+	case endLine.Late:
+		return "late: " + lateReason(endLine)
 	}
 	return "none: answered in time"
 }
 
-func refusedBecause(end logLine) string {
-	what := map[core.RefusalCause]string{
+func refusalReason(end logLine) string {
+	description := map[core.RefusalCause]string{
 		core.CauseNoRoute:        "no route has this path, method and host in the revision by which it was looked up",
 		core.CauseNoEndpoint:     "no backend server of the chosen release was known in time; see the lines of link and announcement",
 		core.CauseNoBackend:      "the chosen node has no ready backend server",
@@ -185,29 +185,29 @@
 		core.CauseTooLarge:       "body or header are over the limits",
 	}[end.Cause]
 	text := string(end.Cause)
-	if what != "" {
-		text += ", " + what
+	if description != "" {
+		text += ", " + description
 	}
-	return text + end.load()
+	return text + end.describeLoad()
 }
 
-func unknownBecause(a account, end logLine) string {
-	lost, found := lo.Find(a.Around, func(l logLine) bool { return l.Message == "connection with calls lost" })
+func unknownOutcomeReason(e explanation, end logLine) string {
+	lost, found := lo.Find(e.ContextLines, func(l logLine) bool { return l.Message == "connection with calls lost" })
 	switch {
 	case found:
-		return fmt.Sprintf("unknown: the connection from %s to %s was lost: %s", lost.writer(), lost.Peer, lost.Error)
+		return fmt.Sprintf("unknown: the connection from %s to %s was lost: %s", lost.processName(), lost.Peer, lost.Error)
 	case end.LeftMS <= 0:
-		return "unknown: its deadline was reached before an answer came" + end.load()
+		return "unknown: its deadline was reached before an answer came" + end.describeLoad()
 	}
 	return "unknown: " + lo.CoalesceOrEmpty(end.Detail, "the node beside the backend server has written no line of it")
 }
 
-func lateBecause(end logLine) string {
+func lateReason(end logLine) string {
 	switch {
 	case end.Attempts > 1:
 		return fmt.Sprintf("%d attempts were made; the last one began late", end.Attempts)
 	case end.Waiting > 0 || end.Running > end.Slots:
-		return "it waited for a slot" + end.load()
+		return "it waited for a slot" + end.describeLoad()
 	}
-	return "the work itself took the time" + end.load()
+	return "the work itself took the time" + end.describeLoad()
 }
--- a/io/cli/check.go
+++ b/io/cli/check.go
@@ -22,7 +22,7 @@
 )
 
 // checked is the result of one file; Faults is empty if the file is right.
-type checked struct {
+type checkResult struct {
 	File   string   `json:"file"`
 	Kind   string   `json:"kind"`
 	Faults []string `json:"faults"`
@@ -31,45 +31,45 @@
 func (p *program) check(o options) int {
 	var all []core.Record
 	status := StatusOK
-	results := lo.Map(o.files, func(file string, _ int) checked {
+	results := lo.Map(o.files, func(file string, _ int) checkResult {
 		kind, records, err := checkFile(file, o.as)
 		all = append(all, records...)
-		return newChecked(file, kind, err)
+		return newCheckResult(file, kind, err)
 	})
 	if o.complete {
 		_, err := record.New(1, all, nil)
-		results = append(results, newChecked("all records together", kindRecords, err))
+		results = append(results, newCheckResult("all records together", kindRecords, err))
 	}
 	for _, result := range results {
 		if len(result.Faults) > 0 {
 			status = StatusUsage
 		}
-		p.printChecked(o, result)
+		p.printCheckResult(o, result)
 	}
 	return status
 }
 
-func newChecked(file, kind string, err error) checked {
-	result := checked{
+func newCheckResult(file, kind string, err error) checkResult {
+	result := checkResult{
 		File:   file,
 		Kind:   kind,
 		Faults: []string{},
 	}
-	var inSettings *settings.Error
-	var inRecords fileError
+	var settingsError *settings.Error
+	var recordsError fileError
 	switch {
 	case err == nil:
-	case errors.As(err, &inSettings):
-		result.Faults = lo.Map(inSettings.Faults, func(f settings.Fault, _ int) string { return f.String() })
-	case errors.As(err, &inRecords):
-		result.Faults = lo.Map(inRecords, func(f fileFault, _ int) string { return fileError{f}.Error() })
+	case errors.As(err, &settingsError):
+		result.Faults = lo.Map(settingsError.Faults, func(f settings.Fault, _ int) string { return f.String() })
+	case errors.As(err, &recordsError):
+		result.Faults = lo.Map(recordsError, func(f fileFault, _ int) string { return fileError{f}.Error() })
 	default:
 		result.Faults = []string{fmt.Sprintf("%s: %v", file, err)}
 	}
 	return result
 }
 
-func (p *program) printChecked(o options, result checked) {
+func (p *program) printCheckResult(o options, result checkResult) {
 	if o.json {
 		p.printJSON(result)
 		return
--- a/io/cli/cli.go
+++ b/io/cli/cli.go
@@ -51,7 +51,7 @@
 		stderr: stderr,
 	}
 	o, err := parseOptions(args, time.Now(), stdout)
-	if errors.Is(err, errHelp) {
+	if errors.Is(err, errHelpPrinted) {
 		return StatusOK
 	}
 	if err != nil {
--- a/io/cli/cli_test.go
+++ b/io/cli/cli_test.go
@@ -171,7 +171,7 @@
 		return append([]string{"move", "--operator", "amina", "--service", "orders", "--from", "v1", "--to", "v2"}, last...)
 	}
 	missing := filepath.Join(f.folder, "missing")
-	nobody := f.file("nobody.jsonc", strings.Replace(records, `"operator": "amina",`, "", 1))
+	withoutOperator := f.file("nobody.jsonc", strings.Replace(records, `"operator": "amina",`, "", 1))
 	for _, test := range []struct {
 		want string
 		args []string
@@ -186,7 +186,7 @@
 		{"cut.jsonc:6: ", []string{"apply", f.file("cut.jsonc", records[:200])}},
 		{"no such file", []string{"apply", missing}},
 		{"--submission-id fits one file", []string{"apply", "--submission-id", "x", good, equal}},
-		{"operator is missing", []string{"apply", nobody}},
+		{"operator is missing", []string{"apply", withoutOperator}},
 		{"--operator or PARSLEYPORT_OPERATOR is needed", []string{"abort", "m1"}},
 		{"must be one of text,json", []string{"status", "--output", "xml"}},
 		{"token file", []string{"status", "--token-file", missing}},
@@ -207,7 +207,7 @@
 }
 
 // Guards against a file that is sent although a later one is malformed, and against sending on after a refusal.
-func TestApplyStopsAtTheFirstFault(t *testing.T) {
+func TestApplyStopsAtFirstError(t *testing.T) {
 	f := newFixture(t)
 	good := f.file("good.jsonc", records)
 	equal := f.file("equal.jsonc", strings.Replace(records, `"tenant": "a"`, `"tenant": "b"`, 1))
@@ -223,8 +223,8 @@
 	f := newFixture(t)
 	load := func(content, operator string) core.SubmissionID {
 		submission, derived, err := loadSubmission(f.file("records.jsonc", content), options{
-			operator: core.Operator(operator),
-			fallback: core.Operator(os.Getenv(operatorVariable)),
+			operator:        core.Operator(operator),
+			defaultOperator: core.Operator(os.Getenv(operatorVariable)),
 		})
 		f.c.Assert(err, qt.IsNil)
 		f.c.Assert(derived, qt.IsTrue)
@@ -299,7 +299,7 @@
 	f.c.Assert(f.run(StatusUsage, "check", f.file("twice.jsonc", strings.Replace(records, "],\n}", `], "records": [],}`, 1))), qt.Matches, `.*twice.jsonc:9: key "records" is there twice\n`)
 	f.c.Assert(f.run(StatusUsage, "check", f.file("cut.jsonc", records[:300])), qt.Matches, `.*cut.jsonc:6: .*\n`)
 	f.c.Assert(f.run(StatusUsage, "check", f.file("type.jsonc", strings.Replace(records, `"version": 1`, `"version": "1"`, 1))), qt.Matches, `.*type.jsonc:5: .*\n`)
-	var result checked
+	var result checkResult
 	f.c.Assert(json.Unmarshal([]byte(f.run(StatusUsage, "check", "--output", "json", bad)), &result), qt.IsNil)
 	f.c.Assert(result.Faults, qt.HasLen, 3)
 }
@@ -371,16 +371,16 @@
 }
 
 // Guards against a second move when a command with a period is sent again after a lost answer.
-func TestMoveByAPeriodCanBeSentAgain(t *testing.T) {
+func TestResendOfMoveWithRelativeDeadline(t *testing.T) {
 	f := newFixture(t)
 	f.run(StatusOK, "apply", f.file("records.jsonc", records))
 	move := []string{"move", "--operator", "amina", "--service", "orders", "--from", "v1", "--to", "v2"}
 	f.replicator.err = core.ErrOutcomeUnknown
-	lost := f.run(StatusUnknown, append(move, "--by", "10m", "--timeout", "100ms")...)
-	again := regexp.MustCompile(`--submission-id \S+ --by \S+`).FindString(lost)
-	f.c.Assert(again, qt.Not(qt.Equals), "", qt.Commentf("%s", lost))
+	output := f.run(StatusUnknown, append(move, "--by", "10m", "--timeout", "100ms")...)
+	resendArgs := regexp.MustCompile(`--submission-id \S+ --by \S+`).FindString(output)
+	f.c.Assert(resendArgs, qt.Not(qt.Equals), "", qt.Commentf("%s", output))
 	f.replicator.err = nil
-	f.c.Assert(f.run(StatusOK, append(move, strings.Fields(again)...)...), qt.Contains, "move m1")
+	f.c.Assert(f.run(StatusOK, append(move, strings.Fields(resendArgs)...)...), qt.Contains, "move m1")
 	f.c.Assert(f.replicator.catalog.Moves(), qt.HasLen, 1)
 }
 
--- a/io/cli/explain_test.go
+++ b/io/cli/explain_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	entryLog = `{"node":"n1","event":"starting","time":"2026-12-04T10:00:00Z","message":"process starts"}
+	entryNodeLog = `{"node":"n1","event":"starting","time":"2026-12-04T10:00:00Z","message":"process starts"}
 a line of another program
    0.13 n1 {"node":"n1","event":"call","call":"refused.7f","revision":4,"outcome":"not-run","status":503,"attempts":2,"took-ms":40,"left-ms":142,"endpoint":"n3","running":13,"waiting":16,"slots":13,"service-ms":56,"cause":"deadline-cannot-be-met","time":"2026-12-04T10:00:09.050Z","message":"call ended"}
 {"node":"n1","event":"call","call":"unknown","revision":4,"outcome":"unknown","status":502,"attempts":2,"took-ms":217,"left-ms":549,"endpoint":"n3","slots":13,"detail":"connection broke","time":"2026-12-04T10:00:09.060Z","message":"call ended"}
@@ -19,7 +19,7 @@
 {"node":"n1","peer":"10.0.0.3:8064","calls":1,"error":"silent","time":"2026-12-04T10:00:19.000Z","message":"connection with calls lost"}
 {"node":"n1","event":"call","call":"parted","revision":4,"outcome":"unknown","status":502,"attempts":1,"took-ms":1600,"left-ms":500,"endpoint":"n3","time":"2026-12-04T10:00:19.010Z","message":"call ended"}
 `
-	besideLog = `{"node":"n3","event":"call-not-answered","call":"refused.7f","outcome":"not-run","error":"not run: deadline-cannot-be-met","left-ms":144,"state":"ready","running":13,"waiting":16,"slots":13,"service-ms":56,"time":"2026-12-04T10:00:09.040Z"}
+	backendNodeLog = `{"node":"n3","event":"call-not-answered","call":"refused.7f","outcome":"not-run","error":"not run: deadline-cannot-be-met","left-ms":144,"state":"ready","running":13,"waiting":16,"slots":13,"service-ms":56,"time":"2026-12-04T10:00:09.040Z"}
 {"node":"n3","event":"backend-server-state","state":"ready","time":"2026-12-04T10:00:06Z","message":"backend server changed its state"}
 {"node":"n3","event":"call-not-answered","call":"unknown","outcome":"unknown","error":"connection reset by peer","left-ms":552,"running":12,"slots":13,"time":"2026-12-04T10:00:09.055Z"}
 {"node":"n3","event":"call-not-answered","call":"cut-off","outcome":"not-run","error":"not run: leaving","left-ms":552,"time":"2026-12-04T10:00:30Z"}
@@ -30,7 +30,7 @@
 // of the lines is missing.
 func TestExplainNamesTheCause(t *testing.T) {
 	f := newFixture(t)
-	entry, beside := f.file("entry.log", entryLog), f.file("beside.log", besideLog)
+	entry, backendNode := f.file("entry.log", entryNodeLog), f.file("beside.log", backendNodeLog)
 	for call, cause := range map[string]string{
 		"refused": "refused: deadline-cannot-be-met, the calls before it would have used up its time; 13 running and 16 waiting at 13 slots, 56 ms a call",
 		"unknown": "unknown: handed to the backend server of n3, then: connection reset by peer",
@@ -41,10 +41,10 @@
 		"parted":  "unknown: the connection from n1 to 10.0.0.3:8064 was lost: silent",
 		"cut-off": "the entry node has written no line of its end: it stopped or crashed, or left the line out (parsleyport_log_lines_left_out_total)",
 	} {
-		output := f.run(StatusOK, "explain", call, beside, entry)
+		output := f.run(StatusOK, "explain", call, backendNode, entry)
 		f.c.Check(output, qt.Contains, "cause: "+cause+"\n")
 	}
-	output := f.run(StatusOK, "explain", "refused", beside, entry)
+	output := f.run(StatusOK, "explain", "refused", backendNode, entry)
 	f.c.Assert(output, qt.Equals, `call refused
   10:00:09.040  n3: not answered here, not-run: not run: deadline-cannot-be-met (144 ms left); 13 running and 16 waiting at 13 slots, 56 ms a call
   10:00:09.050  n1: ended with 503, not-run, after 2 attempts and 40 ms by revision 4, last at n3; 13 running and 16 waiting at 13 slots, 56 ms a call
@@ -56,7 +56,7 @@
 	f.c.Assert(f.run(StatusRefused, "explain", "nobody", entry), qt.Contains, "cause: no line names this call\n")
 	f.run(StatusUsage, "explain", "nobody", f.folder+"/none.log")
 
-	var told account
-	f.c.Assert(json.Unmarshal([]byte(f.run(StatusOK, "explain", "unknown", "--output", "json", beside)), &told), qt.IsNil)
-	f.c.Assert(told.Way, qt.HasLen, 1)
+	var result explanation
+	f.c.Assert(json.Unmarshal([]byte(f.run(StatusOK, "explain", "unknown", "--output", "json", backendNode)), &result), qt.IsNil)
+	f.c.Assert(result.CallLines, qt.HasLen, 1)
 }
--- a/io/cli/operator.go
+++ b/io/cli/operator.go
@@ -46,7 +46,7 @@
 	if submission, err = parseRecords(file, source); err != nil {
 		return submission, false, err
 	}
-	submission.Operator = lo.CoalesceOrEmpty(o.operator, submission.Operator, o.fallback)
+	submission.Operator = lo.CoalesceOrEmpty(o.operator, submission.Operator, o.defaultOperator)
 	submission.ID = lo.CoalesceOrEmpty(o.submissionID, submission.ID)
 	if submission.Operator == "" {
 		return submission, false, errors.Errorf("%s: operator is missing: name it in the file or with --operator", file)
@@ -65,7 +65,7 @@
 		Service:      o.service,
 		From:         o.from,
 		To:           o.to,
-		Deadline:     o.by.UTC(),
+		Deadline:     o.deadline.UTC(),
 		MaxRiskShare: o.maxRisk,
 	}
 	if move.ID == "" {
@@ -75,7 +75,7 @@
 		}
 		move.ID = id
 	}
-	if o.period {
+	if o.relativeDeadline {
 		fmt.Fprintf(p.stderr, "To send the same move again after a lost answer, use --submission-id %s --by %s in the same command.\n", move.ID, move.Deadline.Format(time.RFC3339Nano))
 	}
 	verdict, err := request(ctx, o, func(ctx context.Context) (catalog.Verdict, error) { return client.Move(ctx, move) })
--- a/io/cli/options.go
+++ b/io/cli/options.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	defaultTimeout = 30 * time.Second
-	maxAuditLimit  = 10_000
+	defaultTimeout  = 30 * time.Second
+	maxAuditEntries = 10_000
 )
 
 // Names of the commands.
@@ -53,42 +53,42 @@
 
 var recordKinds = []string{string(core.KindService), string(core.KindUpstream), string(core.KindPolicy), string(core.KindRoute)}
 
-const derivedID = "derived from the content"
+const derivedIDHelp = "derived from the content"
 
 // options holds every option and argument of all commands, checked.
 type options struct {
-	command      string
-	settings     string
-	files        []string
-	callID       string
-	servers      []string
-	tokenFile    string
-	token        string
-	timeout      time.Duration // how long one request is repeated until it has an answer
-	json         bool
-	operator     core.Operator
-	fallback     core.Operator // operator if neither an option nor the file names one
-	submissionID core.SubmissionID
-	service      core.ServiceName
-	from         core.UpstreamName
-	to           core.UpstreamName
-	by           time.Time
-	period       bool // --by was given from now on, so that a second run has another deadline
-	maxRisk      core.PerMille
-	moveID       core.MoveID
-	member       core.ControlID
-	wait         bool
-	since        time.Time
-	limit        int
-	before       uint64
-	nodes        bool
-	records      operatorhttp.RecordFilter
-	as           string
-	complete     bool
+	command          string
+	settings         string
+	files            []string
+	callID           string
+	servers          []string
+	tokenFile        string
+	token            string
+	timeout          time.Duration // how long one request is repeated until it has an answer
+	json             bool
+	operator         core.Operator
+	defaultOperator  core.Operator // operator if neither an option nor the file names one
+	submissionID     core.SubmissionID
+	service          core.ServiceName
+	from             core.UpstreamName
+	to               core.UpstreamName
+	deadline         time.Time
+	relativeDeadline bool // --by was given from now on, so that a second run has another deadline
+	maxRisk          core.PerMille
+	moveID           core.MoveID
+	member           core.ControlID
+	wait             bool
+	since            time.Time
+	limit            int
+	before           uint64
+	nodes            bool
+	records          operatorhttp.RecordFilter
+	as               string
+	complete         bool
 }
 
 // raw holds what needs more than kingpin's own checks.
-type raw struct {
+type rawOptions struct {
 	options
 	output  string
 	by      string
@@ -96,18 +96,18 @@
 	maxRisk uint32
 }
 
-// errHelp means that help was asked for and has been printed.
-const errHelp = errors.ConstError("help was printed")
+// errHelpPrinted means that help was asked for and has been printed.
+const errHelpPrinted = errors.ConstError("help was printed")
 
-// parseOptions returns checked options, errHelp, or an error that describes the wrong option; now is the start of --by.
+// parseOptions returns checked options, errHelpPrinted, or an error that describes the wrong option; now is the start of --by.
 func parseOptions(args []string, now time.Time, usage io.Writer) (options, error) {
 	if len(args) == 0 {
 		return options{}, errors.New("a command is needed; parsleyport --help lists them")
 	}
 	app := kingpin.New("parsleyport", "Configuration distribution for a service mesh.\n\nExit status: 0 success, 1 refused or failed, 2 wrong usage or settings, 3 unreachable or outcome unknown.")
-	app.UsageWriter(usage).Terminate(func(int) { panic(errHelp) }) // kingpin goes on if this returns, and prints the usage again
+	app.UsageWriter(usage).Terminate(func(int) { panic(errHelpPrinted) }) // kingpin goes on if this returns, and prints the usage again
 	app.HelpFlag.Short('h')
-	var r raw
+	var r rawOptions
 	addProcessCommands(app, &r)
 	addSubmissionCommands(app, &r)
 	addReadCommands(app, &r)
@@ -121,13 +121,13 @@
 	return r.check(now)
 }
 
-// parse returns errHelp if kingpin has printed help or a completion script.
+// parse returns errHelpPrinted if kingpin has printed help or a completion script.
 func parse(app *kingpin.Application, args []string) (command string, err error) {
 	defer func() {
 		switch cause := recover(); cause {
 		case nil:
-		case errHelp:
-			err = errHelp
+		case errHelpPrinted:
+			err = errHelpPrinted
 		default:
 			panic(cause)
 		}
@@ -136,7 +136,7 @@
 }
 
 // addProcessCommands leaves out a process that this program cannot run.
-func addProcessCommands(app *kingpin.Application, r *raw) {
+func addProcessCommands(app *kingpin.Application, r *rawOptions) {
 	if runControl != nil {
 		control := app.Command(commandControl, "Run a control instance.\n\nExample: parsleyport control --settings c1.jsonc")
 		control.Flag("settings", "Settings file, JSON with comments.").Required().StringVar(&r.settings)
@@ -147,10 +147,10 @@
 	}
 }
 
-func addSubmissionCommands(app *kingpin.Application, r *raw) {
+func addSubmissionCommands(app *kingpin.Application, r *rawOptions) {
 	apply := app.Command(commandApply, "Submit record files, each as one submission, up to the first that is refused.\n\nExample: parsleyport apply --server 127.0.0.1:7101 orders.jsonc")
 	apply.Arg("file", "Record file, JSON with comments.").Required().StringsVar(&r.files)
-	addOperator(apply, r, derivedID)
+	addOperator(apply, r, derivedIDHelp)
 
 	move := app.Command(commandMove, "Move a service's traffic from one upstream to another.\n\nExample: parsleyport move --server 127.0.0.1:7101 --operator amina --service orders --from orders-v1 --to orders-v2 --by 10m")
 	move.Flag("service", "Service whose traffic moves.").Required().StringVar((*string)(&r.service))
@@ -159,18 +159,18 @@
 	move.Flag("by", "Time by which traffic must have moved: 2026-12-04T10:00:00Z, or from now: 10m.").Required().StringVar(&r.by)
 	move.Flag("max-risk", "Largest share at risk before the evidence passes, per mille; 0 for the default of 15.").Uint32Var(&r.maxRisk)
 	move.Flag("wait", "Wait until the move has ended; exit status 1 unless it is done.").BoolVar(&r.wait)
-	addOperator(move, r, derivedID)
+	addOperator(move, r, derivedIDHelp)
 
 	abort := app.Command(commandAbort, "Take an open move back.\n\nExample: parsleyport abort --server 127.0.0.1:7101 --operator amina m3")
 	abort.Arg("move-id", "Move to take back.").Required().StringVar((*string)(&r.moveID))
-	addOperator(abort, r, derivedID)
+	addOperator(abort, r, derivedIDHelp)
 
 	for _, command := range []*kingpin.CmdClause{apply, move, abort} {
 		addRemote(command, r)
 	}
 }
 
-func addReadCommands(app *kingpin.Application, r *raw) {
+func addReadCommands(app *kingpin.Application, r *rawOptions) {
 	moves := app.Command(commandMoves, "List moves.\n\nExample: parsleyport moves --server 127.0.0.1:7101 --wait m3")
 	moves.Arg("move-id", "Only this move.").StringVar((*string)(&r.moveID))
 	moves.Flag("wait", "Wait until the open moves have ended; exit status 1 unless all of them are done.").BoolVar(&r.wait)
@@ -196,23 +196,23 @@
 	}
 }
 
-func addMemberCommands(app *kingpin.Application, r *raw) {
+func addMemberCommands(app *kingpin.Application, r *rawOptions) {
 	members := app.Command(commandMembers, "List the control instances, or change which of them are members.\n\nAfter the loss of a disk: members replace ID makes the instance with the new disk a learner and takes the vote from the old identity; members promote ID gives the learner its vote once it has caught up. Until then, one instance less may be lost.")
 	addRemote(members, r)
 	members.Command("list", "List voters, learners, and instances that have introduced themselves without being members; say which changes are missing. The default.\n\nExample: parsleyport members --server 127.0.0.1:7101").Default()
-	for _, each := range []struct{ name, help string }{
+	for _, subcommand := range []struct{ name, help string }{
 		{"replace", "Replace a member that lost its disk by the instance of the same name that has introduced itself."},
 		{"add", "Make an instance that has introduced itself a learner; it must be in the settings of the leader."},
 		{"promote", "Give a learner a vote once it has caught up with the leader."},
 		{"remove", "Remove a voter or a learner."},
 	} {
-		change := members.Command(each.name, each.help+"\n\nExample: parsleyport members "+each.name+" --server 127.0.0.1:7101 c2")
+		change := members.Command(subcommand.name, subcommand.help+"\n\nExample: parsleyport members "+subcommand.name+" --server 127.0.0.1:7101 c2")
 		addOperator(change, r, "new for each run")
 		change.Arg("id", "Control instance as in the settings.").Required().StringVar((*string)(&r.member))
 	}
 }
 
-func addOfflineCommands(app *kingpin.Application, r *raw) {
+func addOfflineCommands(app *kingpin.Application, r *rawOptions) {
 	replay := app.Command(commandReplay, "Replay recorded traces: moves (*.trace) through the decision rules, calls (*.calls) through the balancing policies.\n\nExample: parsleyport replay core/replay/testdata/good-calm-pamoja-101.trace")
 	replay.Arg("file", "Trace file.").Required().StringsVar(&r.files)
 
@@ -231,28 +231,28 @@
 }
 
 // addOperator describes the submission id that is used if none is given.
-func addOperator(command *kingpin.CmdClause, r *raw, otherwise string) {
+func addOperator(command *kingpin.CmdClause, r *rawOptions, defaultID string) {
 	command.Flag("operator", "Who submits. Otherwise the record file names the operator, or "+operatorVariable+" does.").StringVar((*string)(&r.operator))
-	command.Flag("submission-id", "Id that makes a resend harmless; "+otherwise+" if there is none.").StringVar((*string)(&r.submissionID))
+	command.Flag("submission-id", "Id that makes a resend harmless; "+defaultID+" if there is none.").StringVar((*string)(&r.submissionID))
 }
 
-func addRemote(command *kingpin.CmdClause, r *raw) {
+func addRemote(command *kingpin.CmdClause, r *rawOptions) {
 	command.Flag("server", "Operator address of a control instance; may be repeated. Otherwise "+serversVariable+", separated by commas.").StringsVar(&r.servers)
 	command.Flag("token-file", "File with the operators' token.").StringVar(&r.tokenFile)
 	command.Flag("timeout", "How long a request is repeated until it has an answer.").Default(defaultTimeout.String()).DurationVar(&r.timeout)
 	addOutput(command, r)
 }
 
-func addOutput(command *kingpin.CmdClause, r *raw) {
+func addOutput(command *kingpin.CmdClause, r *rawOptions) {
 	command.Flag("output", "Output format: text or json.").Default("text").EnumVar(&r.output, "text", "json")
 }
 
-func (r raw) check(now time.Time) (options, error) {
+func (r rawOptions) check(now time.Time) (options, error) {
 	o := r.options
 	o.json = r.output == "json"
 	switch o.command {
 	case commandApply:
-		o.fallback = core.Operator(os.Getenv(operatorVariable))
+		o.defaultOperator = core.Operator(os.Getenv(operatorVariable))
 	case commandMove, commandAbort, commandMembersReplace, commandMembersAdd, commandMembersPromote, commandMembersRemove:
 		if o.operator == "" {
 			o.operator = core.Operator(os.Getenv(operatorVariable))
@@ -262,7 +262,7 @@
 	default:
 		return o, nil
 	}
-	for _, check := range []func(*options, time.Time) error{r.checkServers, r.checkSender, r.checkMove, r.checkAudit} {
+	for _, check := range []func(*options, time.Time) error{r.checkServers, r.checkSubmitter, r.checkMove, r.checkAudit} {
 		if err := check(&o, now); err != nil {
 			return options{}, err
 		}
@@ -270,7 +270,7 @@
 	return o, nil
 }
 
-func (r raw) checkServers(o *options, _ time.Time) error {
+func (r rawOptions) checkServers(o *options, _ time.Time) error {
 	if len(o.servers) == 0 {
 		o.servers = strings.FieldsFunc(os.Getenv(serversVariable), func(c rune) bool { return c == ',' || c == ' ' || c == '\n' })
 	}
@@ -290,7 +290,7 @@
 	return err
 }
 
-func (r raw) checkSender(o *options, _ time.Time) error {
+func (r rawOptions) checkSubmitter(o *options, _ time.Time) error {
 	switch o.command {
 	case commandMove, commandAbort, commandMembersReplace, commandMembersAdd, commandMembersPromote, commandMembersRemove:
 		if o.operator == "" {
@@ -308,7 +308,7 @@
 	return nil
 }
 
-func (r raw) checkMove(o *options, now time.Time) error {
+func (r rawOptions) checkMove(o *options, now time.Time) error {
 	if o.command != commandMove {
 		return nil
 	}
@@ -316,23 +316,23 @@
 		return errors.Errorf("--max-risk is %d, expected 0 to %d per mille", r.maxRisk, core.FullShare)
 	}
 	o.maxRisk = core.PerMille(r.maxRisk)
-	if period, err := time.ParseDuration(r.by); err == nil {
-		o.by, o.period = now.Add(period).Truncate(time.Millisecond), true
-	} else if o.by, err = time.Parse(time.RFC3339, r.by); err != nil {
+	if duration, err := time.ParseDuration(r.by); err == nil {
+		o.deadline, o.relativeDeadline = now.Add(duration).Truncate(time.Millisecond), true
+	} else if o.deadline, err = time.Parse(time.RFC3339, r.by); err != nil {
 		return errors.Errorf("--by is %q, expected a time such as 2026-12-04T10:00:00Z or a period such as 10m", r.by)
 	}
-	if !o.by.After(now) {
+	if !o.deadline.After(now) {
 		return errors.Errorf("--by is %q, expected a time in the future", r.by)
 	}
 	return nil
 }
 
-func (r raw) checkAudit(o *options, _ time.Time) error {
+func (r rawOptions) checkAudit(o *options, _ time.Time) error {
 	if o.command != commandAudit {
 		return nil
 	}
-	if o.limit < 1 || o.limit > maxAuditLimit {
-		return errors.Errorf("--limit is %d, expected 1 to %d", o.limit, maxAuditLimit)
+	if o.limit < 1 || o.limit > maxAuditEntries {
+		return errors.Errorf("--limit is %d, expected 1 to %d", o.limit, maxAuditEntries)
 	}
 	if r.since == "" {
 		return nil
--- a/io/cli/recordfile.go
+++ b/io/cli/recordfile.go
@@ -39,7 +39,7 @@
 	return text.String()
 }
 
-func oneFault(file string, line int, detail string) fileError {
+func singleFault(file string, line int, detail string) fileError {
 	return fileError{{
 		File:   file,
 		Line:   line,
@@ -69,18 +69,18 @@
 	if err != nil {
 		line := 1
 		_, _ = fmt.Sscanf(err.Error(), "hujson: line %d,", &line) // the first line if the parser names none
-		return core.Submission{}, oneFault(file, line, err.Error())
+		return core.Submission{}, singleFault(file, line, err.Error())
 	}
-	if faults := repeatedKeys(file, source, value); len(faults) > 0 {
+	if faults := duplicateKeys(file, source, value); len(faults) > 0 {
 		return core.Submission{}, faults
 	}
-	standard := value.Clone()
-	standard.Standardize() // keeps all offsets
-	decoder := json.NewDecoder(bytes.NewReader(standard.Pack()))
+	standardJSON := value.Clone()
+	standardJSON.Standardize() // keeps all offsets
+	decoder := json.NewDecoder(bytes.NewReader(standardJSON.Pack()))
 	decoder.DisallowUnknownFields()
 	var submission core.Submission
 	if err := decoder.Decode(&submission); err != nil {
-		return core.Submission{}, oneFault(file, lineAt(source, errorOffset(decoder, err)), err.Error())
+		return core.Submission{}, singleFault(file, lineAt(source, errorOffset(decoder, err)), err.Error())
 	}
 	var faults fileError
 	for i, r := range submission.Records {
@@ -89,11 +89,11 @@
 			if at := value.Find(fmt.Sprintf("/records/%d", i)); at != nil {
 				line = lineAt(source, int64(at.StartOffset))
 			}
-			faults = append(faults, oneFault(file, line, err.Error())...)
+			faults = append(faults, singleFault(file, line, err.Error())...)
 		}
 	}
 	if len(faults) == 0 && len(submission.Records)+len(submission.Deletes) == 0 {
-		faults = oneFault(file, 1, "records or deletes are needed")
+		faults = singleFault(file, 1, "records or deletes are needed")
 	}
 	if len(faults) > 0 {
 		return core.Submission{}, faults
@@ -101,8 +101,8 @@
 	return submission, nil
 }
 
-// repeatedKeys lists keys that an object has twice; encoding/json would silently drop the first value.
-func repeatedKeys(file string, source []byte, value hujson.Value) (faults fileError) {
+// duplicateKeys lists keys that an object has twice; encoding/json would silently drop the first value.
+func duplicateKeys(file string, source []byte, value hujson.Value) (faults fileError) {
 	for each := range value.All() {
 		object, isObject := each.Value.(*hujson.Object)
 		if !isObject {
@@ -113,7 +113,7 @@
 			key := member.Name.Value.(hujson.Literal).String()
 			if seen[key] {
 				line := lineAt(source, int64(member.Name.StartOffset))
-				faults = append(faults, oneFault(file, line, fmt.Sprintf("key %q is there twice", key))...)
+				faults = append(faults, singleFault(file, line, fmt.Sprintf("key %q is there twice", key))...)
 			}
 			seen[key] = true
 		}
@@ -122,11 +122,11 @@
 }
 
 func errorOffset(decoder *json.Decoder, err error) int64 {
-	if wrong, is := errors.AsType[*json.UnmarshalTypeError](err); is {
-		return wrong.Offset
+	if typeError, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+		return typeError.Offset
 	}
-	if wrong, is := errors.AsType[*json.SyntaxError](err); is {
-		return wrong.Offset
+	if syntaxError, ok := errors.AsType[*json.SyntaxError](err); ok {
+		return syntaxError.Offset
 	}
 	return decoder.InputOffset()
 }
--- a/io/cli/replay.go
+++ b/io/cli/replay.go
@@ -9,15 +9,15 @@
 	"parsleyport/core/replay"
 )
 
-// callTrace is the ending of recorded calls; all other files are recorded moves.
-const callTrace = ".calls"
+// callTraceExtension is the ending of recorded calls; all other files are recorded moves.
+const callTraceExtension = ".calls"
 
 // replay returns StatusRefused if a trace leads to another outcome than it states, StatusUsage if it cannot be read.
 func (p *program) replay(o options) int {
 	status := StatusOK
 	for _, file := range o.files {
 		run := replay.Run
-		if filepath.Ext(file) == callTrace {
+		if filepath.Ext(file) == callTraceExtension {
 			run = callreplay.RunFile
 		}
 		switch err := run(file, p.stdout); {
--- a/io/cli/show.go
+++ b/io/cli/show.go
@@ -15,11 +15,11 @@
 )
 
 func (p *program) status(ctx context.Context, o options, client *operatorhttp.Client) int {
-	ask := client.Status
+	query := client.Status
 	if o.nodes {
-		ask = client.StatusWithNodes
+		query = client.StatusWithNodes
 	}
-	status, err := request(ctx, o, ask)
+	status, err := request(ctx, o, query)
 	if err != nil {
 		return p.failRequest(err)
 	}
