--- a/io/cli/cause.go
+++ b/io/cli/cause.go
@@ -10,7 +10,7 @@
 	"parsleyport/core"
 )
 
-// logLine is what explain reads of one line of a process's log.
+// logLine holds the fields that the explain command reads from one line of a process's log.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Process string    `json:"process"`
@@ -42,7 +42,7 @@
 	Peer          string             `json:"peer"`
 }
 
-// The events of lines that name a call.
+// Events of the log lines that name a call.
 const (
 	eventCall        = "call"
 	eventNotAnswered = "call-not-answered"
@@ -59,7 +59,7 @@
 	return fmt.Sprintf("; %d running and %d waiting at %d slots, %d ms a call", l.Running, l.Waiting, l.Slots, l.ServiceTimeMS)
 }
 
-// describe says in one line what a process wrote.
+// describe returns a one-line description of a log line.
 func (l logLine) describe() string {
 	switch l.Event {
 	case eventNotAnswered:
@@ -92,26 +92,26 @@
 	return text
 }
 
-// circumstances are the lines without a call that can have decided one.
+// contextMessages are the messages of log lines that name no call but report an event that can decide the outcome of one.
 var contextMessages = []string{
 	"link lost", "attached", "connection with calls lost", "connection closed", "backend server announced",
 	"backend server changed its state", "backend server crashed", "configuration in force", "node is leaving", "node stopped",
 	"process starts",
 }
 
-// account is what the logs say of one call.
+// explanation is what the logs tell about one call.
 type explanation struct {
 	Call         string    `json:"call"`
-	CallLines    []logLine `json:"way"`    // the lines that name the call, by time
-	ContextLines []logLine `json:"around"` // of the same processes, shortly before the end of the call
+	CallLines    []logLine `json:"way"`    // lines that name the call, by time
+	ContextLines []logLine `json:"around"` // lines with contextMessages of the same processes, by time
 	Cause        string    `json:"cause"`
 }
 
-// contextWindow is how long before a call's first line a circumstance can have decided it: the lease of a backend server and
-// the time in which a lost link is found.
+// contextWindow is how long before a call's first line an event can decide its outcome: the lease of a backend server plus the
+// time until a lost link is detected.
 const contextWindow = 5 * time.Second
 
-// explainCall finds the way of a call and its cause. The calls that its run makes may carry its id and a suffix after a dot.
+// explainCall collects the log lines of a call and derives its cause. Nested calls may have the call's id with a suffix after a dot.
 func explainCall(id string, lines []logLine) explanation {
 	e := explanation{
 		Call: id,
@@ -136,7 +136,7 @@
 	return e
 }
 
-// last returns the latest line of an event, one of the call itself rather than of the calls that its run made.
+// lastLine returns the latest line with an event, preferring lines of the call itself to those of its nested calls.
 func (e explanation) lastLine(event string) (logLine, bool) {
 	lines := lo.Filter(e.CallLines, func(l logLine, _ int) bool { return l.Event == event && l.Call == e.Call })
 	if len(lines) == 0 {
@@ -145,7 +145,7 @@
 	return lo.Last(lines)
 }
 
-// causeOf names what decided, from the entry node's last line and what the node beside the backend server wrote before it.
+// causeOf derives the cause from the last lines of the entry node and of the node beside the backend server.
 func causeOf(e explanation) string {
 	endLine, ended := e.lastLine(eventCall)
 	backendLine, hasBackendLine := e.lastLine(eventNotAnswered)
--- a/io/cli/check.go
+++ b/io/cli/check.go
@@ -13,7 +13,7 @@
 	"parsleyport/io/settings"
 )
 
-// Kinds of files.
+// Kinds of files to check.
 const (
 	kindAuto    = "auto"
 	kindControl = "control"
@@ -21,7 +21,7 @@
 	kindRecords = "records"
 )
 
-// checked is the result of one file; Faults is empty if the file is right.
+// checkResult is the result of checking one file; Faults is empty if the file is valid.
 type checkResult struct {
 	File   string   `json:"file"`
 	Kind   string   `json:"kind"`
@@ -103,7 +103,7 @@
 	return kind, nil, err
 }
 
-// detectKind goes by keys that only one kind has; whatever is not settings is checked as records.
+// detectKind looks for keys that only one kind of settings has; a file without any of them is checked as records.
 func detectKind(source []byte) string {
 	standard, err := hujson.Standardize(append([]byte(nil), source...))
 	if err != nil {
--- a/io/cli/cli.go
+++ b/io/cli/cli.go
@@ -28,17 +28,17 @@
 	StatusRefused = 1
 	StatusUsage   = 2
 	StatusUnknown = 3
-	StatusLimited = 4 // above a rate limit until the end of --timeout; nothing was changed
+	StatusLimited = 4 // still rate-limited at the end of --timeout; nothing was changed
 )
 
-// The functions of the process commands; tests replace them. They return once the context has ended and everything is
-// stopped.
+// Functions that run a process until the context is cancelled and everything is stopped. They are variables so that tests can
+// replace them.
 var (
 	runControl = control.Run
 	runNode    = nodeprocess.Run
 )
 
-// program is one run of the command line.
+// program holds the outputs of one run of the command line.
 type program struct {
 	stdout io.Writer
 	stderr io.Writer
@@ -150,10 +150,10 @@
 func (p *program) printJSON(value any) {
 	encoder := json.NewEncoder(p.stdout)
 	encoder.SetEscapeHTML(false)
-	_ = encoder.Encode(value) // a broken standard output has no other place to be reported
+	_ = encoder.Encode(value) // a failure to write to standard output cannot be reported
 }
 
-// describeBuild names the module version, or the revision of the source code if it was built from a working copy.
+// describeBuild returns the module version, or the source revision if the program was built from a working copy.
 func describeBuild(info *debug.BuildInfo) string {
 	setting := func(key string) string {
 		found, _ := lo.Find(info.Settings, func(s debug.BuildSetting) bool { return s.Key == key })
--- a/io/cli/cli_test.go
+++ b/io/cli/cli_test.go
@@ -25,7 +25,7 @@
 	"parsleyport/io/settings"
 )
 
-// fakeReplicator applies proposals at once, and takes the next of the steps at each confirmed read.
+// fakeReplicator applies proposals at once, and applies the next of the given move steps at each confirmed read.
 type fakeReplicator struct {
 	catalog *catalog.Catalog
 	index   core.LogIndex
@@ -73,7 +73,7 @@
 
 func (f *fakeReplicator) NonMembers() []raft.Peer { return f.nonMembers }
 
-// Change replaces and promotes as raft does.
+// Change replaces and promotes members as raft does.
 func (f *fakeReplicator) Change(_ context.Context, change raft.Change) error {
 	for i, member := range f.members {
 		if member.Peer.ID == change.Peer.ID && (change.Kind == raft.ChangePromote) == (member.Peer == change.Peer) && !(change.Kind == raft.ChangePromote && member.Voter) {
@@ -143,7 +143,7 @@
 	return path
 }
 
-// run checks the exit status and returns both outputs.
+// run checks the exit status and returns standard output followed by standard error.
 func (f fixture) run(want int, args ...string) string {
 	f.c.Helper()
 	var stdout, stderr bytes.Buffer
@@ -152,7 +152,7 @@
 	return stdout.String() + stderr.String()
 }
 
-// Guards against an exit status that misleads a script: refused for unknown, or success for a wrong option.
+// Guards against misleading exit statuses: refused for an unknown outcome, or success for an invalid option.
 func TestExitStatuses(t *testing.T) {
 	f := newFixture(t)
 	good := f.file("good.jsonc", records)
@@ -201,12 +201,12 @@
 
 	f.replicator.err = core.ErrOutcomeUnknown
 	f.run(StatusUnknown, "apply", "--timeout", "300ms", "--submission-id", "y", good)
-	f.run(StatusUnknown, "status", "--timeout", "300ms", "--server", "127.0.0.1:1") // refuses connections
+	f.run(StatusUnknown, "status", "--timeout", "300ms", "--server", "127.0.0.1:1") // nothing listens at this address
 	f.c.Setenv(serversVariable, "")
 	f.c.Assert(f.run(StatusUsage, "status"), qt.Contains, "--server or PARSLEYPORT_SERVERS is needed")
 }
 
-// Guards against a file that is sent although a later one is malformed, and against sending on after a refusal.
+// Guards against submitting a file although a later one is malformed, and against continuing after a refusal.
 func TestApplyStopsAtFirstError(t *testing.T) {
 	f := newFixture(t)
 	good := f.file("good.jsonc", records)
@@ -218,7 +218,7 @@
 	f.c.Assert(f.replicator.index, qt.Equals, core.LogIndex(2))
 }
 
-// Guards against a resend of one file that counts as another submission, and against one id for two contents.
+// Guards against a resend of a file that counts as another submission, and against one id for two different contents.
 func TestDerivedSubmissionID(t *testing.T) {
 	f := newFixture(t)
 	load := func(content, operator string) core.SubmissionID {
@@ -233,11 +233,11 @@
 	f.c.Assert(load(records, ""), qt.Equals, load(strings.ReplaceAll(records, "  ", "\t"), ""))
 	f.c.Assert(load(records, ""), qt.Not(qt.Equals), load(records, "lars"))
 	f.c.Setenv(operatorVariable, "lars")
-	f.c.Assert(load(records, ""), qt.Equals, load(records, "amina"), qt.Commentf("the environment overrides the file"))
+	f.c.Assert(load(records, ""), qt.Equals, load(records, "amina"), qt.Commentf("the environment must not override the file"))
 	f.c.Assert(load(records, ""), qt.Not(qt.Equals), load(strings.Replace(records, `"slots": 9`, `"slots": 8`, 1), ""))
 }
 
-// Guards against filters of the records that show others or hide some, and against a list without the nodes.
+// Guards against filters of records that show too many or too few records, and against a status without the nodes.
 func TestRecordsAndNodes(t *testing.T) {
 	f := newFixture(t)
 	f.run(StatusOK, "apply", f.file("records.jsonc", records))
@@ -263,7 +263,7 @@
 	f.c.Assert(f.run(StatusOK, "status"), qt.Not(qt.Contains), "n1")
 }
 
-// Guards against a script that takes a move for done while it is open or after it was taken back.
+// Guards against an exit status that reports a move as done while it is open or after it was taken back.
 func TestWaitForMoves(t *testing.T) {
 	for end, want := range map[core.MoveState]int{
 		core.MoveDone:      StatusOK,
@@ -283,7 +283,7 @@
 	}
 }
 
-// Guards against a check that passes a faulty file or hides all faults behind the first one.
+// Guards against a check that accepts a faulty file or reports only the first of several faults.
 func TestCheck(t *testing.T) {
 	f := newFixture(t)
 	good, goodNode := f.file("good.jsonc", records), f.file("node.jsonc", node)
@@ -304,7 +304,7 @@
 	f.c.Assert(result.Faults, qt.HasLen, 3)
 }
 
-// Guards against a process command that is offered but cannot run, and against settings faults that reach the process.
+// Guards against offering the command of a process that the program cannot run, and against starting a process with invalid settings.
 func TestProcessCommands(t *testing.T) {
 	f := newFixture(t)
 	path := f.file("node.jsonc", node)
@@ -321,7 +321,7 @@
 	f.c.Assert(started, qt.DeepEquals, []core.NodeID{"n1"})
 }
 
-// Guards against help that does not show how a command is used.
+// Guards against help of a command without an example.
 func TestHelpHasAnExampleOfEachCommand(t *testing.T) {
 	f := newFixture(t)
 	f.c.Patch(&runNode, func(context.Context, settings.Node, zerolog.Logger) error { return nil })
@@ -331,7 +331,7 @@
 	}
 }
 
-// Guards against help whose usage is printed twice.
+// Guards against help that prints the usage twice.
 func TestHelpIsPrintedOnce(t *testing.T) {
 	f := newFixture(t)
 	for _, args := range [][]string{{"--help"}, {"status", "--help"}, {"help", "status"}} {
@@ -339,12 +339,12 @@
 	}
 }
 
-// Guards against a completion script with the usage behind it, which a shell cannot load, and against a completion that
-// offers nothing.
+// Guards against a completion script that is followed by the usage, which a shell cannot load, and against completions without
+// candidates.
 func TestCompletion(t *testing.T) {
 	f := newFixture(t)
 	printed := func(args ...string) string {
-		own, err := os.Create(filepath.Join(f.folder, "stdout")) // kingpin writes completions to the process's own output
+		own, err := os.Create(filepath.Join(f.folder, "stdout")) // kingpin writes completions to os.Stdout
 		f.c.Assert(err, qt.IsNil)
 		defer own.Close()
 		f.c.Patch(&os.Stdout, own)
@@ -359,7 +359,7 @@
 	f.c.Assert(strings.Fields(printed("--completion-bash", "status", "--")), qt.Contains, "--nodes")
 }
 
-// Guards against a version that does not tell two builds apart.
+// Guards against a version that is the same for two different builds.
 func TestVersionNamesTheRevision(t *testing.T) {
 	c := qt.New(t)
 	info := &debug.BuildInfo{GoVersion: "go1", Main: debug.Module{Version: "v1.2.3"}}
@@ -370,7 +370,7 @@
 	c.Assert(describeBuild(info), qt.Equals, "parsleyport revision abc of 2026-12-04T10:00:00Z, changed (go1)")
 }
 
-// Guards against a second move when a command with a period is sent again after a lost answer.
+// Guards against a second move when a command with a relative deadline is repeated after a lost answer.
 func TestResendOfMoveWithRelativeDeadline(t *testing.T) {
 	f := newFixture(t)
 	f.run(StatusOK, "apply", f.file("records.jsonc", records))
--- a/io/cli/doc.go
+++ b/io/cli/doc.go
@@ -1,2 +1,3 @@
-// Package cli is the command line of parsleyport: the two processes and the operators' commands.
+// Package cli implements the command line of parsleyport: the commands that run a control instance or a node, the commands for
+// operators, and the commands that work on files only.
 package cli
--- a/io/cli/explain.go
+++ b/io/cli/explain.go
@@ -11,10 +11,10 @@
 	"github.com/juju/errors"
 )
 
-// maxLogLineBytes bounds one line of a log, in bytes; longer ones are counted as unreadable.
+// maxLogLineBytes bounds one line of a log; longer lines are counted as unreadable.
 const maxLogLineBytes = 1 << 20
 
-// explain prints the way of a call through the logs of several processes, and its cause.
+// explain prints the log lines of a call from several processes, and the cause of its outcome.
 func (p *program) explain(o options) int {
 	var lines []logLine
 	unreadable := 0
@@ -55,7 +55,8 @@
 	fmt.Fprintf(p.stdout, "cause: %s\n", e.Cause)
 }
 
-// readLog reads the JSON lines of a log and counts the others. A collector may have put text before the object of a line.
+// readLog reads the JSON lines of a log and counts the other lines. It skips text before the JSON object of a line, as log
+// collectors add it.
 func readLog(path string) (lines []logLine, unreadable int, err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/io/cli/explain_test.go
+++ b/io/cli/explain_test.go
@@ -26,8 +26,8 @@
 `
 )
 
-// Guards against a wrong cause, which sends the reader to the wrong process: each kind of failed call, and those of which a part
-// of the lines is missing.
+// Guards against a wrong cause, which would lead the reader to the wrong process, for each kind of failed call and for calls some
+// of whose lines are missing.
 func TestExplainNamesTheCause(t *testing.T) {
 	f := newFixture(t)
 	entry, backendNode := f.file("entry.log", entryNodeLog), f.file("beside.log", backendNodeLog)
--- a/io/cli/limits_test.go
+++ b/io/cli/limits_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a refusal by a limit that a script takes for an unknown outcome or for a verdict that stays.
+// Guards against a rate limit that is reported as an unknown outcome or as a stored verdict.
 func TestLimitsAreShown(t *testing.T) {
 	f := newFixture(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/cli/members.go
+++ b/io/cli/members.go
@@ -22,8 +22,8 @@
 	return StatusOK
 }
 
-// changeMembers names the identity that the operator sees in the list, so that neither a resend nor a further loss of the
-// disk in the meantime changes anything else.
+// changeMembers requests a change of the identity in the current member list. Neither a resend nor another loss of the disk in the
+// meantime, which gives the instance a new identity, can then change anything else.
 func (p *program) changeMembers(ctx context.Context, o options, client *operatorhttp.Client, kind raft.ChangeKind) int {
 	members, err := request(ctx, o, client.Members)
 	if err != nil {
@@ -80,7 +80,7 @@
 	for _, peer := range members.NonMembers {
 		fmt.Fprintf(table, "%s\tnot a member\t\t\t%s\n", peer.ID, peer.Identity)
 	}
-	_ = table.Flush() // a broken standard output has no other place to be reported
+	_ = table.Flush() // a failure to write to standard output cannot be reported
 	if !members.Current {
 		fmt.Fprintln(p.stdout, "not current: no leader has confirmed this list")
 	}
--- a/io/cli/members_test.go
+++ b/io/cli/members_test.go
@@ -10,8 +10,8 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// Guards against a repair that stops halfway because the output does not say what is missing, and against an exit status
-// that takes a refused or unanswered change for a success.
+// Guards against a repair that stays incomplete because the output does not name the missing changes, and against an exit status
+// that reports a refused or unanswered change as success.
 func TestMembersCommands(t *testing.T) {
 	f := newFixture(t)
 	f.c.Assert(f.run(StatusUsage, "members", "replace", "c2"), qt.Contains, "--operator or PARSLEYPORT_OPERATOR is needed")
--- a/io/cli/operator.go
+++ b/io/cli/operator.go
@@ -14,10 +14,10 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// pollInterval is how often --wait reads the moves; their steps take seconds.
+// pollInterval is the time between two reads of the moves with --wait. The steps of a move take seconds.
 const pollInterval = 500 * time.Millisecond
 
-// apply parses all files before it sends the first one.
+// apply parses all files before it submits the first one, and stops at the first refusal.
 func (p *program) apply(ctx context.Context, o options, client *operatorhttp.Client) int {
 	submissions := make([]core.Submission, 0, len(o.files))
 	derived := make([]bool, 0, len(o.files))
@@ -76,7 +76,7 @@
 		move.ID = id
 	}
 	if o.relativeDeadline {
-		fmt.Fprintf(p.stderr, "To send the same move again after a lost answer, use --submission-id %s --by %s in the same command.\n", move.ID, move.Deadline.Format(time.RFC3339Nano))
+		fmt.Fprintf(p.stderr, "To resend this move after a lost answer, use --submission-id %s --by %s in the same command.\n", move.ID, move.Deadline.Format(time.RFC3339Nano))
 	}
 	verdict, err := request(ctx, o, func(ctx context.Context) (catalog.Verdict, error) { return client.Move(ctx, move) })
 	status := p.verdict(o, verdict, o.submissionID == "", err)
@@ -104,7 +104,7 @@
 	return p.verdict(o, verdict, o.submissionID == "", err)
 }
 
-// request bounds one request, so that --wait may take longer than --timeout.
+// request applies --timeout to one request only, so that --wait may take longer.
 func request[T any](ctx context.Context, o options, send func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
@@ -124,11 +124,11 @@
 		return StatusOK
 	}
 	if verdict.Cause == catalog.CauseSubmissionLimit {
-		fmt.Fprintln(p.stderr, "This verdict is not kept: after the time that it names, run the same command again.")
+		fmt.Fprintln(p.stderr, "This verdict is not stored: after the time that it names, run the same command again.")
 		return StatusRefused
 	}
 	if derived {
-		fmt.Fprintf(p.stderr, "This verdict is from %s and stays with this content. Once its cause has gone, submit again with another --submission-id.\n", verdict.At.Format(time.RFC3339))
+		fmt.Fprintf(p.stderr, "This verdict dates from %s and is stored for this content. Once its cause is resolved, submit again with another --submission-id.\n", verdict.At.Format(time.RFC3339))
 	}
 	return StatusRefused
 }
@@ -154,7 +154,7 @@
 	return text + ", submission " + string(v.Submission)
 }
 
-// moves lists the moves; with --wait, it first waits for those that were open at the start.
+// moves lists the moves. With --wait, it first waits for those that were open when the command started.
 func (p *program) moves(ctx context.Context, o options, client *operatorhttp.Client) int {
 	moves, err := readMoves(ctx, o, client)
 	if err != nil {
@@ -202,7 +202,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", m.MoveID, m.Request.Service, m.Request.From, m.Request.To,
 			m.State, m.Share, m.Step, m.Request.Deadline.Format(time.RFC3339), m.Cause, m.Evidence)
 	}
-	_ = table.Flush() // a broken standard output has no other place to be reported
+	_ = table.Flush() // a failure to write to standard output cannot be reported
 }
 
 func (p *program) failRequest(err error) int {
--- a/io/cli/options.go
+++ b/io/cli/options.go
@@ -16,7 +16,7 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// Environment variables that stand in for options.
+// Environment variables with the defaults of options.
 const (
 	serversVariable  = "PARSLEYPORT_SERVERS"
 	operatorVariable = "PARSLEYPORT_OPERATOR"
@@ -55,7 +55,7 @@
 
 const derivedIDHelp = "derived from the content"
 
-// options holds every option and argument of all commands, checked.
+// options holds the checked options and arguments of all commands.
 type options struct {
 	command          string
 	settings         string
@@ -64,16 +64,16 @@
 	servers          []string
 	tokenFile        string
 	token            string
-	timeout          time.Duration // how long one request is repeated until it has an answer
+	timeout          time.Duration // how long one request is retried until it is answered
 	json             bool
 	operator         core.Operator
-	defaultOperator  core.Operator // operator if neither an option nor the file names one
+	defaultOperator  core.Operator // used if neither an option nor the file names an operator
 	submissionID     core.SubmissionID
 	service          core.ServiceName
 	from             core.UpstreamName
 	to               core.UpstreamName
 	deadline         time.Time
-	relativeDeadline bool // --by was given from now on, so that a second run has another deadline
+	relativeDeadline bool // --by is a duration from now, so that a second run has another deadline
 	maxRisk          core.PerMille
 	moveID           core.MoveID
 	member           core.ControlID
@@ -87,7 +87,7 @@
 	complete         bool
 }
 
-// raw holds what needs more than kingpin's own checks.
+// rawOptions also holds the values that need more checks than kingpin's.
 type rawOptions struct {
 	options
 	output  string
@@ -96,16 +96,17 @@
 	maxRisk uint32
 }
 
-// errHelpPrinted means that help was asked for and has been printed.
+// errHelpPrinted means that kingpin has printed help or a completion script.
 const errHelpPrinted = errors.ConstError("help was printed")
 
-// parseOptions returns checked options, errHelpPrinted, or an error that describes the wrong option; now is the start of --by.
+// parseOptions returns checked options, errHelpPrinted, or an error that describes the first invalid option. A duration in --by
+// counts from now.
 func parseOptions(args []string, now time.Time, usage io.Writer) (options, error) {
 	if len(args) == 0 {
 		return options{}, errors.New("a command is needed; parsleyport --help lists them")
 	}
 	app := kingpin.New("parsleyport", "Configuration distribution for a service mesh.\n\nExit status: 0 success, 1 refused or failed, 2 wrong usage or settings, 3 unreachable or outcome unknown.")
-	app.UsageWriter(usage).Terminate(func(int) { panic(errHelpPrinted) }) // kingpin goes on if this returns, and prints the usage again
+	app.UsageWriter(usage).Terminate(func(int) { panic(errHelpPrinted) }) // if Terminate returned, kingpin would print the usage again
 	app.HelpFlag.Short('h')
 	var r rawOptions
 	addProcessCommands(app, &r)
@@ -121,7 +122,7 @@
 	return r.check(now)
 }
 
-// parse returns errHelpPrinted if kingpin has printed help or a completion script.
+// parse parses the command line. It returns errHelpPrinted if kingpin has printed help or a completion script.
 func parse(app *kingpin.Application, args []string) (command string, err error) {
 	defer func() {
 		switch cause := recover(); cause {
@@ -135,7 +136,7 @@
 	return app.Parse(args)
 }
 
-// addProcessCommands leaves out a process that this program cannot run.
+// addProcessCommands omits the commands of processes that this program cannot run.
 func addProcessCommands(app *kingpin.Application, r *rawOptions) {
 	if runControl != nil {
 		control := app.Command(commandControl, "Run a control instance.\n\nExample: parsleyport control --settings c1.jsonc")
@@ -156,8 +157,8 @@
 	move.Flag("service", "Service whose traffic moves.").Required().StringVar((*string)(&r.service))
 	move.Flag("from", "Upstream that has the traffic.").Required().StringVar((*string)(&r.from))
 	move.Flag("to", "Upstream that gets the traffic.").Required().StringVar((*string)(&r.to))
-	move.Flag("by", "Time by which traffic must have moved: 2026-12-04T10:00:00Z, or from now: 10m.").Required().StringVar(&r.by)
-	move.Flag("max-risk", "Largest share at risk before the evidence passes, per mille; 0 for the default of 15.").Uint32Var(&r.maxRisk)
+	move.Flag("by", "Time by which all traffic must have moved: 2026-12-04T10:00:00Z, or 10m for a duration from now.").Required().StringVar(&r.by)
+	move.Flag("max-risk", "Largest share of traffic at risk before the evidence suffices, per mille; 0 for the default of 15.").Uint32Var(&r.maxRisk)
 	move.Flag("wait", "Wait until the move has ended; exit status 1 unless it is done.").BoolVar(&r.wait)
 	addOperator(move, r, derivedIDHelp)
 
@@ -176,7 +177,7 @@
 	moves.Flag("wait", "Wait until the open moves have ended; exit status 1 unless all of them are done.").BoolVar(&r.wait)
 
 	status := app.Command(commandStatus, "Show accepted and in-force revisions, nodes and control instances.\n\nExample: parsleyport status --server 127.0.0.1:7101 --output json")
-	status.Flag("nodes", "List each node with its newest report.").BoolVar(&r.nodes)
+	status.Flag("nodes", "List each node with its latest report.").BoolVar(&r.nodes)
 
 	records := app.Command(commandRecords, "Show the accepted records.\n\nExample: parsleyport records --server 127.0.0.1:7101 --service orders --kind policy")
 	records.Arg("name", "Only records of this name.").StringVar(&r.records.Name)
@@ -189,7 +190,7 @@
 	audit.Flag("move", "Only entries of this move.").StringVar((*string)(&r.moveID))
 	audit.Flag("since", "Only entries from this time on, such as 2026-12-04T10:00:00Z.").StringVar(&r.since)
 	audit.Flag("limit", "Number of entries, from 1 to 10000.").Default("100").IntVar(&r.limit)
-	audit.Flag("before", "Only entries before this number, which a command whose limit was reached prints.").Uint64Var(&r.before)
+	audit.Flag("before", "Only entries before this number, as printed by a command that reached its limit.").Uint64Var(&r.before)
 
 	for _, command := range []*kingpin.CmdClause{moves, status, records, audit} {
 		addRemote(command, r)
@@ -197,7 +198,7 @@
 }
 
 func addMemberCommands(app *kingpin.Application, r *rawOptions) {
-	members := app.Command(commandMembers, "List the control instances, or change which of them are members.\n\nAfter the loss of a disk: members replace ID makes the instance with the new disk a learner and takes the vote from the old identity; members promote ID gives the learner its vote once it has caught up. Until then, one instance less may be lost.")
+	members := app.Command(commandMembers, "List the control instances, or change which of them are members.\n\nAfter the loss of a disk: members replace ID makes the instance with the new disk a learner and takes the vote from the old identity; members promote ID gives the learner its vote once it has caught up. Until then, one instance fewer may fail.")
 	addRemote(members, r)
 	members.Command("list", "List voters, learners, and instances that have introduced themselves without being members; say which changes are missing. The default.\n\nExample: parsleyport members --server 127.0.0.1:7101").Default()
 	for _, subcommand := range []struct{ name, help string }{
@@ -218,11 +219,11 @@
 
 	check := app.Command(commandCheck, "Check settings and record files without a control instance.\n\nExample: parsleyport check c1.jsonc n1.jsonc orders.jsonc")
 	check.Arg("file", "Settings or record file, JSON with comments.").Required().StringsVar(&r.files)
-	check.Flag("as", "Kind of the files; auto goes by their keys.").Default(kindAuto).EnumVar(&r.as, kindAuto, kindControl, kindNode, kindRecords)
-	check.Flag("complete", "The record files together are all records: check the references between them too.").BoolVar(&r.complete)
+	check.Flag("as", "Kind of the files; auto detects it from their keys.").Default(kindAuto).EnumVar(&r.as, kindAuto, kindControl, kindNode, kindRecords)
+	check.Flag("complete", "The record files together hold all records: also check the references between them.").BoolVar(&r.complete)
 	addOutput(check, r)
 
-	explain := app.Command(commandExplain, "Show the way of a call through the logs of several processes, and its cause. The exit status is 1 if no line names it.\n\nExample: parsleyport explain b64a36d3cf29b8f6 node.log node-2.log")
+	explain := app.Command(commandExplain, "Show the log lines of a call from several processes, and the cause of its outcome. The exit status is 1 if no line names the call.\n\nExample: parsleyport explain b64a36d3cf29b8f6 node.log node-2.log")
 	explain.Arg("id", "Id of the call, as in the header of its answer.").Required().StringVar(&r.callID)
 	explain.Arg("log", "Log of a process, one JSON object a line.").Required().ExistingFilesVar(&r.files)
 	addOutput(explain, r)
@@ -230,16 +231,16 @@
 	app.Command(commandVersion, "Print the version from the build information.\n\nExample: parsleyport version")
 }
 
-// addOperator describes the submission id that is used if none is given.
+// addOperator adds --operator and --submission-id; defaultID describes the submission id that is used if none is given.
 func addOperator(command *kingpin.CmdClause, r *rawOptions, defaultID string) {
-	command.Flag("operator", "Who submits. Otherwise the record file names the operator, or "+operatorVariable+" does.").StringVar((*string)(&r.operator))
-	command.Flag("submission-id", "Id that makes a resend harmless; "+defaultID+" if there is none.").StringVar((*string)(&r.submissionID))
+	command.Flag("operator", "Operator who submits. By default the one that the record file names, or that of "+operatorVariable+" in the environment.").StringVar((*string)(&r.operator))
+	command.Flag("submission-id", "Id by which a resend is recognised; "+defaultID+" if none is given.").StringVar((*string)(&r.submissionID))
 }
 
 func addRemote(command *kingpin.CmdClause, r *rawOptions) {
-	command.Flag("server", "Operator address of a control instance; may be repeated. Otherwise "+serversVariable+", separated by commas.").StringsVar(&r.servers)
+	command.Flag("server", "Operator address of a control instance; may be repeated. By default the addresses in "+serversVariable+", separated by commas.").StringsVar(&r.servers)
 	command.Flag("token-file", "File with the operators' token.").StringVar(&r.tokenFile)
-	command.Flag("timeout", "How long a request is repeated until it has an answer.").Default(defaultTimeout.String()).DurationVar(&r.timeout)
+	command.Flag("timeout", "How long a request is retried until it is answered.").Default(defaultTimeout.String()).DurationVar(&r.timeout)
 	addOutput(command, r)
 }
 
@@ -279,7 +280,7 @@
 	}
 	for _, server := range o.servers {
 		if _, err := netip.ParseAddrPort(server); err != nil {
-			return errors.Errorf("server is %q, expected IP number and port such as 127.0.0.1:7101", server)
+			return errors.Errorf("server is %q, expected an IP address and port such as 127.0.0.1:7101", server)
 		}
 	}
 	if o.timeout <= 0 {
@@ -297,7 +298,7 @@
 			return errors.Errorf("--operator or %s is needed", operatorVariable)
 		}
 		if o.submissionID == "" && strings.HasPrefix(o.command, commandMembers) {
-			// The same change may be wanted again later, so its content does not identify it.
+			// The same change may be requested again later, so its id cannot be derived from its content.
 			o.submissionID = core.SubmissionID("members-" + strings.ToLower(rand.Text()))
 		}
 	case commandApply:
@@ -319,7 +320,7 @@
 	if duration, err := time.ParseDuration(r.by); err == nil {
 		o.deadline, o.relativeDeadline = now.Add(duration).Truncate(time.Millisecond), true
 	} else if o.deadline, err = time.Parse(time.RFC3339, r.by); err != nil {
-		return errors.Errorf("--by is %q, expected a time such as 2026-12-04T10:00:00Z or a period such as 10m", r.by)
+		return errors.Errorf("--by is %q, expected a time such as 2026-12-04T10:00:00Z or a duration such as 10m", r.by)
 	}
 	if !o.deadline.After(now) {
 		return errors.Errorf("--by is %q, expected a time in the future", r.by)
--- a/io/cli/recordfile.go
+++ b/io/cli/recordfile.go
@@ -63,19 +63,19 @@
 	return source, nil
 }
 
-// parseRecords reads a record file and checks each record by itself; it returns a fileError with all faults.
+// parseRecords parses a record file and checks each record on its own. Its error is a fileError with all faults.
 func parseRecords(file string, source []byte) (core.Submission, error) {
 	value, err := hujson.Parse(source)
 	if err != nil {
 		line := 1
-		_, _ = fmt.Sscanf(err.Error(), "hujson: line %d,", &line) // the first line if the parser names none
+		_, _ = fmt.Sscanf(err.Error(), "hujson: line %d,", &line) // line stays 1 if the error names none
 		return core.Submission{}, singleFault(file, line, err.Error())
 	}
 	if faults := duplicateKeys(file, source, value); len(faults) > 0 {
 		return core.Submission{}, faults
 	}
 	standardJSON := value.Clone()
-	standardJSON.Standardize() // keeps all offsets
+	standardJSON.Standardize() // keeps all byte offsets
 	decoder := json.NewDecoder(bytes.NewReader(standardJSON.Pack()))
 	decoder.DisallowUnknownFields()
 	var submission core.Submission
@@ -101,7 +101,7 @@
 	return submission, nil
 }
 
-// duplicateKeys lists keys that an object has twice; encoding/json would silently drop the first value.
+// duplicateKeys returns a fault for each key that an object repeats; encoding/json would silently keep only the last value.
 func duplicateKeys(file string, source []byte, value hujson.Value) (faults fileError) {
 	for each := range value.All() {
 		object, isObject := each.Value.(*hujson.Object)
@@ -135,7 +135,7 @@
 	return 1 + bytes.Count(source[:min(max(offset, 0), int64(len(source)))], []byte{'\n'})
 }
 
-// deriveID returns a submission id that is the same for the same content.
+// deriveID returns a submission id derived from the content, so that equal contents have equal ids.
 func deriveID(content any) (core.SubmissionID, error) {
 	encoded, err := json.Marshal(content)
 	if err != nil {
--- a/io/cli/replay.go
+++ b/io/cli/replay.go
@@ -9,10 +9,10 @@
 	"parsleyport/core/replay"
 )
 
-// callTraceExtension is the ending of recorded calls; all other files are recorded moves.
+// callTraceExtension is the file extension of recorded calls; all other files are recorded moves.
 const callTraceExtension = ".calls"
 
-// replay returns StatusRefused if a trace leads to another outcome than it states, StatusUsage if it cannot be read.
+// replay returns StatusRefused if a trace leads to another outcome than it states, and StatusUsage if a trace cannot be read.
 func (p *program) replay(o options) int {
 	status := StatusOK
 	for _, file := range o.files {
--- a/io/cli/show.go
+++ b/io/cli/show.go
@@ -66,7 +66,7 @@
 		return p.failRequest(err)
 	}
 	if page.Next > 0 {
-		fmt.Fprintf(p.stderr, "There are older entries; to look through them, use the same command with --before %d.\n", page.Next)
+		fmt.Fprintf(p.stderr, "There are older entries; to see them, run the same command with --before %d.\n", page.Next)
 	}
 	if o.json {
 		p.printJSON(page.Entries)
@@ -82,7 +82,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", e.At.Format(time.RFC3339), e.Operator, e.Token, e.Action, result, e.Revision,
 			e.Move, e.Submission, strings.Join(e.Changes, "; "))
 	}
-	_ = table.Flush() // a broken standard output has no other place to be reported
+	_ = table.Flush() // a failure to write to standard output cannot be reported
 	return StatusOK
 }
 
@@ -92,7 +92,7 @@
 	for _, n := range nodes {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%s\n", n.Node, n.DataCentre, n.Revision, n.Schema, n.LastReport.Format(time.RFC3339))
 	}
-	_ = table.Flush() // a broken standard output has no other place to be reported
+	_ = table.Flush() // a failure to write to standard output cannot be reported
 }
 
 func (p *program) records(ctx context.Context, o options, client *operatorhttp.Client) int {
@@ -109,7 +109,7 @@
 	for _, r := range records.Records {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%s\n", r.Kind, r.Name, r.SchemaVersion, r.Version, r.Body)
 	}
-	_ = table.Flush() // a broken standard output has no other place to be reported
+	_ = table.Flush() // a failure to write to standard output cannot be reported
 	fmt.Fprintf(p.stdout, "revision: %d\n", records.Revision)
 	return StatusOK
 }
