--- a/io/cli/check.go
+++ b/io/cli/check.go
@@ -13,7 +13,7 @@
 	"parsleyport/io/settings"
 )
 
-// Kinds of files.
+// Kinds of files to check.
 const (
 	kindAuto    = "auto"
 	kindControl = "control"
@@ -21,8 +21,8 @@
 	kindRecords = "records"
 )
 
-// checked is the result of one file; Faults is empty if the file is right.
-type checked struct {
+// checkResult is the result of checking one file; Faults is empty if the file is valid.
+type checkResult struct {
 	File   string   `json:"file"`
 	Kind   string   `json:"kind"`
 	Faults []string `json:"faults"`
@@ -31,45 +31,45 @@
 func (p *program) check(o options) int {
 	var all []core.Record
 	status := StatusOK
-	results := lo.Map(o.files, func(file string, _ int) checked {
+	results := lo.Map(o.files, func(file string, _ int) checkResult {
 		kind, records, err := checkFile(file, o.as)
 		all = append(all, records...)
-		return newChecked(file, kind, err)
+		return newCheckResult(file, kind, err)
 	})
 	if o.complete {
 		_, err := record.New(1, all, nil)
-		results = append(results, newChecked("all records together", kindRecords, err))
+		results = append(results, newCheckResult("all records together", kindRecords, err))
 	}
 	for _, result := range results {
 		if len(result.Faults) > 0 {
 			status = StatusUsage
 		}
-		p.printChecked(o, result)
+		p.printCheckResult(o, result)
 	}
 	return status
 }
 
-func newChecked(file, kind string, err error) checked {
-	result := checked{
+func newCheckResult(file, kind string, err error) checkResult {
+	result := checkResult{
 		File:   file,
 		Kind:   kind,
 		Faults: []string{},
 	}
-	var inSettings *settings.Error
-	var inRecords fileError
+	var settingsError *settings.Error
+	var recordsError fileError
 	switch {
 	case err == nil:
-	case errors.As(err, &inSettings):
-		result.Faults = lo.Map(inSettings.Faults, func(f settings.Fault, _ int) string { return f.String() })
-	case errors.As(err, &inRecords):
-		result.Faults = lo.Map(inRecords, func(f fileFault, _ int) string { return fileError{f}.Error() })
+	case errors.As(err, &settingsError):
+		result.Faults = lo.Map(settingsError.Faults, func(f settings.Fault, _ int) string { return f.String() })
+	case errors.As(err, &recordsError):
+		result.Faults = lo.Map(recordsError, func(f fileFault, _ int) string { return fileError{f}.Error() })
 	default:
 		result.Faults = []string{fmt.Sprintf("%s: %v", file, err)}
 	}
 	return result
 }
 
-func (p *program) printChecked(o options, result checked) {
+func (p *program) printCheckResult(o options, result checkResult) {
 	if o.json {
 		p.printJSON(result)
 		return
@@ -103,7 +103,7 @@
 	return kind, nil, err
 }
 
-// detectKind goes by keys that only one kind has; whatever is not settings is checked as records.
+// detectKind looks for keys that only one kind of settings has; a file without any of them is checked as records.
 func detectKind(source []byte) string {
 	standard, err := hujson.Standardize(append([]byte(nil), source...))
 	if err != nil {
