--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -103,7 +103,7 @@
 	c.mu.Unlock()
 	c.closeLost()
 	if calls > 0 {
-		c.dialer.options.Logger.Warn().Str("peer", c.frames.RemoteAddr().String()).Int("calls", calls).Err(cause).Msg("connection lost with outstanding calls")
+		c.dialer.options.Logger.Warn().Str("peer", c.frames.RemoteAddr().String()).Int("calls", calls).Err(cause).Msg("connection with calls lost")
 	}
 }
 
