--- a/io/control/moves.go
+++ b/io/control/moves.go
@@ -59,7 +59,7 @@
 		}
 		open[move.MoveID] = judge
 		judge.ObserveEndpoints(now, endpoints)
-		judge.ObserveLateness(m.source.EvidenceLate(move.MoveID))
+		judge.ObserveLateness(m.source.EvidenceLateness(move.MoveID))
 		counted := lo.Filter(evidence, func(count core.EvidenceCount, _ int) bool { return count.Move == move.MoveID })
 		if step, due := judge.Decide(now, move, counted); due {
 			step.Evidence = m.withReporting(step)
@@ -75,7 +75,7 @@
 		return step.Evidence // no node knows of the move before its first step
 	}
 	text := fmt.Sprintf("%s; %d of %d nodes report", step.Evidence, m.source.Reporting(step.MoveID), m.source.Fleet().Nodes)
-	if late := m.source.EvidenceLate(step.MoveID); late > 0 {
+	if late := m.source.EvidenceLateness(step.MoveID); late > 0 {
 		text += fmt.Sprintf("; reports up to %s later than usual", late)
 	}
 	return text
--- a/io/distribution/bench_test.go
+++ b/io/distribution/bench_test.go
@@ -21,14 +21,14 @@
 func newFleet(t testing.TB, count int) *fleet {
 	w := newCluster(t)
 	w.loopback()
-	w.catalog.set(planned(1))
+	w.catalog.set(plannedConfiguration(1))
 	f := &fleet{cluster: w, source: w.source("c1", w.catalog), nodes: w.startNodes(count, withControlAddresses("c1"))}
 	w.eventually(time.Minute, "attached", func() bool { return allAtRevision(f.nodes, 1)() && allHaveEndpoints(f.nodes, count)() })
 	return f
 }
 
 // planned is a configuration of the planned size: 170 services.
-func planned(number core.Revision) *record.Configuration {
+func plannedConfiguration(number core.Revision) *record.Configuration {
 	return configuration(number, testRecords(170, number))
 }
 
@@ -52,7 +52,7 @@
 			before, number := f.bytes(), core.Revision(1)
 			for b.Loop() {
 				number++
-				next := planned(number)
+				next := plannedConfiguration(number)
 				began := time.Now()
 				f.catalog.set(next)
 				for !allAtRevision(f.nodes, number)() {
@@ -124,7 +124,7 @@
 				measure("first-B/s", 5, func(n *Subscriber) { reportMoves(n, size[1], calls) })
 				measure("move-B/s", seconds, func(n *Subscriber) { reportMoves(n, size[1], calls) })
 				b.ReportMetric(float64(relay.Status().SubtreeNodes), "subtree-nodes")
-				b.ReportMetric(f.source.EvidenceLate("move-0").Seconds(), "s-late")
+				b.ReportMetric(f.source.EvidenceLateness("move-0").Seconds(), "s-late")
 			}
 		})
 	}
@@ -154,29 +154,29 @@
 }
 
 const (
-	usedServices = 10 // of the planned services, by each node
-	dataCentres  = 18
+	servicesPerNode = 10 // of the planned services, by each node
+	dataCentres     = 18
 )
 
 // newPlannedFleet has nodes in the planned data centres, whose backend servers belong to the planned services in turn. With
-// onRequest, each node uses usedServices services; otherwise it gets all endpoints.
-func newPlannedFleet(b *testing.B, count int, onRequest bool) *fleet {
+// onRequest, each node uses servicesPerNode services; otherwise it gets all endpoints.
+func newPlannedFleet(b *testing.B, count int, onDemand bool) *fleet {
 	w := newCluster(b)
 	w.loopback()
-	w.catalog.set(planned(1))
+	w.catalog.set(plannedConfiguration(1))
 	f := &fleet{cluster: w, source: w.source("c1", w.catalog)}
-	services := planned(1).Services()
+	services := plannedConfiguration(1).Services()
 	f.nodes = w.startNodes(count, func(i int, o *SubscriberOptions) {
-		o.OnDemandEndpoints, o.DataCentre = onRequest, core.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
+		o.OnDemandEndpoints, o.DataCentre = onDemand, core.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
 	})
 	for i, n := range f.nodes {
 		n.Announce(endpoint(services[i%len(services)], core.EndpointReady))
-		for use := range usedServices {
+		for use := range servicesPerNode {
 			n.Subscribe(services[(i*7+use*17)%len(services)])
 		}
 	}
 	known := func(n *Subscriber) bool { return n.Confirmed() && n.Status().Endpoints == count }
-	if onRequest {
+	if onDemand {
 		known = func(n *Subscriber) bool {
 			return n.Confirmed() && n.EndpointsKnown(services[0]) == n.hub.services[services[0]]
 		}
@@ -193,15 +193,15 @@
 	const apart = 5    // seconds between two changes of a node
 	states := []core.EndpointState{core.EndpointLeaving, core.EndpointStarting, core.EndpointReady}
 	for _, count := range []int{450, 900, 2700} {
-		for _, onRequest := range []bool{false, true} {
-			if count > 900 && !onRequest {
+		for _, onDemand := range []bool{false, true} {
+			if count > 900 && !onDemand {
 				continue // 2,700 tables of 2,700 endpoints in one process need more than 13 GB
 			}
-			b.Run(fmt.Sprintf("nodes=%d/by-use=%t", count, onRequest), func(b *testing.B) {
-				f := newPlannedFleet(b, count, onRequest)
+			b.Run(fmt.Sprintf("nodes=%d/by-use=%t", count, onDemand), func(b *testing.B) {
+				f := newPlannedFleet(b, count, onDemand)
 				defer f.close()
 				time.Sleep(startupGrace) // the digests at the end of the grace period are not idle traffic
-				services := planned(1).Services()
+				services := plannedConfiguration(1).Services()
 				for b.Loop() {
 					for _, rate := range []int{0, 1, 5, 10, 20, 30} {
 						before := bytesOf(f.nodes)
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -45,7 +45,7 @@
 	cursor           uint64 // position in the table up to which changes were sent
 	batch            batcher
 	readsStates      bool
-	sentChecks       map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checkOf
+	sentChecks       map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checksumOf
 	digestDue        bool
 	digestFinal      bool
 	tombstonesSince  time.Time
@@ -183,7 +183,7 @@
 		grace = 0
 	}
 	h.table.DisconnectOwner(now, c.owner, c.hello.ID, grace, lostSubtreeGrace)
-	h.loseSubscriptions(now, c)
+	h.retainSubscriptions(now, c)
 	h.publishAndWake()
 }
 
@@ -232,7 +232,7 @@
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.takeSums(now, c, message)
+		return h.handleSums(now, c, message)
 	case typeCrashes:
 		var message crashes
 		return h.decodeAndHandle(received, &message, func() {
@@ -250,7 +250,7 @@
 		})
 	case typeSubscribe:
 		var message subscribe
-		return h.decodeAndHandle(received, &message, func() { h.subscribed(now, c, message) })
+		return h.decodeAndHandle(received, &message, func() { h.handleSubscribe(now, c, message) })
 	case typeEndpointsRequest:
 		var message endpointsRequest
 		return h.decodeAndHandle(received, &message, func() {
@@ -296,7 +296,7 @@
 	for _, removal := range message.Removals {
 		h.table.Remove(now, c.owner, removal)
 	}
-	h.rememberLeft(now, message.Tombstones)
+	h.addTombstones(now, message.Tombstones)
 	h.publishAndWake()
 }
 
--- a/io/distribution/packing.go
+++ b/io/distribution/compressor.go
@@ -6,8 +6,8 @@
 	"parsleyport/io/frame"
 )
 
-// newPacking returns the packing of messages on the links of the tree. Configurations repeat themselves and need no sample.
-func newPacking() (*frame.Compressor, error) {
+// newCompressor returns the packing of messages on the links of the tree. Configurations repeat themselves and need no sample.
+func newCompressor() (*frame.Compressor, error) {
 	endpoint := core.Endpoint{State: core.EndpointReady}
 	return frame.NewCompressor(
 		hello{Kind: kindNode},
--- a/io/distribution/packing_test.go
+++ b/io/distribution/compressor_test.go
@@ -13,45 +13,45 @@
 
 // Guards against links between data centres that are not packed, against packed messages to a child that does not read them,
 // and against work for packing within a data centre.
-func TestLinksBetweenDataCentresArePacked(t *testing.T) {
+func TestLinksBetweenDataCentresAreCompressed(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		packing, err := newPacking()
+		compressor, err := newCompressor()
 		c.Assert(err, qt.IsNil)
 		w.source("c1", w.catalog) // in no data centre
 		for name, test := range map[string]struct {
 			dataCentre core.DataCentre
-			reads      frame.CompressorID
-			packed     bool
+			supported  frame.CompressorID
+			compressed bool
 		}{
-			"another data centre":        {dataCentre: "dc-b", reads: packing.ID(), packed: true},
-			"the same data centre":       {dataCentre: "", reads: packing.ID()},
+			"another data centre":        {dataCentre: "dc-b", supported: compressor.ID(), compressed: true},
+			"the same data centre":       {dataCentre: "", supported: compressor.ID()},
 			"a child without packing":    {dataCentre: "dc-b"},
-			"a child of another version": {dataCentre: "dc-b", reads: packing.ID() + 2},
+			"a child of another version": {dataCentre: "dc-b", supported: compressor.ID() + 2},
 		} {
-			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.reads}, packing)
+			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.supported}, compressor)
 			var accepted accept
 			child.receive(typeAccept, &accepted)
-			c.Check(accepted.Compressor != 0, qt.Equals, test.packed, qt.Commentf(name))
+			c.Check(accepted.Compressor != 0, qt.Equals, test.compressed, qt.Commentf(name))
 			child.receive(typeConfigFull, &struct{}{})
 			_, received := child.conn.Bytes()
-			c.Check(received < 600, qt.Equals, test.packed, qt.Commentf("%s: %d bytes", name, received))
+			c.Check(received < 600, qt.Equals, test.compressed, qt.Commentf("%s: %d bytes", name, received))
 			c.Assert(child.conn.Close(), qt.IsNil)
 		}
 	})
 }
 
 // Guards against a child that goes on with plain messages although its parent has agreed to packed ones, and the reverse.
-func TestChildPacksWhatItsParentReads(t *testing.T) {
+func TestChildCompressesWhatItsParentReads(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
-		packing, err := newPacking()
+		compressor, err := newCompressor()
 		c.Assert(err, qt.IsNil)
 		for name, test := range map[string]struct {
-			agreed frame.CompressorID
-			packed bool
+			agreed     frame.CompressorID
+			compressed bool
 		}{
-			"agreed":             {agreed: packing.ID(), packed: true},
+			"agreed":             {agreed: compressor.ID(), compressed: true},
 			"no packing":         {agreed: 0},
-			"another dictionary": {agreed: packing.ID() + 2},
+			"another dictionary": {agreed: compressor.ID() + 2},
 		} {
 			parent := w.rawParent("parent-" + name)
 			child := w.subscriber(core.NodeID("n-"+name), "parent-"+name)
@@ -61,7 +61,7 @@
 			for err = nil; err == nil; {
 				_, err = parent.conn.Receive(time.Now().Add(linkTimeout))
 			}
-			c.Check(errors.Is(err, frame.ErrMalformed), qt.Equals, test.packed, qt.Commentf("%s: %v", name, err))
+			c.Check(errors.Is(err, frame.ErrMalformed), qt.Equals, test.compressed, qt.Commentf("%s: %v", name, err))
 			w.stop("n-" + name)
 		}
 	})
--- a/io/distribution/content.go
+++ b/io/distribution/content.go
@@ -17,7 +17,7 @@
 	event := h.logger.Info()
 	if diverged {
 		event = h.logger.Error()
-		h.meters.contents.Inc()
+		h.meters.contentMismatches.Inc()
 		c.offerFull = true
 		c.wake.TryPush(struct{}{})
 	}
@@ -49,7 +49,7 @@
 	if held.revision != accepted.revision || held == accepted || configVersionOf(candidate) != accepted {
 		return
 	}
-	s.hub.meters.repairs.Inc()
+	s.hub.meters.contentRepairs.Inc()
 	s.logger.Error().Str("event", "content-replaced").Uint64("revision", uint64(accepted.revision)).
 		Msg("replacing a configuration whose content is not the accepted one")
 	s.switchTo(candidate)
--- a/io/distribution/content_test.go
+++ b/io/distribution/content_test.go
@@ -37,11 +37,11 @@
 			}
 			return source.hub.subtreeAcknowledgement().Nodes == 24
 		})
-		found, replaced := source.hub.meters.contents.Get(), uint64(0)
+		found, replaced := source.hub.meters.contentMismatches.Get(), uint64(0)
 		for _, n := range nodes {
-			c.Assert(n.hub.meters.repairs.Get() <= 1, qt.IsTrue)
-			replaced += n.hub.meters.repairs.Get()
-			found += n.hub.meters.contents.Get()
+			c.Assert(n.hub.meters.contentRepairs.Get() <= 1, qt.IsTrue)
+			replaced += n.hub.meters.contentRepairs.Get()
+			found += n.hub.meters.contentMismatches.Get()
 		}
 		c.Assert(replaced, qt.Equals, uint64(24))
 		c.Assert(found >= 24, qt.IsTrue, qt.Commentf("%d found", found))
--- a/io/distribution/distribution_test.go
+++ b/io/distribution/distribution_test.go
@@ -57,7 +57,7 @@
 func TestLoopbackTCP(t *testing.T) {
 	f := newFleet(t, 25)
 	defer f.close()
-	f.catalog.set(planned(2))
+	f.catalog.set(plannedConfiguration(2))
 	f.eventually(convergenceTimeout, "acknowledged", func() bool { return f.source.Fleet() == Fleet{Lowest: 2, Nodes: 25, Schema: record.NewestSchema} })
 	f.nodes[0].Announce(endpoint("service-0", core.EndpointLeaving))
 	f.eventually(3*time.Second, "leaving known", allSeeLeaving(f.nodes, "n000"))
@@ -239,9 +239,9 @@
 		w.eventually(convergenceTimeout, "endpoints at all nodes", allHaveEndpoints(nodes, 40))
 		fulls := func() (sum uint64) {
 			for _, n := range nodes {
-				sum += n.hub.meters.fulls.Get()
+				sum += n.hub.meters.fullsSent.Get()
 			}
-			return sum + source.hub.meters.fulls.Get()
+			return sum + source.hub.meters.fullsSent.Get()
 		}
 		failed := 0
 		for len(nodes[failed].Status().Path) > 0 {
@@ -323,7 +323,7 @@
 		c.Assert(turnedAway > 0, qt.IsTrue)
 		// A node contacts the source once, and again if its relay was full or detached.
 		c.Assert(handshakes <= 3*nodeCount, qt.IsTrue)
-		c.Assert(source.hub.meters.fulls.Get(), qt.Equals, uint64(0))
+		c.Assert(source.hub.meters.fullsSent.Get(), qt.Equals, uint64(0))
 		c.Assert(sent+received <= nodeCount*4096, qt.IsTrue)
 		w.eventually(convergenceTimeout, "at most three hops from the control instance", every(nodes, func(n *Subscriber) bool {
 			status := n.Status()
@@ -481,8 +481,8 @@
 func TestReattachKeepsEndpoints(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
-		onRequest := func(_ int, o *SubscriberOptions) { o.OnDemandEndpoints = true }
-		w.startNodes(2, onRequest)
+		onDemand := func(_ int, o *SubscriberOptions) { o.OnDemandEndpoints = true }
+		w.startNodes(2, onDemand)
 		leaf := w.subscriberWith("leaf", func(o *SubscriberOptions) {
 			o.OnDemandEndpoints, o.ControlAddresses = true, []string{"relay-n000", "relay-n001"}
 		})
--- a/io/distribution/downlink.go
+++ b/io/distribution/downlink.go
@@ -55,9 +55,9 @@
 	}
 	message := configMessage(held, h.current, h.history)
 	if message.kind == typeConfigFull {
-		h.meters.fulls.Inc()
+		h.meters.fullsSent.Inc()
 	} else {
-		h.meters.deltas.Inc()
+		h.meters.deltasSent.Inc()
 	}
 	c.wantsFull, c.offerFull = false, false
 	c.held = configVersionOf(h.current)
@@ -105,7 +105,7 @@
 		return due, at
 	}
 	c.cursor = changes.Next
-	full, states := c.shorten(changes.Upserts)
+	full, states := c.compactUpserts(changes.Upserts)
 	c.batch.sent(now, len(full)+len(changes.Removals), len(states))
 	for _, removal := range changes.Removals {
 		delete(c.sentChecks, removal.Node)
@@ -128,7 +128,7 @@
 	for _, digest := range h.table.Digests(c.wants) {
 		message.Digest ^= digest
 	}
-	message.Tombstones = h.leftFor(c, now, c.wants)
+	message.Tombstones = h.tombstonesFor(c, now, c.wants)
 	if h.completeFor(c) {
 		c.tombstonesSince = now
 		clear(c.tombstonesPending)
@@ -166,7 +166,7 @@
 	for _, service := range services {
 		message.Upserts = append(message.Upserts, h.table.EndpointsFor(c.owner, service)...)
 	}
-	c.tell(message.Upserts)
+	c.recordSent(message.Upserts)
 	return outgoing{
 		kind:    typeEndpoints,
 		message: message,
@@ -177,7 +177,7 @@
 func (h *hub) newServicesMessage(c *child, now time.Time) outgoing {
 	reset := h.resetMessage(c, c.newServices, false)
 	message := reset.message.(endpoints)
-	message.Tombstones = h.leftFor(c, now, func(service core.ServiceName) bool { return c.tombstonesPending[service] })
+	message.Tombstones = h.tombstonesFor(c, now, func(service core.ServiceName) bool { return c.tombstonesPending[service] })
 	if !message.Partial {
 		clear(c.tombstonesPending)
 	}
--- a/io/distribution/fuzz_test.go
+++ b/io/distribution/fuzz_test.go
@@ -16,13 +16,13 @@
 )
 
 // framed returns a frame with a body that need not be what its type says.
-func framed(kind frame.Type, body []byte) (frame.Frame, error) {
+func newFrame(kind frame.Type, body []byte) (frame.Frame, error) {
 	head := binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint32(nil, uint32(len(body)+2)), uint16(kind))
 	received, _, err := frame.Read(bytes.NewReader(append(head, body...)))
 	return received, err
 }
 
-func seeds(f *testing.F) {
+func addSeeds(f *testing.F) {
 	for kind, message := range map[frame.Type]any{
 		typeAccept:           accept{Path: []core.NodeID{"a"}, Control: "c1"},
 		typeConfigFull:       revision(2).Full(),
@@ -50,9 +50,9 @@
 
 // Guards against a message of a child, or of another control instance, that makes a process panic or hang.
 func FuzzMessageFromChild(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
-		received, err := framed(frame.Type(kind), body)
+		received, err := newFrame(frame.Type(kind), body)
 		if err != nil {
 			return
 		}
@@ -72,23 +72,23 @@
 
 // Guards against a message of a parent that makes a node panic or hang, or puts a broken configuration in force.
 func FuzzMessageFromParent(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
-		received, err := framed(frame.Type(kind), body)
+		received, err := newFrame(frame.Type(kind), body)
 		if err != nil {
 			return
 		}
 		s := &Subscriber{
 			hub: newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{}), logger: zerolog.Nop(),
-			confirmed: make(chan struct{}), filledCh: make(chan struct{}), changeCh: make(chan struct{}), staleFrom: -1,
+			confirmed: make(chan struct{}), endpointsReceived: make(chan struct{}), changeCh: make(chan struct{}), firstStaleTarget: -1,
 			options: SubscriberOptions{ID: "n", ControlAddresses: []string{"c1"}}, attach: &attachment{},
 		}
 		s.hub.relayID = "n"
 		s.newest.Store(revision(1))
 		s.hub.setCurrent(revision(1))
 		u := newUplink(nil, kindNode, evidenceInterval)
-		_ = s.handle(u, received)
-		_ = s.handle(u, received)
+		_ = s.handleFromParent(u, received)
+		_ = s.handleFromParent(u, received)
 		if _, err := record.FromFull(s.Current().Full()); err != nil {
 			t.Fatal(err)
 		}
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -174,7 +174,7 @@
 
 // setCurrent makes a configuration the one that children are sent; mu is held.
 func (h *hub) setCurrent(configuration *record.Configuration) {
-	h.noteSteps(time.Now(), configuration)
+	h.recordSteps(time.Now(), configuration)
 	h.current = configuration
 	h.history.add(configuration)
 	for _, c := range h.children {
--- a/io/distribution/home_test.go
+++ b/io/distribution/localcontrol_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against nodes that try control instances of other data centres before those of their own.
-func TestControlInstancesAtHomeComeFirst(t *testing.T) {
+func TestLocalControlInstancesAreTriedFirst(t *testing.T) {
 	c := qt.New(t)
 	first, second, third := ControlAddress{Address: "c1", DataCentre: "dc-b"}, ControlAddress{Address: "c2", DataCentre: "dc-a"}, ControlAddress{Address: "c3", DataCentre: "dc-a"}
 	c.Assert(localFirst([]ControlAddress{first, second, third}, "dc-a"), qt.DeepEquals, []ControlAddress{second, third, first})
@@ -85,7 +85,7 @@
 
 // Guards against another time-out at a control instance whose link has just gone silent, since one that stands still accepts
 // connections, and against one that is never tried again although no other is left.
-func TestSilentControlInstanceIsLeftOutForAWhile(t *testing.T) {
+func TestSilentControlInstanceIsExcludedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for _, test := range []struct {
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -92,16 +92,16 @@
 	Number uint64 `msgpack:"number"`
 }
 
-// subscribe adds services, or all of them, and ends the subscription of the services in Drop. AwayMS is how long the child had
+// subscribe adds services, or all of them, and ends the subscription of the services in Drop. DetachedMS is how long the child had
 // no parent, in milliseconds, and negative for a child that had none before. Fresh lists those of the services whose endpoints
 // the child has never received.
 type subscribe struct {
-	Drop     []core.ServiceName `msgpack:"drop,omitempty"`
-	Fresh    []core.ServiceName `msgpack:"fresh,omitempty"`
-	All      bool               `msgpack:"all"`
-	Services []core.ServiceName `msgpack:"services"`
-	AwayMS   int64              `msgpack:"away-ms"`
-	States   bool               `msgpack:"states,omitempty"` // the sender can read state changes
+	Drop       []core.ServiceName `msgpack:"drop,omitempty"`
+	Fresh      []core.ServiceName `msgpack:"fresh,omitempty"`
+	All        bool               `msgpack:"all"`
+	Services   []core.ServiceName `msgpack:"services"`
+	DetachedMS int64              `msgpack:"away-ms"`
+	States     bool               `msgpack:"states,omitempty"` // the sender can read state changes
 }
 
 // announce carries endpoint changes to the parent or to another control instance. Complete means that the upserts are all
--- a/io/distribution/meters.go
+++ b/io/distribution/meters.go
@@ -3,18 +3,18 @@
 import "github.com/VictoriaMetrics/metrics"
 
 type meters struct {
-	sent, received  *metrics.Counter
-	handshakes      *metrics.Counter
-	redirects       *metrics.Counter
-	retryAfters     *metrics.Counter
-	fulls, deltas   *metrics.Counter
-	applied         *metrics.Counter
-	refused         *metrics.Counter
-	mismatches      *metrics.Counter
-	contents        *metrics.Counter
-	repairs         *metrics.Counter
-	unknownMessages *metrics.Counter
-	lostLinks       *metrics.Counter
+	sent, received        *metrics.Counter
+	handshakes            *metrics.Counter
+	redirects             *metrics.Counter
+	retryAfters           *metrics.Counter
+	fullsSent, deltasSent *metrics.Counter
+	applied               *metrics.Counter
+	refused               *metrics.Counter
+	deltaMismatches       *metrics.Counter
+	contentMismatches     *metrics.Counter
+	contentRepairs        *metrics.Counter
+	unknownMessages       *metrics.Counter
+	lostLinks             *metrics.Counter
 }
 
 func newMeters(set *metrics.Set) *meters {
@@ -22,20 +22,20 @@
 		return set.GetOrCreateCounter("parsleyport_distribution_" + name + "_total")
 	}
 	return &meters{
-		sent:            counter("sent_bytes"),
-		received:        counter("received_bytes"),
-		handshakes:      counter("handshakes"),
-		redirects:       counter("redirects"),
-		retryAfters:     counter("retry_afters"),
-		fulls:           counter("full_configurations_sent"),
-		deltas:          counter("deltas_sent"),
-		applied:         counter("configurations_applied"),
-		refused:         counter("configurations_refused"),
-		mismatches:      counter("delta_mismatches"),
-		contents:        counter("content_mismatches"),
-		repairs:         counter("content_repairs"),
-		unknownMessages: counter("unknown_messages"),
-		lostLinks:       counter("links_lost"),
+		sent:              counter("sent_bytes"),
+		received:          counter("received_bytes"),
+		handshakes:        counter("handshakes"),
+		redirects:         counter("redirects"),
+		retryAfters:       counter("retry_afters"),
+		fullsSent:         counter("full_configurations_sent"),
+		deltasSent:        counter("deltas_sent"),
+		applied:           counter("configurations_applied"),
+		refused:           counter("configurations_refused"),
+		deltaMismatches:   counter("delta_mismatches"),
+		contentMismatches: counter("content_mismatches"),
+		contentRepairs:    counter("content_repairs"),
+		unknownMessages:   counter("unknown_messages"),
+		lostLinks:         counter("links_lost"),
 	}
 }
 
@@ -43,7 +43,7 @@
 func (m *meters) countReceived(n uint64) { m.received.AddInt64(int64(n)) }
 
 // watch registers gauges over the state of a hub.
-func (h *hub) watch(set *metrics.Set) {
+func (h *hub) registerGauges(set *metrics.Set) {
 	gauge := func(name string, read func() float64) {
 		set.GetOrCreateGauge("parsleyport_distribution_"+name, func() float64 {
 			h.mu.Lock()
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -13,14 +13,14 @@
 	// nodeReportInterval is how often a node reports itself if nothing has changed. A report has about 125 bytes, so that
 	// a relay with 75 nodes in its subtree sends about 310 B/s of the 4 KB/s for control traffic.
 	nodeReportInterval = 30 * time.Second
-	// nodesInterval spaces the reports of a link, so that those of one change go up in few frames.
-	nodesInterval = time.Second
-	// nodeReportKept is how long the last report of a node that went away is shown.
-	nodeReportKept = 10 * time.Minute
+	// minNodesInterval spaces the reports of a link, so that those of one change go up in few frames.
+	minNodesInterval = time.Second
+	// nodeReportRetention is how long the last report of a node that went away is shown.
+	nodeReportRetention = 10 * time.Minute
 	// maxNodeReports bounds the reports kept: three times the nodes of the planned size.
-	maxNodeReports    = 8192
-	maxNodesPerFrame  = 1000
-	maxNodeReportName = 256
+	maxNodeReports         = 8192
+	maxNodesPerFrame       = 1000
+	maxNodeReportNameBytes = 256
 )
 
 // NodeReport is what a node says of itself; AgeMS is the time since then, which needs no common clock.
@@ -38,7 +38,7 @@
 	Reports []NodeReport `msgpack:"reports"`
 }
 
-type heldReport struct {
+type storedReport struct {
 	report NodeReport
 	at     time.Time
 	remote bool // came from another control instance
@@ -47,13 +47,13 @@
 
 // nodeStore holds the newest report of each node.
 type nodeStore struct {
-	items   map[core.NodeID]heldReport
+	items   map[core.NodeID]storedReport
 	changes uint64
 }
 
 func newNodeStore() *nodeStore {
 	return &nodeStore{
-		items: make(map[core.NodeID]heldReport),
+		items: make(map[core.NodeID]storedReport),
 	}
 }
 
@@ -63,11 +63,11 @@
 	held, exists := s.items[report.Node]
 	isOlder := exists && (report.Incarnation < held.report.Incarnation ||
 		report.Incarnation == held.report.Incarnation && (report.Revision < held.report.Revision || report.Revision == held.report.Revision && !at.After(held.at)))
-	if isOlder || report.Node == "" || len(report.Node)+len(report.DataCentre) > maxNodeReportName || (!exists && len(s.items) >= maxNodeReports) {
+	if isOlder || report.Node == "" || len(report.Node)+len(report.DataCentre) > maxNodeReportNameBytes || (!exists && len(s.items) >= maxNodeReports) {
 		return
 	}
 	s.changes++
-	s.items[report.Node] = heldReport{
+	s.items[report.Node] = storedReport{
 		report: report,
 		at:     at,
 		remote: remote,
@@ -77,30 +77,30 @@
 
 func (s *nodeStore) expire(now time.Time) {
 	for id, held := range s.items {
-		if now.Sub(held.at) >= nodeReportKept {
+		if now.Sub(held.at) >= nodeReportRetention {
 			delete(s.items, id)
 		}
 	}
 }
 
 // since returns the reports after a change, at most a frame full, and the change up to which they reach.
-func (s *nodeStore) since(now time.Time, after uint64, local bool) ([]NodeReport, uint64) {
-	var newer []heldReport
+func (s *nodeStore) since(now time.Time, after uint64, localOnly bool) ([]NodeReport, uint64) {
+	var newer []storedReport
 	for _, held := range s.items {
-		if held.change > after && !(local && held.remote) {
+		if held.change > after && !(localOnly && held.remote) {
 			newer = append(newer, held)
 		}
 	}
-	slices.SortFunc(newer, func(a, b heldReport) int { return cmp.Compare(a.change, b.change) })
+	slices.SortFunc(newer, func(a, b storedReport) int { return cmp.Compare(a.change, b.change) })
 	reached := s.changes
 	if len(newer) > maxNodesPerFrame {
 		newer = newer[:maxNodesPerFrame]
 		reached = newer[maxNodesPerFrame-1].change
 	}
-	return aged(now, newer), reached
+	return reportsWithAge(now, newer), reached
 }
 
-func aged(now time.Time, held []heldReport) []NodeReport {
+func reportsWithAge(now time.Time, held []storedReport) []NodeReport {
 	reports := make([]NodeReport, 0, len(held))
 	for _, each := range held {
 		each.report.AgeMS = now.Sub(each.at).Milliseconds()
@@ -149,10 +149,10 @@
 func (s *Source) Nodes() []NodeReport {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	reports := make([]heldReport, 0, len(s.hub.nodes.items))
+	reports := make([]storedReport, 0, len(s.hub.nodes.items))
 	for _, held := range s.hub.nodes.items {
 		reports = append(reports, held)
 	}
-	slices.SortFunc(reports, func(a, b heldReport) int { return strings.Compare(string(a.report.Node), string(b.report.Node)) })
-	return aged(time.Now(), reports)
+	slices.SortFunc(reports, func(a, b storedReport) int { return strings.Compare(string(a.report.Node), string(b.report.Node)) })
+	return reportsWithAge(time.Now(), reports)
 }
--- a/io/distribution/nodes_test.go
+++ b/io/distribution/nodes_test.go
@@ -39,10 +39,10 @@
 		c.Assert(oldest.AgeMS < (2*nodeReportInterval).Milliseconds(), qt.IsTrue, qt.Commentf("%+v", oldest))
 
 		w.stop("n003")
-		time.Sleep(nodeReportKept / 2)
+		time.Sleep(nodeReportRetention / 2)
 		gone := source.Nodes()[3]
-		c.Assert(gone.Node == "n003" && gone.AgeMS > (nodeReportKept/2-nodeReportInterval).Milliseconds(), qt.IsTrue, qt.Commentf("%+v", gone))
-		time.Sleep(nodeReportKept / 2)
+		c.Assert(gone.Node == "n003" && gone.AgeMS > (nodeReportRetention/2-nodeReportInterval).Milliseconds(), qt.IsTrue, qt.Commentf("%+v", gone))
+		time.Sleep(nodeReportRetention / 2)
 		c.Assert(source.Nodes(), qt.HasLen, 39)
 	})
 }
--- a/io/distribution/parent.go
+++ b/io/distribution/parent.go
@@ -12,42 +12,42 @@
 	"parsleyport/io/frame"
 )
 
-func (s *Subscriber) receive(u *uplink) error {
+func (s *Subscriber) receiveFromParent(u *uplink) error {
 	for {
 		received, err := s.hub.receive(u.conn, linkTimeout)
 		if err != nil {
 			return err
 		}
-		if err := s.handle(u, received); err != nil {
+		if err := s.handleFromParent(u, received); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *Subscriber) handle(u *uplink, received frame.Frame) error {
+func (s *Subscriber) handleFromParent(u *uplink, received frame.Frame) error {
 	switch received.Type {
 	case typePong:
-		s.hub.answered(u)
+		s.hub.pongReceived(u)
 		return nil
 	case typeAccept:
 		var message accept
 		if err := received.Decode(&message); err != nil {
 			return err
 		}
-		return s.takePath(message)
+		return s.handleAccept(message)
 	case typeConfigFull:
 		var message record.Full
 		if err := received.Decode(&message); err != nil {
 			return err
 		}
-		s.takeFull(message)
+		s.handleConfigFull(message)
 		return nil
 	case typeConfigDelta:
 		var message record.Delta
 		if err := received.Decode(&message); err != nil {
 			return err
 		}
-		s.takeDelta(u, message)
+		s.handleConfigDelta(u, message)
 		return nil
 	case typeConfirm:
 		var message confirm
@@ -70,13 +70,13 @@
 		})
 	case typeEndpoints:
 		var message endpoints
-		return s.hub.decodeAndHandle(received, &message, func() { s.takeEndpoints(time.Now(), u, message) })
+		return s.hub.decodeAndHandle(received, &message, func() { s.handleEndpoints(time.Now(), u, message) })
 	}
 	s.hub.meters.unknownMessages.Inc()
 	return nil
 }
 
-func (s *Subscriber) takePath(message accept) error {
+func (s *Subscriber) handleAccept(message accept) error {
 	if err := s.checkPath(message); err != nil {
 		return err
 	}
@@ -88,8 +88,8 @@
 	s.hub.stale, s.hub.parentReadsRows = message.Stale, message.Rows
 	s.hub.path, s.hub.control = message.Path, message.Control
 	if s.hub.attached { // else the answer to the hello is still being looked at
-		if home, elsewhere := s.attach.redirectToLocal(message); elsewhere {
-			s.attach.localAddresses = home.Addresses
+		if local, redirected := s.attach.redirectToLocal(message); redirected {
+			s.attach.localAddresses = local.Addresses
 			return errLocalControlAvailable
 		}
 	}
@@ -106,26 +106,26 @@
 // that is cut off. Relays stay with their parent, which looks for another control instance on behalf of its subtree.
 func (s *Subscriber) checkStale(message accept) error {
 	if !message.Stale {
-		s.staleFrom = -1
+		s.firstStaleTarget = -1
 		return nil
 	}
-	if s.staleFrom < 0 {
-		s.staleFrom = s.attach.nextTarget
+	if s.firstStaleTarget < 0 {
+		s.firstStaleTarget = s.attach.nextTarget
 	}
-	if len(message.Path) > 0 || s.attach.nextTarget-s.staleFrom >= len(s.attach.allTargets()) {
+	if len(message.Path) > 0 || s.attach.nextTarget-s.firstStaleTarget >= len(s.attach.allTargets()) {
 		return nil
 	}
 	return errors.Errorf("control instance %q knows no leader", message.Control)
 }
 
-func (s *Subscriber) takeFull(message record.Full) {
+func (s *Subscriber) handleConfigFull(message record.Full) {
 	held := s.newest.Load()
 	if message.Revision < held.Revision() || configVersionOf(held) == (configVersion{revision: message.Revision, hash: message.Hash}) {
 		return
 	}
 	next, err := record.FromFull(message)
 	if err != nil {
-		s.refuse(message.Revision, err)
+		s.refuseConfiguration(message.Revision, err)
 		return
 	}
 	if message.Revision == held.Revision() {
@@ -135,7 +135,7 @@
 	s.switchTo(next)
 }
 
-func (s *Subscriber) takeDelta(u *uplink, message record.Delta) {
+func (s *Subscriber) handleConfigDelta(u *uplink, message record.Delta) {
 	next, err := s.newest.Load().Apply(message)
 	switch {
 	case err == nil:
@@ -143,17 +143,17 @@
 	case errors.Is(err, record.ErrOlder):
 		// An update that crossed with a newer one.
 	case errors.Is(err, record.ErrWrongBase), errors.Is(err, record.ErrHashMismatch):
-		s.hub.meters.mismatches.Inc()
+		s.hub.meters.deltaMismatches.Inc()
 		s.hub.mu.Lock()
 		defer s.hub.mu.Unlock()
-		u.configRequest = true
+		u.configRequestDue = true
 		u.wake.TryPush(struct{}{})
 	default:
-		s.refuse(message.ToRevision, err)
+		s.refuseConfiguration(message.ToRevision, err)
 	}
 }
 
-func (s *Subscriber) refuse(revision core.Revision, err error) {
+func (s *Subscriber) refuseConfiguration(revision core.Revision, err error) {
 	s.hub.meters.refused.Inc()
 	s.logger.Error().Err(err).Uint64("revision", uint64(revision)).Msg("configuration refused")
 }
@@ -161,11 +161,11 @@
 // switchTo puts a complete and checked configuration into force; only the attachment's goroutine calls it.
 func (s *Subscriber) switchTo(next *record.Configuration) {
 	s.hub.meters.applied.Inc()
-	s.change.Lock()
+	s.changeMu.Lock()
 	s.newest.Store(next)
 	close(s.changeCh)
 	s.changeCh = make(chan struct{})
-	s.change.Unlock()
+	s.changeMu.Unlock()
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	s.hub.setCurrent(next)
@@ -180,13 +180,13 @@
 			revision: read.Revision,
 			hash:     read.Hash,
 		}
-		s.confirm.Do(func() { close(s.confirmed) })
+		s.confirmedOnce.Do(func() { close(s.confirmed) })
 	}
 }
 
-func (s *Subscriber) takeEndpoints(now time.Time, u *uplink, message endpoints) {
+func (s *Subscriber) handleEndpoints(now time.Time, u *uplink, message endpoints) {
 	message.filterServices(u.wants)
-	s.hub.rememberLeft(now, message.Tombstones)
+	s.hub.addTombstones(now, message.Tombstones)
 	if len(message.Reset) > 0 && !message.Partial {
 		s.hub.table.Retain(now, parentOwner, message.Upserts, func(service core.ServiceName) bool {
 			return slices.Contains(message.Reset, service)
@@ -195,19 +195,19 @@
 	for _, endpoint := range message.Upserts {
 		s.hub.table.Announce(now, parentOwner, endpoint)
 	}
-	s.takeStates(now, u, message.States)
+	s.applyStateChanges(now, u, message.States)
 	for _, removal := range message.Removals {
 		s.hub.table.Remove(now, parentOwner, removal)
 	}
-	same := message.HasDigest && s.compare(u, message)
-	s.noteReset(message)
+	same := message.HasDigest && s.compareDigest(u, message)
+	s.updateUnsynced(message)
 	s.hub.publishAndWake()
 	if same || message.Answer { // after they were published
-		s.fill.Do(func() { close(s.filledCh) })
+		s.endpointsReceivedOnce.Do(func() { close(s.endpointsReceived) })
 	}
 }
 
-func (s *Subscriber) noteReset(message endpoints) {
+func (s *Subscriber) updateUnsynced(message endpoints) {
 	for _, service := range message.Reset {
 		if _, awaited := s.hub.unsynced[service]; awaited {
 			s.hub.unsynced[service] = true // a parent that has only a part sends a digest later
@@ -218,17 +218,17 @@
 		}
 	}
 	if message.Answer && !message.Partial {
-		s.synced()
+		s.markSynced()
 	}
 }
 
 // EndpointsSignal returns a channel that is closed once the endpoints that the parent knew at the attachment have arrived.
 func (s *Subscriber) EndpointsSignal() <-chan struct{} {
-	return s.filledCh
+	return s.endpointsReceived
 }
 
 // synced notes that all endpoints of the subscription are the same as the parent's.
-func (s *Subscriber) synced() {
+func (s *Subscriber) markSynced() {
 	s.hub.complete, s.hub.unsyncedAll = true, false
 	maps.DeleteFunc(s.hub.unsynced, func(_ core.ServiceName, covered bool) bool { return covered })
 	for service := range s.hub.watchers {
@@ -237,17 +237,17 @@
 }
 
 // compare asks for the services that differ, and returns true if all endpoints are the same as the parent's.
-func (s *Subscriber) compare(u *uplink, message endpoints) bool {
+func (s *Subscriber) compareDigest(u *uplink, message endpoints) bool {
 	var own core.Hash
 	for _, digest := range s.hub.table.Digests(u.wants) {
 		own ^= digest
 	}
 	if own != message.Digest {
-		u.endpointsRequest = true
+		u.endpointsRequestDue = true
 		return false
 	}
 	if !message.Partial {
-		s.synced()
+		s.markSynced()
 	}
 	return true
 }
--- a/io/distribution/rows.go
+++ b/io/distribution/rows.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// rowValues are the values of a sum on the wire: calls without latency, failures, crashes, lateness and the buckets.
-	rowValues = 4 + core.LatencyBuckets
+	// valuesPerRow are the values of a sum on the wire: calls without latency, failures, crashes, lateness and the buckets.
+	valuesPerRow = 4 + core.LatencyBuckets
 	// maxCodeBits is the length of a value's code without its zeros; a longer one is malformed.
 	maxCodeBits = 64
 )
 
 // row is the last sum of a series on a link. The next one is sent as its difference from it, since a sum of the same nodes
 // over the same interval hardly changes: a value of 30 takes 6 bits on average.
-type row [rowValues]uint64
+type row [valuesPerRow]uint64
 
 func rowOf(count core.EvidenceCount, late uint64) row {
 	var r row
@@ -47,61 +47,61 @@
 
 // order is the order of the Golomb code for what follows a value: half of the value's bits, as the usual difference
 // between two counts is the square root of the count.
-func order(last uint64) int {
+func golombOrder(last uint64) int {
 	return (bits.Len64(last) + 1) / 2
 }
 
 // bitWriter appends bits; the last byte is filled with zeros.
 type bitWriter struct {
-	bytes []byte
-	free  int // bits of the last byte
+	bytes    []byte
+	freeBits int // bits of the last byte
 }
 
-func (w *bitWriter) put(n uint64, width int) {
+func (w *bitWriter) writeBits(n uint64, width int) {
 	for width > 0 {
-		if w.free == 0 {
-			w.bytes, w.free = append(w.bytes, 0), 8
+		if w.freeBits == 0 {
+			w.bytes, w.freeBits = append(w.bytes, 0), 8
 		}
-		taken := min(width, w.free)
+		taken := min(width, w.freeBits)
 		part := n >> (width - taken) & (1<<taken - 1)
-		w.bytes[len(w.bytes)-1] |= byte(part << (w.free - taken))
+		w.bytes[len(w.bytes)-1] |= byte(part << (w.freeBits - taken))
 		width -= taken
-		w.free -= taken
+		w.freeBits -= taken
 	}
 }
 
 // number writes an exponential Golomb code; n is below 2^63.
-func (w *bitWriter) number(n uint64, order int) {
+func (w *bitWriter) writeNumber(n uint64, order int) {
 	n += 1 << order
-	w.put(0, bits.Len64(n)-1-order)
-	w.put(n, bits.Len64(n))
+	w.writeBits(0, bits.Len64(n)-1-order)
+	w.writeBits(n, bits.Len64(n))
 }
 
-func (w *bitWriter) row(r, last row) {
+func (w *bitWriter) writeRow(r, last row) {
 	for i, n := range r {
-		w.number(zigzag(n-last[i]), order(last[i]))
+		w.writeNumber(zigzag(n-last[i]), golombOrder(last[i]))
 	}
 }
 
 type bitReader struct {
-	bytes []byte
-	at    int // in bits
-	err   error
+	bytes       []byte
+	bitPosition int // in bits
+	err         error
 }
 
-func (r *bitReader) bit() uint64 {
-	if r.at >= 8*len(r.bytes) {
+func (r *bitReader) readBit() uint64 {
+	if r.bitPosition >= 8*len(r.bytes) {
 		r.err = errors.Annotate(frame.ErrMalformed, "cut sum")
 		return 1
 	}
-	n := uint64(r.bytes[r.at/8] >> (7 - r.at%8) & 1)
-	r.at++
+	n := uint64(r.bytes[r.bitPosition/8] >> (7 - r.bitPosition%8) & 1)
+	r.bitPosition++
 	return n
 }
 
-func (r *bitReader) number(order int) uint64 {
+func (r *bitReader) readNumber(order int) uint64 {
 	width := order
-	for r.bit() == 0 {
+	for r.readBit() == 0 {
 		if width++; width >= maxCodeBits {
 			r.err = errors.Annotate(frame.ErrMalformed, "value of a sum is too long")
 			return 0
@@ -109,14 +109,14 @@
 	}
 	n := uint64(1)
 	for range width {
-		n = n<<1 | r.bit()
+		n = n<<1 | r.readBit()
 	}
 	return n - 1<<order
 }
 
-func (r *bitReader) row(last row) (read row) {
+func (r *bitReader) readRow(last row) (read row) {
 	for i := range read {
-		read[i] = last[i] + unzigzag(r.number(order(last[i])))
+		read[i] = last[i] + unzigzag(r.readNumber(golombOrder(last[i])))
 	}
 	return read
 }
--- a/io/distribution/source.go
+++ b/io/distribution/source.go
@@ -13,8 +13,8 @@
 	"parsleyport/io/frame"
 )
 
-// confirmRetry is the wait before a confirmed read that failed is tried again.
-const confirmRetry = 100 * time.Millisecond
+// confirmRetryInterval is the wait before a confirmed read that failed is tried again.
+const confirmRetryInterval = 100 * time.Millisecond
 
 // Fleet describes all attached nodes, those of the other control instances included.
 type Fleet struct {
@@ -27,11 +27,11 @@
 
 // Source is the root of a tree on a control instance.
 type Source struct {
-	options  SourceOptions
-	hub      *hub
-	confirms *ring.Ring[struct{}]
-	context  context.Context
-	links    map[core.ControlID]peerLink // guarded by hub.mu
+	options     SourceOptions
+	hub         *hub
+	confirmWake *ring.Ring[struct{}]
+	context     context.Context
+	peerLinks   map[core.ControlID]peerLink // guarded by hub.mu
 }
 
 // peerLink is the link to another control instance.
@@ -46,7 +46,7 @@
 	if err := options.validate(); err != nil {
 		return nil, nil, err
 	}
-	packing, err := newPacking()
+	compressor, err := newCompressor()
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
@@ -55,27 +55,27 @@
 		return nil, nil, errors.Annotatef(err, "node address %q", options.ListenAddress)
 	}
 	s := &Source{
-		options:  options,
-		hub:      newHub(options.Logger, newMeters(options.Metrics), options.Network),
-		confirms: ring.New[struct{}](1),
-		links:    make(map[core.ControlID]peerLink),
+		options:     options,
+		hub:         newHub(options.Logger, newMeters(options.Metrics), options.Network),
+		confirmWake: ring.New[struct{}](1),
+		peerLinks:   make(map[core.ControlID]peerLink),
 	}
-	s.hub.compressor, s.hub.dataCentre = packing, options.DataCentre
+	s.hub.compressor, s.hub.dataCentre = compressor, options.DataCentre
 	s.hub.maxDirectNodes = options.DirectNodes
 	s.hub.control = options.ID
 	s.hub.evidenceRun = core.Incarnation(time.Now().UnixNano())
 	s.hub.attached = true
 	s.hub.pathVersion = 1
-	s.hub.confirmWake = s.confirms
+	s.hub.confirmWake = s.confirmWake
 	s.hub.setCurrent(options.Catalog.Current())
-	s.hub.watch(options.Metrics)
+	s.hub.registerGauges(options.Metrics)
 	ctx, cancel := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() { _ = listener.Close() })
 	s.context = ctx
 	s.SetPeers(options.Peers, nil)
 	began := time.Now()
 	s.hub.start(func() { s.hub.serve(ctx, listener) })
-	s.hub.start(func() { s.follow(ctx) })
+	s.hub.start(func() { s.followCatalog(ctx) })
 	s.hub.start(func() { s.confirmReads(ctx) })
 	s.hub.start(func() { s.watchLeader(ctx) })
 	s.hub.start(func() { s.hub.tick(ctx, func(now time.Time) { s.tick(now, began) }) })
@@ -97,19 +97,19 @@
 	for _, peer := range peers {
 		wanted[peer.ID] = peer.Address
 	}
-	for id, link := range s.links {
+	for id, link := range s.peerLinks {
 		if wanted[id] != link.address {
 			link.stop()
-			delete(s.links, id)
+			delete(s.peerLinks, id)
 			delete(s.hub.peers, id)
 		}
 	}
 	for _, peer := range peers {
-		if _, linked := s.links[peer.ID]; linked {
+		if _, linked := s.peerLinks[peer.ID]; linked {
 			continue
 		}
 		ctx, stop := context.WithCancel(s.context)
-		s.links[peer.ID] = peerLink{
+		s.peerLinks[peer.ID] = peerLink{
 			address: peer.Address,
 			stop:    stop,
 		}
@@ -138,12 +138,12 @@
 
 // watchLeader tells the children when this control instance has known no leader for a while, and when it does again.
 func (s *Source) watchLeader(ctx context.Context) {
-	known := time.Now()
+	lastKnown := time.Now()
 	for ctx.Err() == nil {
 		if s.options.Replicator.Status().Leader != "" {
-			known = time.Now()
+			lastKnown = time.Now()
 		}
-		s.setStale(time.Since(known) >= leaderlessTimeout)
+		s.setStale(time.Since(lastKnown) >= leaderlessTimeout)
 		sleepContext(ctx, tickInterval)
 	}
 }
@@ -161,7 +161,7 @@
 }
 
 // follow passes on each configuration that the catalog accepts; children that are slow skip some.
-func (s *Source) follow(ctx context.Context) {
+func (s *Source) followCatalog(ctx context.Context) {
 	for {
 		changed := s.options.Catalog.Changed()
 		s.hub.mu.Lock()
@@ -180,7 +180,7 @@
 // confirmReads runs one confirmed read at a time for all requests that arrived before it began.
 func (s *Source) confirmReads(ctx context.Context) {
 	for {
-		if _, err := s.confirms.Pop(ctx); err != nil {
+		if _, err := s.confirmWake.Pop(ctx); err != nil {
 			return
 		}
 		for s.confirmOnce(ctx) {
@@ -196,15 +196,15 @@
 	if !begun {
 		return false
 	}
-	reading, cancel := context.WithTimeout(ctx, linkTimeout)
-	err := s.options.Replicator.ConfirmRead(reading)
+	readCtx, cancel := context.WithTimeout(ctx, linkTimeout)
+	err := s.options.Replicator.ConfirmRead(readCtx)
 	cancel()
 	newest := s.options.Catalog.Current()
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	if err != nil {
 		s.hub.confirmer.abandon()
-		time.AfterFunc(confirmRetry, func() { s.confirms.TryPush(struct{}{}) })
+		time.AfterFunc(confirmRetryInterval, func() { s.confirmWake.TryPush(struct{}{}) })
 		return false
 	}
 	s.hub.confirmer.finish(number, configVersionOf(newest))
@@ -274,7 +274,7 @@
 func (s *Source) Reporting(move core.MoveID) int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	return s.hub.reporting(true)[move]
+	return s.hub.reportingNodes(true)[move]
 }
 
 // Bytes returns how many bytes were sent and received over all links.
--- a/io/distribution/fleet_test.go
+++ b/io/distribution/source_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a control instance that is back without nodes and still counts with the nodes and the revision that it
 // reported before its restart, so that no configuration would be shown as in force everywhere again.
-func TestRestartedControlInstanceIsCountedAnew(t *testing.T) {
+func TestRestartedControlInstanceReplacesItsReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t)
 		defer w.close()
--- a/io/distribution/states.go
+++ b/io/distribution/statechange.go
@@ -24,8 +24,8 @@
 
 var stateCodes = []core.EndpointState{core.EndpointStarting, core.EndpointReady, core.EndpointLeaving}
 
-// checkOf hashes what a state change leaves out.
-func checkOf(e core.Endpoint) uint16 {
+// checksumOf hashes what a state change leaves out.
+func checksumOf(e core.Endpoint) uint16 {
 	hash := xxhash.New()
 	for _, part := range []string{
 		string(e.Node), strconv.FormatInt(int64(e.Incarnation), 10), string(e.DataCentre), e.Address, string(e.Service),
@@ -37,11 +37,11 @@
 }
 
 // shorten replaces announcements by state changes where the child has been sent the rest on this link.
-func (c *child) shorten(list []core.Endpoint) (full upserts, states []stateChange) {
+func (c *child) compactUpserts(list []core.Endpoint) (full upserts, states []stateChange) {
 	for _, e := range list {
-		check := checkOf(e)
+		check := checksumOf(e)
 		code := slices.Index(stateCodes, e.State)
-		if told, known := c.sentChecks[e.Node]; !c.readsStates || code < 0 || !known || told != check {
+		if sent, known := c.sentChecks[e.Node]; !c.readsStates || code < 0 || !known || sent != check {
 			full = append(full, e)
 			continue
 		}
@@ -52,26 +52,26 @@
 			State:    uint8(code),
 		})
 	}
-	c.tell(full)
+	c.recordSent(full)
 	return full, states
 }
 
 // tell remembers which endpoints a child has been sent.
-func (c *child) tell(list []core.Endpoint) {
+func (c *child) recordSent(list []core.Endpoint) {
 	for _, e := range list {
-		c.sentChecks[e.Node] = checkOf(e)
+		c.sentChecks[e.Node] = checksumOf(e)
 	}
 }
 
-// takeStates applies state changes, and asks for the services that differ if it does not hold what a change is based on.
-func (s *Subscriber) takeStates(now time.Time, u *uplink, list []stateChange) {
+// applyStateChanges applies state changes, and asks for the services that differ if it does not hold what a change is based on.
+func (s *Subscriber) applyStateChanges(now time.Time, u *uplink, list []stateChange) {
 	for _, change := range list {
 		held, known := s.hub.table.Lookup(change.Node)
 		if known && !u.wants(held.Service) {
 			continue // crossed with the end of a subscription
 		}
-		if !known || checkOf(held) != change.Check || int(change.State) >= len(stateCodes) {
-			u.endpointsRequest = true
+		if !known || checksumOf(held) != change.Check || int(change.State) >= len(stateCodes) {
+			u.endpointsRequestDue = true
 			continue
 		}
 		held.Sequence, held.State = change.Sequence, stateCodes[change.State]
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -49,30 +49,30 @@
 
 // Subscriber keeps a node's configuration and endpoints up to date and passes them on to the nodes below it.
 type Subscriber struct {
-	options   SubscriberOptions
-	hub       *hub
-	logger    zerolog.Logger
-	attach    *attachment
-	conn      *frame.Conn // to the parent; guarded by hub.mu, as goesHome is
-	goesHome  bool        // the link was closed to attach in the own data centre
-	newest    atomic.Pointer[record.Configuration]
-	uses      atomic.Pointer[map[core.ServiceName]*lastUse] // replaced as a whole, with hub.mu held
-	confirmed chan struct{}
-	confirm   sync.Once
-	filledCh  chan struct{}
-	fill      sync.Once
-	staleFrom int // the attachment's turn at the first control instance without a leader, negative after any other parent
-
-	change   sync.Mutex // guards changeCh
+	options               SubscriberOptions
+	hub                   *hub
+	logger                zerolog.Logger
+	attach                *attachment
+	conn                  *frame.Conn // to the parent; guarded by hub.mu, as leavingForLocal is
+	leavingForLocal       bool        // the link was closed to attach in the own data centre
+	newest                atomic.Pointer[record.Configuration]
+	uses                  atomic.Pointer[map[core.ServiceName]*lastUse] // replaced as a whole, with hub.mu held
+	confirmed             chan struct{}
+	confirmedOnce         sync.Once
+	endpointsReceived     chan struct{}
+	endpointsReceivedOnce sync.Once
+	firstStaleTarget      int // the attachment's turn at the first control instance without a leader, negative after any other parent
+
+	changeMu sync.Mutex // guards changeCh
 	changeCh chan struct{}
 
 	// What follows is guarded by hub.mu.
-	sequence  uint64
-	own       core.Endpoint         // zero if nothing is announced
-	candidate *record.Configuration // other content of the revision in force, until a read says which one was accepted
-	accepted  configVersion         // what the last confirmed read saw
-	parent    string
-	awaySince time.Time // zero until the first parent is lost
+	sequence      uint64
+	announced     core.Endpoint         // zero if nothing is announced
+	candidate     *record.Configuration // other content of the revision in force, until a read says which one was accepted
+	accepted      configVersion         // what the last confirmed read saw
+	parent        string
+	detachedSince time.Time // zero until the first parent is lost
 }
 
 // NewSubscriber starts the relay listener and the attachment to the tree; it returns an error for wrong options or an
@@ -81,7 +81,7 @@
 	if err := options.validate(); err != nil {
 		return nil, nil, err
 	}
-	packing, err := newPacking()
+	compressor, err := newCompressor()
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
@@ -90,24 +90,24 @@
 		return nil, nil, errors.Annotatef(err, "relay address %q", options.RelayAddress)
 	}
 	s := &Subscriber{
-		options:   options,
-		hub:       newHub(options.Logger, newMeters(options.Metrics), options.Network),
-		logger:    options.Logger,
-		confirmed: make(chan struct{}),
-		filledCh:  make(chan struct{}),
-		changeCh:  make(chan struct{}),
-		staleFrom: -1,
+		options:           options,
+		hub:               newHub(options.Logger, newMeters(options.Metrics), options.Network),
+		logger:            options.Logger,
+		confirmed:         make(chan struct{}),
+		endpointsReceived: make(chan struct{}),
+		changeCh:          make(chan struct{}),
+		firstStaleTarget:  -1,
 	}
 	s.newest.Store(record.Empty())
 	s.uses.Store(&map[core.ServiceName]*lastUse{})
-	s.hub.compressor = packing
+	s.hub.compressor = compressor
 	s.hub.relayID = options.ID
 	s.hub.incarnation, s.hub.dataCentre = options.Incarnation, options.DataCentre
 	s.hub.schema = options.Schema
 	s.hub.all = !options.OnDemandEndpoints
 	s.hub.crashes.onCrash = options.OnCrash
 	s.hub.setCurrent(record.Empty())
-	s.hub.watch(options.Metrics)
+	s.hub.registerGauges(options.Metrics)
 	s.hub.confirmer.request(ownLink, 1)
 	s.attach = newAttachment(options.ControlAddresses, attachment{
 		hub:             s.hub,
@@ -115,7 +115,7 @@
 		logger:          options.Logger,
 		random:          options.Random,
 		hello:           s.hello,
-		accept:          s.takePath,
+		accept:          s.handleAccept,
 		serve:           s.serve,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -131,9 +131,9 @@
 }
 
 func (s *Subscriber) tick(now time.Time) {
-	s.considerHome()
+	s.leaveForLocalControl()
 	s.expireUses(now)
-	s.hub.expireLinger(now)
+	s.hub.expireLingering(now)
 }
 
 func (s *Subscriber) hello() hello {
@@ -149,14 +149,14 @@
 	}
 }
 
-// considerHome ends a link to a control instance of another data centre if the own one has some by now; hub.mu is held.
-func (s *Subscriber) considerHome() {
+// leaveForLocalControl ends a link to a control instance of another data centre if the own one has some by now; hub.mu is held.
+func (s *Subscriber) leaveForLocalControl() {
 	if !s.hub.attached || s.hub.stale || s.conn == nil {
 		return
 	}
-	if home, elsewhere := s.attach.redirectToLocal(accept{Path: s.hub.path, Controls: s.hub.controls}); elsewhere {
-		s.attach.localAddresses = home.Addresses
-		s.goesHome = true
+	if local, redirected := s.attach.redirectToLocal(accept{Path: s.hub.path, Controls: s.hub.controls}); redirected {
+		s.attach.localAddresses = local.Addresses
+		s.leavingForLocal = true
 		_ = s.conn.Close()
 	}
 }
@@ -173,38 +173,38 @@
 func (s *Subscriber) serve(ctx context.Context, conn *frame.Conn, address string) error {
 	u := newUplink(conn, kindNode, s.options.EvidenceInterval)
 	s.hub.mu.Lock()
-	u.awayMS = -1
-	if !s.awaySince.IsZero() {
-		u.awayMS = time.Since(s.awaySince).Milliseconds()
+	u.detachedMS = -1
+	if !s.detachedSince.IsZero() {
+		u.detachedMS = time.Since(s.detachedSince).Milliseconds()
 	}
-	s.parent, s.conn, s.goesHome = address, conn, false
+	s.parent, s.conn, s.leavingForLocal = address, conn, false
 	s.hub.attached = true
-	s.hub.releaseUnwanted()
+	s.hub.dropUnwanted()
 	if s.hub.stale && len(s.hub.path) == 0 {
-		s.staleFrom = -1 // after the limit, all are tried again
-		expiry := time.AfterFunc(staleLinkTimeout, func() { s.leaveStale(conn) })
+		s.firstStaleTarget = -1 // after the limit, all are tried again
+		expiry := time.AfterFunc(staleLinkTimeout, func() { s.closeIfStale(conn) })
 		defer expiry.Stop()
 	}
 	s.hub.publishAndWake()
 	s.hub.mu.Unlock()
 	s.logger.Info().Str("parent", address).Msg("attached")
 
-	err := s.hub.runUplink(ctx, u, func() error { return s.receive(u) })
+	err := s.hub.runUplink(ctx, u, func() error { return s.receiveFromParent(u) })
 
 	s.hub.mu.Lock()
 	s.parent, s.conn = "", nil
-	if s.goesHome {
+	if s.leavingForLocal {
 		err = errLocalControlAvailable
 	}
 	s.hub.attached = false
 	s.hub.confirmer.abandon()
-	s.awaySince = time.Now()
+	s.detachedSince = time.Now()
 	s.hub.mu.Unlock()
 	return err
 }
 
-// leaveStale ends a link to a control instance that still has no leader, so that the others are tried again.
-func (s *Subscriber) leaveStale(conn *frame.Conn) {
+// closeIfStale ends a link to a control instance that still has no leader, so that the others are tried again.
+func (s *Subscriber) closeIfStale(conn *frame.Conn) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	if s.hub.stale {
@@ -226,8 +226,8 @@
 
 // Changed implements record.Source.
 func (s *Subscriber) Changed() <-chan struct{} {
-	s.change.Lock()
-	defer s.change.Unlock()
+	s.changeMu.Lock()
+	defer s.changeMu.Unlock()
 	return s.changeCh
 }
 
@@ -270,12 +270,12 @@
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	endpoint.Sequence = s.sequence
-	if endpoint == s.own {
+	if endpoint == s.announced {
 		return
 	}
 	s.sequence++
 	endpoint.Sequence = s.sequence
-	s.own = endpoint
+	s.announced = endpoint
 	s.hub.table.Announce(time.Now(), ownOwner, endpoint)
 	s.hub.publishAndWake()
 }
@@ -284,17 +284,17 @@
 func (s *Subscriber) Withdraw() {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	if s.own.Node == "" {
+	if s.announced.Node == "" {
 		return
 	}
 	s.sequence++
 	s.hub.table.Remove(time.Now(), ownOwner, lease.Removal{
-		Node:        s.own.Node,
-		Incarnation: s.own.Incarnation,
+		Node:        s.announced.Node,
+		Incarnation: s.announced.Incarnation,
 		Sequence:    s.sequence,
-		Service:     s.own.Service,
+		Service:     s.announced.Service,
 	})
-	s.own = core.Endpoint{}
+	s.announced = core.Endpoint{}
 	s.hub.publishAndWake()
 }
 
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -39,7 +39,7 @@
 	next[service] = &lastUse{}
 	next[service].Store(now)
 	s.uses.Store(&next)
-	s.hub.await(service)
+	s.hub.markUnsynced(service)
 	s.hub.services[service] = true
 	s.hub.subscriptions++
 	s.hub.publishAndWake()
@@ -71,23 +71,23 @@
 	for service := range held {
 		if next[service] == nil {
 			delete(s.hub.services, service)
-			s.hub.release(service)
+			s.hub.dropIfUnwanted(service)
 		}
 	}
 }
 
-// expireLinger ends the subscriptions of lost children, and those that ended while there was no parent.
-func (h *hub) expireLinger(now time.Time) {
+// expireLingering ends the subscriptions of lost children, and those that ended while there was no parent.
+func (h *hub) expireLingering(now time.Time) {
 	for service, until := range h.lingering {
 		if !now.Before(until) {
 			delete(h.lingering, service)
-			h.release(service)
+			h.dropIfUnwanted(service)
 		}
 	}
 }
 
 // wanted reports whether this node or one of its children wants the endpoints of a service.
-func (h *hub) wanted(service core.ServiceName) bool {
+func (h *hub) isWanted(service core.ServiceName) bool {
 	if _, lingers := h.lingering[service]; lingers || h.all || h.services[service] {
 		return true
 	}
@@ -101,15 +101,15 @@
 
 // await notes that a service which nobody has wanted so far has to be asked for. Until the parent has sent its endpoints,
 // a relay must not pass for one that knows there to be none.
-func (h *hub) await(service core.ServiceName) {
-	if h.relayID != "" && !h.wanted(service) {
+func (h *hub) markUnsynced(service core.ServiceName) {
+	if h.relayID != "" && !h.isWanted(service) {
 		h.unsynced[service] = false
 	}
 }
 
 // release forgets the endpoints of a service that nobody wants any more, since the parent will send no more word of them.
-func (h *hub) release(service core.ServiceName) {
-	if h.relayID == "" || h.wanted(service) {
+func (h *hub) dropIfUnwanted(service core.ServiceName) {
+	if h.relayID == "" || h.isWanted(service) {
 		return
 	}
 	if !h.attached { // nobody could send the endpoints again
@@ -122,15 +122,15 @@
 	h.publishAndWake()
 }
 
-// releaseUnwanted is for a new parent, which sends only what is wanted now.
-func (h *hub) releaseUnwanted() {
+// dropUnwanted is for a new parent, which sends only what is wanted now.
+func (h *hub) dropUnwanted() {
 	for _, service := range h.table.ServicesOf(parentOwner) {
-		h.release(service)
+		h.dropIfUnwanted(service)
 	}
 }
 
-// loseSubscriptions keeps what a lost child wanted for a while.
-func (h *hub) loseSubscriptions(now time.Time, c *child) {
+// retainSubscriptions keeps what a lost child wanted for a while.
+func (h *hub) retainSubscriptions(now time.Time, c *child) {
 	if h.relayID == "" {
 		return
 	}
@@ -147,10 +147,10 @@
 	}
 	u.subscriptionsAt = h.subscriptions
 	message := subscribe{
-		AwayMS: u.awayMS,
-		States: true,
+		DetachedMS: u.detachedMS,
+		States:     true,
 	}
-	wanted, all := h.allWanted()
+	wanted, all := h.wantedServices()
 	message.All = all && !u.all
 	for service := range wanted {
 		if u.services[service] || len(u.services) >= maxSubscriptions {
@@ -178,7 +178,7 @@
 	return message, needed
 }
 
-func (h *hub) allWanted() (wanted map[core.ServiceName]bool, all bool) {
+func (h *hub) wantedServices() (wanted map[core.ServiceName]bool, all bool) {
 	wanted, all = maps.Clone(h.services), h.all
 	for service := range h.lingering {
 		wanted[service] = true
@@ -193,17 +193,17 @@
 }
 
 // subscribed is the parent's side.
-func (h *hub) subscribed(now time.Time, c *child, message subscribe) {
+func (h *hub) handleSubscribe(now time.Time, c *child, message subscribe) {
 	first := !c.subscribed
 	c.subscribed = true
 	c.readsStates = message.States
-	h.awaitServices(c, message)
+	h.markUnsyncedForChild(c, message)
 	c.all = c.all || message.All
 	for _, service := range message.Drop {
 		delete(c.services, service)
 		delete(c.tombstonesPending, service)
 		c.newServices = slices.DeleteFunc(c.newServices, func(each core.ServiceName) bool { return each == service })
-		h.release(service)
+		h.dropIfUnwanted(service)
 	}
 	for _, service := range message.Services {
 		if c.services[service] || len(c.services) >= maxSubscriptions {
@@ -219,9 +219,9 @@
 		c.cursor = h.table.Position(lease.All)
 		c.digestDue = true
 		c.tombstonesSince = now.Add(-lease.TombstoneAge)
-		if message.AwayMS >= 0 {
+		if message.DetachedMS >= 0 {
 			// The child saw what left before its link broke; the margin covers the time until it noticed.
-			c.tombstonesSince = now.Add(-time.Duration(message.AwayMS)*time.Millisecond - lostSubtreeGrace)
+			c.tombstonesSince = now.Add(-time.Duration(message.DetachedMS)*time.Millisecond - lostSubtreeGrace)
 		}
 		for _, service := range message.Fresh {
 			c.tombstonesPending[service] = c.services[service]
@@ -231,33 +231,33 @@
 	h.publishAndWake() // a relay may have to subscribe to more services itself
 }
 
-// awaitServices notes what a relay has to subscribe to for a child.
-func (h *hub) awaitServices(c *child, message subscribe) {
+// markUnsyncedForChild notes what a relay has to subscribe to for a child.
+func (h *hub) markUnsyncedForChild(c *child, message subscribe) {
 	for u := range h.uplinks {
 		if u.kind == kindNode && message.All && !u.all {
 			h.unsyncedAll, c.digestFinal = true, false
 		}
 	}
 	for _, service := range message.Services {
-		h.await(service)
+		h.markUnsynced(service)
 		if _, awaited := h.unsynced[service]; awaited {
 			c.digestFinal = false
 		}
 	}
 }
 
-// leftFor lists the endpoints that left and that a child has not been told of; pending ones are told again until what the
+// tombstonesFor lists the endpoints that left and that a child has not been told of; pending ones are told again until what the
 // child gets is final.
-func (h *hub) leftFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []tombstone {
-	list := h.leftWithin(now, wanted)
+func (h *hub) tombstonesFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []tombstone {
+	list := h.recentTombstones(now, wanted)
 	return slices.DeleteFunc(list, func(each tombstone) bool {
 		at := now.Add(-time.Duration(each.AgeMS) * time.Millisecond)
 		return at.Before(c.tombstonesSince) && !c.tombstonesPending[each.Endpoint.Service]
 	})
 }
 
-// leftWithin lists the endpoints that left within lease.TombstoneAge.
-func (h *hub) leftWithin(now time.Time, wanted func(core.ServiceName) bool) []tombstone {
+// recentTombstones lists the endpoints that left within lease.TombstoneAge.
+func (h *hub) recentTombstones(now time.Time, wanted func(core.ServiceName) bool) []tombstone {
 	var list []tombstone
 	for _, each := range h.table.Tombstones(now.Add(-lease.TombstoneAge), wanted) {
 		list = append(list, tombstone{
@@ -268,7 +268,7 @@
 	return list
 }
 
-func (h *hub) rememberLeft(now time.Time, list []tombstone) {
+func (h *hub) addTombstones(now time.Time, list []tombstone) {
 	for _, each := range list {
 		h.table.AddTombstone(now, lease.Tombstone{
 			Endpoint: each.Endpoint,
--- a/io/distribution/subscriptions_test.go
+++ b/io/distribution/subscriptions_test.go
@@ -10,14 +10,14 @@
 )
 
 // relayed is a leaf below a relay that uses no service, and a node that serves service-0.
-func relayed(w *cluster) (server, relay, leaf *Subscriber) {
-	onRequest := func(parent string) func(*SubscriberOptions) {
+func startRelayAndLeaf(w *cluster) (server, relay, leaf *Subscriber) {
+	onDemand := func(parent string) func(*SubscriberOptions) {
 		return func(o *SubscriberOptions) { o.OnDemandEndpoints, o.ControlAddresses = true, []string{parent} }
 	}
-	server = w.subscriberWith("server", onRequest("c1"))
+	server = w.subscriberWith("server", onDemand("c1"))
 	server.Announce(endpoint("service-0", core.EndpointReady))
-	relay = w.subscriberWith("relay", onRequest("c1"))
-	leaf = w.subscriberWith("leaf", onRequest("relay-relay"))
+	relay = w.subscriberWith("relay", onDemand("c1"))
+	leaf = w.subscriberWith("leaf", onDemand("relay-relay"))
 	w.eventually(convergenceTimeout, "attached", func() bool { return server.Confirmed() && leaf.Confirmed() })
 	return server, relay, leaf
 }
@@ -27,7 +27,7 @@
 func TestSubscriptionEndsAfterItsLastUse(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		server, relay, leaf := relayed(w)
+		server, relay, leaf := startRelayAndLeaf(w)
 		time.Sleep(startupGrace)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known", func() bool { return leaf.EndpointsKnown("service-0") })
@@ -55,10 +55,10 @@
 
 // Guards against a node that takes the wrong nodes for the holders of an idempotency key, because it first uses a service
 // after a holder has left, below a relay that never used the service, and after the control instance has restarted.
-func TestLateSubscriptionLearnsWhatLeft(t *testing.T) {
+func TestLateSubscriptionReceivesTombstones(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		server, _, leaf := relayed(w)
+		server, _, leaf := startRelayAndLeaf(w)
 		other := w.subscriberWith("other", func(o *SubscriberOptions) { o.OnDemandEndpoints = true })
 		other.Subscribe("service-0")
 		time.Sleep(startupGrace)
@@ -82,7 +82,7 @@
 func TestSubscriptionBelowADetachedRelay(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		_, relay, leaf := relayed(w)
+		_, relay, leaf := startRelayAndLeaf(w)
 		time.Sleep(startupGrace)
 		w.detach(relay)
 		leaf.Subscribe("service-0")
@@ -108,7 +108,7 @@
 func TestEndpointsAreKeptWithoutAParent(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		_, relay, leaf := relayed(w)
+		_, relay, leaf := startRelayAndLeaf(w)
 		time.Sleep(startupGrace)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known", func() bool { return leaf.EndpointsKnown("service-0") })
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// maxPending bounds the sums that wait at a node for its parent; calls of further series are not counted.
-	maxPending = 4096
-	// maxSeries bounds the series named on one link; then their numbers begin again.
-	maxSeries = 8192
-	// maxReporting bounds the moves in one message.
-	maxReporting = 4096
-	// maxChanged bounds the numbers of reporting nodes in one message, so that it does not exceed the budget by much.
-	maxChanged = 8
-	// sumsOverhead is what a message of sums has besides its names and rows: frame, map and keys.
-	sumsOverhead = 16
+	// maxPendingSums bounds the sums that wait at a node for its parent; calls of further series are not counted.
+	maxPendingSums = 4096
+	// maxSeriesPerLink bounds the series named on one link; then their numbers begin again.
+	maxSeriesPerLink = 8192
+	// maxReportedMoves bounds the moves in one message.
+	maxReportedMoves = 4096
+	// maxChangedMoves bounds the numbers of reporting nodes in one message, so that it does not exceed the budget by much.
+	maxChangedMoves = 8
+	// sumsOverheadBytes is what a message of sums has besides its names and rows: frame, map and keys.
+	sumsOverheadBytes = 16
 )
 
 // series is what a sum is counted by.
@@ -79,9 +79,9 @@
 	late  uint64 // on the way to this node
 }
 
-// lateAt returns how much longer than usual the oldest count has waited on its way, in units of lateUnit.
-func (p pendingSum) lateAt(now time.Time) uint64 {
-	return p.late + uint64(max(0, now.Sub(p.since)-evidenceInterval)/lateUnit)
+// latenessAt returns how much longer than usual the oldest count has waited on its way, in units of latenessUnit.
+func (p pendingSum) latenessAt(now time.Time) uint64 {
+	return p.late + uint64(max(0, now.Sub(p.since)-evidenceInterval)/latenessUnit)
 }
 
 // pendingSums are what a node has not yet passed to a parent.
@@ -94,7 +94,7 @@
 func (p *pendingSums) add(now time.Time, count core.EvidenceCount, late uint64) {
 	key := seriesOf(count)
 	held, exists := p.counts[key]
-	if !exists && len(p.counts) >= maxPending {
+	if !exists && len(p.counts) >= maxPendingSums {
 		p.dropped++
 		return
 	}
@@ -111,20 +111,20 @@
 		h.pending.add(now, count, late)
 		return
 	}
-	h.late.note(now, count.Move, late)
+	h.late.observe(now, count.Move, late)
 	count.Node, count.Incarnation = core.NodeID(h.control)+"/"+core.NodeID(count.DataCentre), h.evidenceRun
 	h.evidence.add(count)
 }
 
 // reporting returns for each move how many nodes report on it: this node, those below it and, if asked for, those of the
 // other control instances.
-func (h *hub) reporting(others bool) map[core.MoveID]int {
+func (h *hub) reportingNodes(includePeers bool) map[core.MoveID]int {
 	sum := make(map[core.MoveID]int)
 	for _, move := range h.ownMoves {
 		sum[move]++
 	}
 	for _, c := range h.children {
-		if c.hello.Kind == kindControl && !others {
+		if c.hello.Kind == kindControl && !includePeers {
 			continue
 		}
 		for move, nodes := range c.reporting {
@@ -135,16 +135,16 @@
 }
 
 // sumsDue hands the pending sums whose turn it is over to a link, and returns about how many bytes that costs. From then on
-// they count as delivered; sumsLost tells if they may not be.
-func (h *hub) sumsDue(u *uplink, now time.Time, pace sumsPace) ([]outgoing, int) {
+// they count as delivered; addCallsInDoubt tells if they may not be.
+func (h *hub) sumsDue(u *uplink, now time.Time, mode sumsMode) ([]outgoing, int) {
 	var message sums
 	compact := h.parentReadsRows && u.kind == kindNode
-	h.reportingDue(u, &message, compact)
+	h.fillReporting(u, &message, compact)
 	switch {
 	case compact:
-		h.takeRows(u, &message, now, pace)
+		h.fillRows(u, &message, now, mode)
 	case u.kind == kindNode:
-		h.takePending(u, &message)
+		h.fillCounts(u, &message)
 	}
 	size := len(message.Rows) + len(message.Same)
 	for _, name := range message.Names {
@@ -159,11 +159,11 @@
 	return []outgoing{{
 		kind:    typeSums,
 		message: message,
-	}}, size + sumsOverhead
+	}}, size + sumsOverheadBytes
 }
 
-func (h *hub) reportingDue(u *uplink, message *sums, compact bool) {
-	reporting := h.reporting(false)
+func (h *hub) fillReporting(u *uplink, message *sums, compact bool) {
+	reporting := h.reportingNodes(false)
 	if maps.Equal(reporting, u.reporting) {
 		return
 	}
@@ -173,7 +173,7 @@
 	}
 	message.Changed = make(map[core.MoveID]int)
 	for _, move := range append(slices.Collect(maps.Keys(reporting)), slices.Collect(maps.Keys(u.reporting))...) {
-		if reporting[move] != u.reporting[move] && len(message.Changed) < maxChanged {
+		if reporting[move] != u.reporting[move] && len(message.Changed) < maxChangedMoves {
 			message.Changed[move] = reporting[move]
 		}
 	}
@@ -190,7 +190,7 @@
 	return next
 }
 
-func (h *hub) takePending(u *uplink, message *sums) {
+func (h *hub) fillCounts(u *uplink, message *sums) {
 	keys := make([]series, 0, maxCountsPerFrame)
 	for key := range h.pending.counts {
 		if len(keys) == maxCountsPerFrame {
@@ -198,37 +198,37 @@
 		}
 		keys = append(keys, key)
 	}
-	u.makeRoom(message, len(keys))
+	u.ensureSeriesCapacity(message, len(keys))
 	for _, key := range keys {
-		number, named := u.series[key]
+		number, named := u.seriesNumbers[key]
 		if !named {
-			number, u.named = u.name(key), key
+			number, u.lastNamed = u.assignNumber(key), key
 			message.Series = append(message.Series, key)
 		}
-		message.Counts = appendCount(message.Counts, number, h.take(u, key).count)
+		message.Counts = appendCount(message.Counts, number, h.removePending(u, key).count)
 	}
 	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
 }
 
 // evictOldest begins the numbers of the series again if there may not be enough of them.
-func (u *uplink) makeRoom(message *sums, more int) {
-	if len(u.series)+more > maxSeries {
-		message.Restart, u.rows, u.named = true, nil, series{}
-		clear(u.series)
+func (u *uplink) ensureSeriesCapacity(message *sums, needed int) {
+	if len(u.seriesNumbers)+needed > maxSeriesPerLink {
+		message.Restart, u.rows, u.lastNamed = true, nil, series{}
+		clear(u.seriesNumbers)
 	}
 }
 
-func (u *uplink) name(key series) uint64 {
-	number := uint64(len(u.series))
-	u.series[key] = number
+func (u *uplink) assignNumber(key series) uint64 {
+	number := uint64(len(u.seriesNumbers))
+	u.seriesNumbers[key] = number
 	return number
 }
 
 // take removes a sum that is about to be sent.
-func (h *hub) take(u *uplink, key series) pendingSum {
+func (h *hub) removePending(u *uplink, key series) pendingSum {
 	sum := h.pending.counts[key]
 	delete(h.pending.counts, key)
-	u.inDoubt += sum.count.Calls
+	u.callsSincePing += sum.count.Calls
 	return sum
 }
 
@@ -244,7 +244,7 @@
 }
 
 // readCount returns the number of a sum's series, the sum and the bytes behind it.
-func readCount(from []byte) (number uint64, count core.EvidenceCount, rest []byte, err error) {
+func readCount(from []byte) (number uint64, count core.EvidenceCount, remaining []byte, err error) {
 	next := func() uint64 {
 		n, size := binary.Uvarint(from)
 		if size <= 0 {
@@ -266,12 +266,12 @@
 	return number, count, from, err
 }
 
-// takeSums adds a child's message.
-func (h *hub) takeSums(now time.Time, c *child, message sums) error {
+// handleSums adds a child's message.
+func (h *hub) handleSums(now time.Time, c *child, message sums) error {
 	if message.Restart {
 		c.series, c.rows = nil, nil
 	}
-	if len(c.series)+len(message.Series)+len(message.Same) > maxSeries || len(message.Reporting) > maxReporting {
+	if len(c.series)+len(message.Series)+len(message.Same) > maxSeriesPerLink || len(message.Reporting) > maxReportedMoves {
 		return errors.Annotate(frame.ErrMalformed, "too many series or moves")
 	}
 	c.series = append(slices.Clip(c.series), message.Series...)
@@ -282,15 +282,15 @@
 	if err != nil {
 		return err
 	}
-	for rest := message.Counts; len(rest) > 0; {
-		number, count, behind, err := readCount(rest)
+	for remaining := message.Counts; len(remaining) > 0; {
+		number, count, unread, err := readCount(remaining)
 		if err != nil {
 			return err
 		}
 		if number >= uint64(len(c.series)) {
 			return errors.Annotatef(frame.ErrMalformed, "sum of series %d of %d", number, len(c.series))
 		}
-		counts, rest = append(counts, lateCount{count: c.series[number].label(count)}), behind
+		counts, remaining = append(counts, lateCount{count: c.series[number].label(count)}), unread
 	}
 	for _, each := range counts {
 		h.addEvidence(now, each.count, each.late)
@@ -300,7 +300,7 @@
 		c.reporting = message.Reporting
 	}
 	if len(message.Changed) > 0 {
-		if c.reporting = withChanges(c.reporting, message.Changed); len(c.reporting) > maxReporting {
+		if c.reporting = withChanges(c.reporting, message.Changed); len(c.reporting) > maxReportedMoves {
 			return errors.Annotate(frame.ErrMalformed, "too many moves")
 		}
 	}
@@ -309,22 +309,22 @@
 }
 
 // pinged and answered bracket what the parent has certainly taken: it handles a ping after the sums sent before it.
-func (u *uplink) pinged() {
-	u.awaiting = append(u.awaiting, u.inDoubt)
-	u.inDoubt = 0
+func (u *uplink) pingSent() {
+	u.callsBeforePings = append(u.callsBeforePings, u.callsSincePing)
+	u.callsSincePing = 0
 }
 
-func (h *hub) answered(u *uplink) {
+func (h *hub) pongReceived(u *uplink) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(u.awaiting) > 0 {
-		u.awaiting = u.awaiting[1:]
+	if len(u.callsBeforePings) > 0 {
+		u.callsBeforePings = u.callsBeforePings[1:]
 	}
 }
 
-// sumsLost counts the calls that the parent may not have taken; mu is held. They are not sent again, since it may have.
-func (h *hub) sumsLost(u *uplink) {
-	for _, calls := range append(u.awaiting, u.inDoubt) {
+// addCallsInDoubt counts the calls that the parent may not have taken; mu is held. They are not sent again, since it may have.
+func (h *hub) addCallsInDoubt(u *uplink) {
+	for _, calls := range append(u.callsBeforePings, u.callsSincePing) {
 		h.pending.inDoubt += calls
 	}
 }
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -30,15 +30,15 @@
 	n.ReportEvidence([]core.MoveID{"m1"}, []core.EvidenceCount{count})
 }
 
-// testHub is a node's, without links.
-func testHub(relay core.NodeID) *hub {
+// newTestHub is a node's, without links.
+func newTestHub(relay core.NodeID) *hub {
 	h := newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{})
 	h.relayID, h.current = relay, record.Empty()
 	return h
 }
 
 // counted adds up what a control instance knows.
-func counted(s *Source) (sum core.EvidenceCount) {
+func totalEvidence(s *Source) (sum core.EvidenceCount) {
 	for _, count := range s.Evidence() {
 		sum = sumOf(sum, count)
 	}
@@ -63,9 +63,9 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		for _, s := range sources {
-			w.eventually(8*time.Second, "all calls are counted", func() bool { return counted(s).Calls == r.calls })
-			c.Assert(counted(s).Failures, qt.Equals, r.calls/2)
-			c.Assert(counted(s).Latency[3], qt.Equals, r.calls)
+			w.eventually(8*time.Second, "all calls are counted", func() bool { return totalEvidence(s).Calls == r.calls })
+			c.Assert(totalEvidence(s).Failures, qt.Equals, r.calls/2)
+			c.Assert(totalEvidence(s).Latency[3], qt.Equals, r.calls)
 			c.Assert(s.Evidence(), qt.HasLen, 3) // two data centres below c1 and one below c2
 			c.Assert(s.Reporting("m1"), qt.Equals, 20)
 		}
@@ -83,19 +83,19 @@
 func TestEvidenceSumsUnderFaults(t *testing.T) {
 	for seed := range *faultSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runTest(t, func(c *qt.C, w *cluster) { sumUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
+			runTest(t, func(c *qt.C, w *cluster) { checkSumsUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
 		})
 	}
 }
 
-func sumUnderFaults(c *qt.C, w *cluster, random *rand.Rand) {
+func checkSumsUnderFaults(c *qt.C, w *cluster, random *rand.Rand) {
 	sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
 	nodes := w.startNodes(24, withControlAddresses("c1", "c2"))
 	w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 	r := &reporter{}
 	check := func() {
 		for _, s := range sources {
-			sum := counted(s)
+			sum := totalEvidence(s)
 			c.Assert(sum.Calls <= r.calls, qt.IsTrue, qt.Commentf("%d calls counted of %d", sum.Calls, r.calls))
 			c.Assert(sum.Failures*2, qt.Equals, sum.Calls)
 		}
@@ -125,20 +125,20 @@
 		reportAll(1 + random.IntN(5))
 		w.net.block(nodes[i].options.RelayAddress, false)
 	}
-	before, counted0 := r.calls, counted(sources[0]).Calls
-	c.Assert(float64(counted0) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", counted0, before))
+	before, countedBefore := r.calls, totalEvidence(sources[0]).Calls
+	c.Assert(float64(countedBefore) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", countedBefore, before))
 	time.Sleep(20 * time.Second) // all are attached again and have passed on what they held
-	settled := counted(sources[0]).Calls - r.calls
+	missing := totalEvidence(sources[0]).Calls - r.calls
 	reportAll(5)
 	time.Sleep(10 * time.Second)
 	for _, s := range sources {
-		c.Assert(counted(s).Calls-r.calls, qt.Equals, settled, qt.Commentf("of %d calls", r.calls)) // nothing is lost without a fault
+		c.Assert(totalEvidence(s).Calls-r.calls, qt.Equals, missing, qt.Commentf("of %d calls", r.calls)) // nothing is lost without a fault
 		c.Assert(s.Reporting("m1"), qt.Equals, len(nodes))
 	}
 }
 
 // Guards against calls that vanish with a silent link without being named.
-func TestEvidenceInDoubtIsCounted(t *testing.T) {
+func TestCallsInDoubtAreCounted(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
 		node := w.subscriber("a", "c1")
@@ -156,7 +156,7 @@
 		source.hub.mu.Lock()
 		inDoubt := source.hub.pending.inDoubt
 		source.hub.mu.Unlock()
-		sum := counted(source)
+		sum := totalEvidence(source)
 		c.Assert(sum.Calls < r.calls, qt.IsTrue) // the silent link lost some
 		c.Assert(sum.Calls+inDoubt >= r.calls, qt.IsTrue, qt.Commentf("%d counted, %d in doubt, %d reported", sum.Calls, inDoubt, r.calls))
 		c.Assert(inDoubt <= 10, qt.IsTrue) // what was answered before is not in doubt
@@ -167,7 +167,7 @@
 func TestSumsRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
-		h, parent := testHub("n1"), testHub("n0")
+		h, parent := newTestHub("n1"), newTestHub("n0")
 		h.parentReadsRows = rapid.Bool().Draw(t, "rows")
 		u, link, now := newUplink(nil, kindNode, evidenceInterval), &child{}, time.Now()
 		for range 20 {
@@ -184,13 +184,13 @@
 			for key, count := range want {
 				want[key] = key.label(count)
 			}
-			due, _ := h.sumsDue(u, now, lastOfLink)
+			due, _ := h.sumsDue(u, now, sumsFinal)
 			for _, m := range due {
 				body, err := msgpack.Marshal(m.message)
 				c.Assert(err, qt.IsNil)
 				var message sums
 				c.Assert(msgpack.Unmarshal(body, &message), qt.IsNil)
-				c.Assert(parent.takeSums(now, link, message), qt.IsNil)
+				c.Assert(parent.handleSums(now, link, message), qt.IsNil)
 			}
 			got := make(map[series]core.EvidenceCount)
 			for key, sum := range parent.pending.counts {
@@ -204,7 +204,7 @@
 
 // Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost or late without notice
 // meanwhile, and against evidence of a step that arrives after more than 3 s.
-func TestEvidenceOfManyMovesTakesTurns(t *testing.T) {
+func TestEvidenceOfManyMovesSharesTheBudget(t *testing.T) {
 	for _, moves := range []int{6, 24} {
 		runTest(t, func(c *qt.C, w *cluster) {
 			source, calls := w.source("c1", w.catalog), make(map[core.MoveID]uint64)
@@ -232,7 +232,7 @@
 			for i, after := range bytesOf(nodes) {
 				c.Assert(after-before[i] <= 10*4000, qt.IsTrue, qt.Commentf("node %d: %d B/s", i, (after-before[i])/10))
 			}
-			c.Assert(source.EvidenceLate("move-0") > 0, qt.Equals, moves > 6)
+			c.Assert(source.EvidenceLateness("move-0") > 0, qt.Equals, moves > 6)
 			for number := range core.Revision(4) {
 				override := core.Override{Service: "service-0", Move: "move-5", From: "service-0-v1", To: "service-0-v1", Open: true}
 				override.Weights = []core.Weight{{Upstream: "service-0-v1", PerMille: 997 + core.PerMille(number)}}
--- a/io/distribution/turns.go
+++ b/io/distribution/sumschedule.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// sumsBudget is how many bytes a second a link to a relay has for evidence. A relay hears 16 such links and has one to its own
+	// relaySumsBytesPerSecond is how many bytes a second a link to a relay has for evidence. A relay hears 16 such links and has one to its own
 	// parent, so evidence costs it 2,880 B/s at most; the rest of its 4 KB/s is for all other messages. Six open moves
 	// with two routes and two releases fit in every second.
-	sumsBudget = 160
-	// directBudget is that of a link to a control instance, whose sums are larger and of which a relay has one.
-	directBudget = 2 * sumsBudget
-	// lateUnit is the unit in which lateness is sent; the usual jitter of timers stays below it.
-	lateUnit = 250 * time.Millisecond
-	// lateWindow is how long a control instance holds a lateness against smaller ones of the same move: not all
+	relaySumsBytesPerSecond = 160
+	// directSumsBytesPerSecond is that of a link to a control instance, whose sums are larger and of which a relay has one.
+	directSumsBytesPerSecond = 2 * relaySumsBytesPerSecond
+	// latenessUnit is the unit in which lateness is sent; the usual jitter of timers stays below it.
+	latenessUnit = 250 * time.Millisecond
+	// latenessWindow is how long a control instance holds a lateness against smaller ones of the same move: not all
 	// children are late at the same time.
-	lateWindow = 5 * time.Second
-	// stepWindow is how long after a step its move goes first: a node reports the step's calls after a second, and they have
+	latenessWindow = 5 * time.Second
+	// stepPriorityWindow is how long after a step its move goes first: a node reports the step's calls after a second, and they have
 	// to be at a control instance 3 s after the step.
-	stepWindow = 4 * time.Second
-	// stepAdvance is how much older the sums of another move have to be to go before one that has just taken a step.
-	stepAdvance = 2 * time.Second
-	// expressPart is the part of the budget that moves that have just taken a step may use outside of the turns.
-	expressPart = 0.75
+	stepPriorityWindow = 4 * time.Second
+	// stepPriorityAdvance is how much older the sums of another move have to be to go before one that has just taken a step.
+	stepPriorityAdvance = 2 * time.Second
+	// priorityBudgetRatio is the part of the budget that moves that have just taken a step may use outside of the turns.
+	priorityBudgetRatio = 0.75
 )
 
-func (h *hub) sumsBudget() int {
+func (h *hub) sumsBytesPerSecond() int {
 	if len(h.path) == 0 {
-		return directBudget
+		return directSumsBytesPerSecond
 	}
-	return sumsBudget
+	return relaySumsBytesPerSecond
 }
 
-// noteSteps remembers which moves have got another share; mu is held.
-func (h *hub) noteSteps(now time.Time, next *record.Configuration) {
+// recordSteps remembers which moves have got another share; mu is held.
+func (h *hub) recordSteps(now time.Time, next *record.Configuration) {
 	held := make(map[core.MoveID][]core.Weight)
 	if h.current != nil {
 		for _, o := range h.current.Overrides() {
@@ -61,17 +61,17 @@
 	h.steps = steps
 }
 
-func (h *hub) stepped(now time.Time, move core.MoveID) bool {
-	return now.Sub(h.steps[move]) < stepWindow
+func (h *hub) recentlyStepped(now time.Time, move core.MoveID) bool {
+	return now.Sub(h.steps[move]) < stepPriorityWindow
 }
 
-// expressWaits reports whether sums of a move that has just taken a step wait on a link that sends others in turns.
-func (h *hub) expressWaits(u *uplink, now time.Time) bool {
-	if !u.crowded {
+// prioritySumsPending reports whether sums of a move that has just taken a step wait on a link that sends others in turns.
+func (h *hub) prioritySumsPending(u *uplink, now time.Time) bool {
+	if !u.backlogged {
 		return false
 	}
 	for key := range h.pending.counts {
-		if h.stepped(now, key.Move) {
+		if h.recentlyStepped(now, key.Move) {
 			return true
 		}
 	}
@@ -80,11 +80,11 @@
 
 // turns returns the pending series in the order in which they are sent: moves take turns by their oldest counts, and one that
 // has just taken a step goes before others.
-func (h *hub) turns(now time.Time, express bool) []series {
+func (h *hub) pendingInSendOrder(now time.Time, priorityOnly bool) []series {
 	ranks := make(map[core.MoveID]time.Time)
 	keys := make([]series, 0, len(h.pending.counts))
 	for key, sum := range h.pending.counts {
-		if express && !h.stepped(now, key.Move) {
+		if priorityOnly && !h.recentlyStepped(now, key.Move) {
 			continue
 		}
 		keys = append(keys, key)
@@ -93,8 +93,8 @@
 		}
 	}
 	for move, rank := range ranks {
-		if h.stepped(now, move) {
-			ranks[move] = rank.Add(-stepAdvance)
+		if h.recentlyStepped(now, move) {
+			ranks[move] = rank.Add(-stepPriorityAdvance)
 		}
 	}
 	slices.SortFunc(keys, func(a, b series) int {
@@ -107,82 +107,82 @@
 	return []string{string(s.Move), string(s.DataCentre), string(s.Service), string(s.Route), string(s.Release)}
 }
 
-// takeRows fills a message up to the link's budget for one interval; the last message of a link takes more.
-func (h *hub) takeRows(u *uplink, message *sums, now time.Time, pace sumsPace) {
-	limit := h.sumsBudget() - sumsOverhead
-	switch pace {
-	case lastOfLink:
+// fillRows fills a message up to the link's budget for one interval; the last message of a link takes more.
+func (h *hub) fillRows(u *uplink, message *sums, now time.Time, mode sumsMode) {
+	limit := h.sumsBytesPerSecond() - sumsOverheadBytes
+	switch mode {
+	case sumsFinal:
 		limit = core.MaxFrameBytes / 2
-	case express:
-		limit = int(expressPart*float64(h.sumsBudget())) - sumsOverhead
+	case sumsPriority:
+		limit = int(priorityBudgetRatio*float64(h.sumsBytesPerSecond())) - sumsOverheadBytes
 	}
-	keys := h.turns(now, pace == express)
-	u.makeRoom(message, min(len(keys), maxCountsPerFrame))
+	keys := h.pendingInSendOrder(now, mode == sumsPriority)
+	u.ensureSeriesCapacity(message, min(len(keys), maxCountsPerFrame))
 	var rows bitWriter
 	count, next := 0, uint64(0)
 	for size := 0; count < len(keys) && count < maxCountsPerFrame && size+len(rows.bytes) < limit; count++ {
 		key := keys[count]
-		number, named := u.series[key]
+		number, named := u.seriesNumbers[key]
 		if !named {
-			number = u.name(key)
-			size += u.sendName(message, key)
+			number = u.assignNumber(key)
+			size += u.appendNames(message, key)
 			u.rows = append(u.rows, row{})
 		}
-		sum := h.take(u, key)
-		r := rowOf(sum.count, sum.lateAt(now))
-		rows.number(zigzag(number-next), 0)
-		rows.row(r, u.rows[number])
+		sum := h.removePending(u, key)
+		r := rowOf(sum.count, sum.latenessAt(now))
+		rows.writeNumber(zigzag(number-next), 0)
+		rows.writeRow(r, u.rows[number])
 		u.rows[number], next = r, number+1
 	}
 	if count > 0 {
 		var head bitWriter
-		head.number(uint64(count), headOrder)
+		head.writeNumber(uint64(count), rowCountOrder)
 		message.Rows = append(head.bytes, rows.bytes...)
 	}
-	if pace == inTurn {
-		u.crowded = count < len(keys)
+	if mode == sumsRegular {
+		u.backlogged = count < len(keys)
 	}
 	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
 }
 
-// sumsPace is how a message of sums comes to be sent.
-type sumsPace int
+// sumsMode is how a message of sums comes to be sent.
+type sumsMode int
 
 const (
-	inTurn sumsPace = iota
-	express
-	lastOfLink
+	sumsRegular sumsMode = iota
+	sumsPriority
+	sumsFinal
 )
 
 // charge spaces the messages so that they stay within the budget; what goes express delays the turns.
-func (h *hub) charge(u *uplink, now time.Time, size int, pace sumsPace) {
-	cost := time.Duration(size) * time.Second / time.Duration(h.sumsBudget())
-	if pace == express {
-		u.expressing.sent(now)
-		u.evidencing.next = u.evidencing.next.Add(cost)
+func (h *hub) chargeBudget(u *uplink, now time.Time, size int, mode sumsMode) {
+	cost := time.Duration(size) * time.Second / time.Duration(h.sumsBytesPerSecond())
+	if mode == sumsPriority {
+		u.prioritySumsPacer.sent(now)
+		u.evidencePacer.next = u.evidencePacer.next.Add(cost)
 		return
 	}
-	u.evidencing.sent(now)
-	if paid := now.Add(cost); paid.After(u.evidencing.next) {
-		u.evidencing.next = paid
+	u.evidencePacer.sent(now)
+	if affordableAt := now.Add(cost); affordableAt.After(u.evidencePacer.next) {
+		u.evidencePacer.next = affordableAt
 	}
 }
 
-// headOrder is the order of the code of the number of rows, which fills whole bytes.
-const headOrder = 4
+// rowCountOrder is the order of the code of the number of rows, which fills whole bytes.
+const rowCountOrder = 4
 
-// sendName names a series by what differs from the one named before, and returns the bytes that it costs.
-func (u *uplink) sendName(message *sums, key series) int {
+// appendNames names a series by what differs from the one named before, and returns the bytes that it costs.
+func (u *uplink) appendNames(message *sums, key series) int {
 	same, size := byte(0), 1
 	for i, name := range key.names() {
-		if name == u.named.names()[i] {
+		if name == u.lastNamed.names()[i] {
 			same |= 1 << i
 			continue
 		}
 		message.Names = append(message.Names, name)
 		size += len(name) + 1
 	}
-	message.Same, u.named = append(message.Same, same), key
+	message.Same, u.lastNamed = append(message.Same, same), key
 	return size
 }
 
@@ -228,15 +228,15 @@
 	reader := &bitReader{
 		bytes: bytes,
 	}
-	rows := reader.number(headOrder)
-	reader.at = (reader.at + 7) / 8 * 8
+	rows := reader.readNumber(rowCountOrder)
+	reader.bitPosition = (reader.bitPosition + 7) / 8 * 8
 	var counts []lateCount
 	for next := uint64(0); rows > 0 && reader.err == nil; rows-- {
-		number := next + unzigzag(reader.number(0))
+		number := next + unzigzag(reader.readNumber(0))
 		if number >= uint64(len(c.series)) {
 			return nil, errors.Annotatef(frame.ErrMalformed, "sum of series %d of %d", number, len(c.series))
 		}
-		c.rows[number] = reader.row(c.rows[number])
+		c.rows[number] = reader.readRow(c.rows[number])
 		count, late := c.rows[number].count()
 		counts, next = append(counts, lateCount{
 			count: c.series[number].label(count),
@@ -246,22 +246,22 @@
 	return counts, reader.err
 }
 
-// lateness is how much longer than usual the evidence of moves was on its way lately, in units of lateUnit.
-type lateness map[core.MoveID]noted
+// lateness is how much longer than usual the evidence of moves was on its way lately, in units of latenessUnit.
+type lateness map[core.MoveID]latenessEntry
 
-type noted struct {
+type latenessEntry struct {
 	late uint64
 	at   time.Time
 }
 
-func (l lateness) note(now time.Time, move core.MoveID, late uint64) {
+func (l lateness) observe(now time.Time, move core.MoveID, late uint64) {
 	held := l[move]
 	switch {
-	case late < held.late && now.Sub(held.at) < lateWindow:
+	case late < held.late && now.Sub(held.at) < latenessWindow:
 	case late == 0:
 		delete(l, move)
-	case len(l) < maxReporting:
-		l[move] = noted{
+	case len(l) < maxReportedMoves:
+		l[move] = latenessEntry{
 			late: late,
 			at:   now,
 		}
@@ -276,17 +276,17 @@
 	return all
 }
 
-// EvidenceLate returns how much later than usual the oldest counts of a move arrived in the last seconds, because they waited
+// EvidenceLateness returns how much later than usual the oldest counts of a move arrived in the last seconds, because they waited
 // for their turn on a link, or for a link.
-func (s *Source) EvidenceLate(move core.MoveID) time.Duration {
+func (s *Source) EvidenceLateness(move core.MoveID) time.Duration {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	late := s.hub.late[move].late
 	for _, c := range s.hub.children {
 		late = max(late, c.late[move])
 	}
-	return time.Duration(min(late, maxLate)) * lateUnit
+	return time.Duration(min(late, maxLatenessUnits)) * latenessUnit
 }
 
-// maxLate bounds what a child can claim: an hour.
-const maxLate = uint64(time.Hour / lateUnit)
+// maxLatenessUnits bounds what a child can claim: an hour.
+const maxLatenessUnits = uint64(time.Hour / latenessUnit)
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -16,64 +16,64 @@
 	wake *ring.Ring[struct{}]
 	kind linkKind
 
-	announced     bool
-	finished      bool // the other control instance got the complete set
-	cursor        uint64
-	batch         batcher
-	waitsUntil    time.Time // of changes that are not urgent
-	acknowledged  acknowledge
-	acknowledging pacer
-	evidenceAt    uint64
-	evidencing    pacer
-	expressing    pacer
-	crowded       bool // not all sums fitted in the last message
-	series        map[series]uint64
-	rows          []row  // the last one of each series
-	named         series // the last one
-	reporting     map[core.MoveID]int
-	inDoubt       uint64   // calls sent after the last ping
-	awaiting      []uint64 // calls sent before each unanswered ping
-	nodesAt       uint64
-	nodesPacer    pacer
-	crashesAt     uint64
-	pinging       pacer
+	announced         bool
+	completeSent      bool // the other control instance got the complete set
+	cursor            uint64
+	batch             batcher
+	deferredUntil     time.Time // of changes that are not urgent
+	acknowledged      acknowledge
+	acknowledgePacer  pacer
+	evidenceAt        uint64
+	evidencePacer     pacer
+	prioritySumsPacer pacer
+	backlogged        bool // not all sums fitted in the last message
+	seriesNumbers     map[series]uint64
+	rows              []row  // the last one of each series
+	lastNamed         series // the last one
+	reporting         map[core.MoveID]int
+	callsSincePing    uint64   // calls sent after the last ping
+	callsBeforePings  []uint64 // calls sent before each unanswered ping
+	nodesAt           uint64
+	nodesPacer        pacer
+	crashesAt         uint64
+	pingPacer         pacer
 
-	subscribed       bool
-	subscriptionsAt  uint64
-	all              bool
-	services         map[core.ServiceName]bool
-	awayMS           int64
-	configRequest    bool
-	endpointsRequest bool
+	subscribed          bool
+	subscriptionsAt     uint64
+	all                 bool
+	services            map[core.ServiceName]bool
+	detachedMS          int64
+	configRequestDue    bool
+	endpointsRequestDue bool
 }
 
-// nothingSent makes the first acknowledgement of a link differ from what was sent, also if it counts no nodes: the other
+// noAcknowledgementSent makes the first acknowledgement of a link differ from what was sent, also if it counts no nodes: the other
 // end may hold one from before a restart.
-const nothingSent = -1
+const noAcknowledgementSent = -1
 
-func newUplink(conn *frame.Conn, kind linkKind, evidenceEvery time.Duration) *uplink {
+func newUplink(conn *frame.Conn, kind linkKind, reportInterval time.Duration) *uplink {
 	return &uplink{
-		conn:     conn,
-		wake:     ring.New[struct{}](1),
-		kind:     kind,
-		services: make(map[core.ServiceName]bool),
-		series:   make(map[series]uint64),
+		conn:          conn,
+		wake:          ring.New[struct{}](1),
+		kind:          kind,
+		services:      make(map[core.ServiceName]bool),
+		seriesNumbers: make(map[series]uint64),
 		acknowledged: acknowledge{
-			Nodes: nothingSent,
+			Nodes: noAcknowledgementSent,
 		},
-		acknowledging: pacer{
+		acknowledgePacer: pacer{
 			interval: batchInterval,
 		},
-		evidencing: pacer{
-			interval: evidenceEvery,
+		evidencePacer: pacer{
+			interval: reportInterval,
 		},
-		expressing: pacer{
-			interval: evidenceEvery,
+		prioritySumsPacer: pacer{
+			interval: reportInterval,
 		},
 		nodesPacer: pacer{
-			interval: nodesInterval,
+			interval: minNodesInterval,
 		},
-		pinging: pacer{
+		pingPacer: pacer{
 			interval: pingInterval,
 			next:     time.Now().Add(pingInterval),
 		},
@@ -93,7 +93,7 @@
 		_ = h.sender(sending, u.wake, func(m outgoing) error {
 			return h.send(u.conn, writeTimeout, m)
 		}, func(now time.Time) ([]outgoing, time.Time) {
-			return h.dueUp(u, now, false)
+			return h.dueToParent(u, now, false)
 		})
 		if ctx.Err() != nil {
 			h.sendFinal(u)
@@ -104,14 +104,14 @@
 	<-done
 	h.mu.Lock()
 	delete(h.uplinks, u)
-	h.sumsLost(u)
+	h.addCallsInDoubt(u)
 	h.mu.Unlock()
 	return err
 }
 
 // sendFinal sends what waits for its interval, above all the node's withdrawal.
 func (h *hub) sendFinal(u *uplink) {
-	messages, _ := h.dueUp(u, time.Now(), true)
+	messages, _ := h.dueToParent(u, time.Now(), true)
 	for _, m := range messages {
 		if err := h.send(u.conn, finalSendTimeout, m); err != nil {
 			return
@@ -119,14 +119,14 @@
 	}
 }
 
-// dueUp collects what the parent should be sent now.
-func (h *hub) dueUp(u *uplink, now time.Time, last bool) ([]outgoing, time.Time) {
+// dueToParent collects what the parent should be sent now.
+func (h *hub) dueToParent(u *uplink, now time.Time, final bool) ([]outgoing, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	due := h.announcementsDue(u, now, last)
-	if report := h.ownAcknowledgement().merge(h.subtreeAcknowledgement()); last && report != u.acknowledged || u.acknowledgementDue(report, now) {
+	due := h.announcementsDue(u, now, final)
+	if report := h.ownAcknowledgement().merge(h.subtreeAcknowledgement()); final && report != u.acknowledged || u.acknowledgementDue(report, now) {
 		if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
-			u.acknowledging.sent(now)
+			u.acknowledgePacer.sent(now)
 		}
 		u.acknowledged = report
 		due = append(due, outgoing{
@@ -135,44 +135,44 @@
 		})
 	}
 	switch {
-	case last:
-		due = append(due, h.evidenceDue(u, now, lastOfLink)...)
-	case u.evidencing.ready(now):
-		due = append(due, h.evidenceDue(u, now, inTurn)...)
-	case u.expressing.ready(now) && h.expressWaits(u, now):
-		due = append(due, h.evidenceDue(u, now, express)...)
+	case final:
+		due = append(due, h.evidenceDue(u, now, sumsFinal)...)
+	case u.evidencePacer.ready(now):
+		due = append(due, h.evidenceDue(u, now, sumsRegular)...)
+	case u.prioritySumsPacer.ready(now) && h.prioritySumsPending(u, now):
+		due = append(due, h.evidenceDue(u, now, sumsPriority)...)
 	}
 	due = append(due, h.crashesForParent(u, now)...)
 	due = append(due, h.nodesDue(u, now)...)
 	if u.kind == kindNode {
 		due = append(due, h.requestsDue(u)...)
 	}
-	if u.pinging.ready(now) {
-		u.pinging.sent(now)
+	if u.pingPacer.ready(now) {
+		u.pingPacer.sent(now)
 		if u.kind == kindNode {
-			u.pinged()
+			u.pingSent()
 		}
 		due = append(due, outgoing{
 			kind:    typePing,
 			message: ping{},
 		})
 	}
-	return due, h.nextUp(u, now)
+	return due, h.nextDueToParent(u, now)
 }
 
-func (h *hub) nextUp(u *uplink, now time.Time) time.Time {
-	next := u.pinging.next
-	if len(h.pending.counts) > 0 && u.kind == kindNode && u.evidencing.next.Before(next) {
-		next = u.evidencing.next
+func (h *hub) nextDueToParent(u *uplink, now time.Time) time.Time {
+	next := u.pingPacer.next
+	if len(h.pending.counts) > 0 && u.kind == kindNode && u.evidencePacer.next.Before(next) {
+		next = u.evidencePacer.next
 	}
-	if u.expressing.next.Before(next) && h.expressWaits(u, now) {
-		next = u.expressing.next
+	if u.prioritySumsPacer.next.Before(next) && h.prioritySumsPending(u, now) {
+		next = u.prioritySumsPacer.next
 	}
-	if at := laterOf(u.batch.nextUrgent, u.waitsUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
+	if at := laterOf(u.batch.nextUrgent, u.deferredUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
 		next = at
 	}
-	if u.acknowledged.subtreeOnly() != h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).subtreeOnly() && u.acknowledging.next.Before(next) {
-		next = u.acknowledging.next
+	if u.acknowledged.subtreeOnly() != h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).subtreeOnly() && u.acknowledgePacer.next.Before(next) {
+		next = u.acknowledgePacer.next
 	}
 	return next
 }
@@ -181,9 +181,9 @@
 // the nodes below, which follows a moment later, by the whole interval.
 func (u *uplink) acknowledgementDue(report acknowledge, now time.Time) bool {
 	if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
-		return u.acknowledging.ready(now)
+		return u.acknowledgePacer.ready(now)
 	}
-	return report != u.acknowledged && u.pinging.ready(now)
+	return report != u.acknowledged && u.pingPacer.ready(now)
 }
 
 // ownAcknowledgement counts the node itself; a control instance does not count as a node.
@@ -200,33 +200,33 @@
 	}
 }
 
-func (h *hub) announcementsDue(u *uplink, now time.Time, last bool) []outgoing {
-	if !u.announced || (u.kind == kindControl && h.complete && !u.finished) {
-		u.announced, u.finished = true, h.complete
+func (h *hub) announcementsDue(u *uplink, now time.Time, final bool) []outgoing {
+	if !u.announced || (u.kind == kindControl && h.complete && !u.completeSent) {
+		u.announced, u.completeSent = true, h.complete
 		u.cursor = h.table.Position(lease.Local)
 		return []outgoing{{
 			kind: typeAnnounce,
 			message: announce{
 				Complete:   u.kind == kindControl && h.complete,
 				Upserts:    h.table.LocalEndpoints(),
-				Tombstones: h.leftWithin(now, anyService),
+				Tombstones: h.recentTombstones(now, anyService),
 			},
 		}}
 	}
-	if !last && now.Before(u.batch.nextUrgent) {
-		u.waitsUntil = time.Time{}
+	if !final && now.Before(u.batch.nextUrgent) {
+		u.deferredUntil = time.Time{}
 		return nil
 	}
 	changes, reached := h.table.Changes(lease.Local, u.cursor, lease.Owner{}, anyService)
 	if !reached {
 		u.announced = false
-		return h.announcementsDue(u, now, last)
+		return h.announcementsDue(u, now, final)
 	}
-	if at := u.batch.dueAt(changes); !last && !changes.Empty() && now.Before(at) {
-		u.waitsUntil = at
+	if at := u.batch.dueAt(changes); !final && !changes.Empty() && now.Before(at) {
+		u.deferredUntil = at
 		return nil
 	}
-	u.cursor, u.waitsUntil = changes.Next, time.Time{}
+	u.cursor, u.deferredUntil = changes.Next, time.Time{}
 	if changes.Empty() {
 		return nil
 	}
@@ -240,8 +240,8 @@
 	}}
 }
 
-func (h *hub) evidenceDue(u *uplink, now time.Time, pace sumsPace) []outgoing {
-	due, size := h.sumsDue(u, now, pace)
+func (h *hub) evidenceDue(u *uplink, now time.Time, mode sumsMode) []outgoing {
+	due, size := h.sumsDue(u, now, mode)
 	counts, at := h.evidence.since(u.evidenceAt)
 	u.evidenceAt = at
 	if len(counts) > 0 {
@@ -254,7 +254,7 @@
 		})
 	}
 	if len(due) > 0 {
-		h.charge(u, now, size, pace)
+		h.chargeBudget(u, now, size, mode)
 	}
 	return due
 }
@@ -267,15 +267,15 @@
 			message: message,
 		})
 	}
-	if u.configRequest {
-		u.configRequest = false
+	if u.configRequestDue {
+		u.configRequestDue = false
 		due = append(due, outgoing{
 			kind:    typeConfigRequest,
 			message: configRequest{},
 		})
 	}
-	if u.endpointsRequest {
-		u.endpointsRequest = false
+	if u.endpointsRequestDue {
+		u.endpointsRequestDue = false
 		due = append(due, outgoing{
 			kind: typeEndpointsRequest,
 			message: endpointsRequest{
