--- a/io/distribution/parent.go
+++ b/io/distribution/parent.go
@@ -76,6 +76,7 @@
 	return nil
 }
 
+// handleAccept handles the parent's path, which arrives in the handshake and again when it changes. An error ends the link.
 func (s *Subscriber) handleAccept(message accept) error {
 	if err := s.checkPath(message); err != nil {
 		return err
@@ -87,7 +88,7 @@
 	}
 	s.hub.stale, s.hub.parentReadsRows = message.Stale, message.Rows
 	s.hub.path, s.hub.control = message.Path, message.Control
-	if s.hub.attached { // else the answer to the hello is still being looked at
+	if s.hub.attached { // during the handshake, exchangeHello checks this
 		if local, redirected := s.attach.redirectToLocal(message); redirected {
 			s.attach.localAddresses = local.Addresses
 			return errLocalControlAvailable
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// checkStale refuses a control instance without a leader until all others have been tried, since it may be the only one
-// that is cut off. Relays stay with their parent, which looks for another control instance on behalf of its subtree.
+// checkStale rejects a control instance that knows no leader until all others have been tried, since it may be the only one that
+// is partitioned. A node below a relay stays, since the relay looks for another control instance on behalf of its subtree.
 func (s *Subscriber) checkStale(message accept) error {
 	if !message.Stale {
 		s.firstStaleTarget = -1
@@ -141,7 +142,7 @@
 	case err == nil:
 		s.switchTo(next)
 	case errors.Is(err, record.ErrOlder):
-		// An update that crossed with a newer one.
+		// the delta crossed with a newer configuration
 	case errors.Is(err, record.ErrWrongBase), errors.Is(err, record.ErrHashMismatch):
 		s.hub.meters.deltaMismatches.Inc()
 		s.hub.mu.Lock()
@@ -158,7 +159,7 @@
 	s.logger.Error().Err(err).Uint64("revision", uint64(revision)).Msg("configuration refused")
 }
 
-// switchTo puts a complete and checked configuration into force; only the attachment's goroutine calls it.
+// switchTo puts a validated configuration into force; only the attachment's goroutine calls it.
 func (s *Subscriber) switchTo(next *record.Configuration) {
 	s.hub.meters.applied.Inc()
 	s.changeMu.Lock()
@@ -174,6 +175,7 @@
 		Str("control", string(s.hub.control)).Msg("configuration in force")
 }
 
+// checkConfirmed records the version that a confirmed read observed, once the node holds its revision; hub.mu is held.
 func (s *Subscriber) checkConfirmed() {
 	if read, ready := s.hub.confirmer.takeAnswer(ownLink, s.newest.Load().Revision()); ready {
 		s.accepted = configVersion{
@@ -202,15 +204,16 @@
 	same := message.HasDigest && s.compareDigest(u, message)
 	s.updateUnsynced(message)
 	s.hub.publishAndWake()
-	if same || message.Answer { // after they were published
+	if same || message.Answer { // only after the endpoints were published
 		s.endpointsReceivedOnce.Do(func() { close(s.endpointsReceived) })
 	}
 }
 
+// updateUnsynced updates the services that wait for endpoints after a message that has all endpoints of some of them.
 func (s *Subscriber) updateUnsynced(message endpoints) {
 	for _, service := range message.Reset {
 		if _, awaited := s.hub.unsynced[service]; awaited {
-			s.hub.unsynced[service] = true // a parent that has only a part sends a digest later
+			s.hub.unsynced[service] = true // a parent with an incomplete table sends a digest later
 		}
 		if !message.Partial {
 			delete(s.hub.unsynced, service)
@@ -222,12 +225,12 @@
 	}
 }
 
-// EndpointsSignal returns a channel that is closed once the endpoints that the parent knew at the attachment have arrived.
+// EndpointsSignal returns a channel that is closed once the node has received the endpoints that its first parent knew.
 func (s *Subscriber) EndpointsSignal() <-chan struct{} {
 	return s.endpointsReceived
 }
 
-// synced notes that all endpoints of the subscription are the same as the parent's.
+// markSynced records that the node holds the same endpoints of its subscriptions as the parent.
 func (s *Subscriber) markSynced() {
 	s.hub.complete, s.hub.unsyncedAll = true, false
 	maps.DeleteFunc(s.hub.unsynced, func(_ core.ServiceName, covered bool) bool { return covered })
@@ -236,7 +239,7 @@
 	}
 }
 
-// compare asks for the services that differ, and returns true if all endpoints are the same as the parent's.
+// compareDigest reports whether the node holds the same endpoints as the parent, and requests the services that differ if not.
 func (s *Subscriber) compareDigest(u *uplink, message endpoints) bool {
 	var own core.Hash
 	for _, digest := range s.hub.table.Digests(u.wants) {
--- a/io/distribution/source.go
+++ b/io/distribution/source.go
@@ -13,10 +13,10 @@
 	"parsleyport/io/frame"
 )
 
-// confirmRetryInterval is the wait before a confirmed read that failed is tried again.
+// confirmRetryInterval is the wait before a failed confirmed read is retried.
 const confirmRetryInterval = 100 * time.Millisecond
 
-// Fleet describes all attached nodes, those of the other control instances included.
+// Fleet summarises all attached nodes, including those of the other control instances.
 type Fleet struct {
 	Lowest core.Revision      `json:"lowest-revision-in-force"`
 	Nodes  int                `json:"nodes"`
@@ -34,14 +34,14 @@
 	peerLinks   map[core.ControlID]peerLink // guarded by hub.mu
 }
 
-// peerLink is the link to another control instance.
+// peerLink is the outgoing link to another control instance.
 type peerLink struct {
 	address string
 	stop    context.CancelFunc
 }
 
-// NewSource starts the listener for nodes and the links to the other control instances; it returns an error for wrong
-// options or an address in use. The clean-up function waits for all goroutines.
+// NewSource starts the listener for nodes and the links to the other control instances. It returns an error for invalid options
+// or an address in use. The clean-up function waits for all goroutines.
 func NewSource(options SourceOptions) (*Source, func(), error) {
 	if err := options.validate(); err != nil {
 		return nil, nil, err
@@ -85,8 +85,8 @@
 	}, nil
 }
 
-// SetPeers links to these other control instances in place of the earlier ones, and tells the nodes where they can attach:
-// to the addresses, the own one included, or to those of their settings if there are none.
+// SetPeers replaces the links to the other control instances and sends the nodes the addresses at which they can attach, this
+// instance's own included. Without addresses, the nodes use those of their settings.
 func (s *Source) SetPeers(peers []Peer, addresses []ControlAddress) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -136,7 +136,8 @@
 	}
 }
 
-// watchLeader tells the children when this control instance has known no leader for a while, and when it does again.
+// watchLeader marks this control instance as stale after leaderlessTimeout without a known leader, and tells the children about
+// each change.
 func (s *Source) watchLeader(ctx context.Context) {
 	lastKnown := time.Now()
 	for ctx.Err() == nil {
@@ -157,10 +158,10 @@
 	s.hub.stale = stale
 	s.hub.pathVersion++
 	s.hub.publishAndWake()
-	s.options.Logger.Info().Bool("stale", stale).Msg("knowledge of a leader changed")
+	s.options.Logger.Info().Bool("stale", stale).Msg("stale state of the control instance changed")
 }
 
-// follow passes on each configuration that the catalog accepts; children that are slow skip some.
+// followCatalog distributes each new configuration of the catalog; slow children skip some revisions.
 func (s *Source) followCatalog(ctx context.Context) {
 	for {
 		changed := s.options.Catalog.Changed()
@@ -184,7 +185,7 @@
 			return
 		}
 		for s.confirmOnce(ctx) {
-			// A request may have arrived during the read.
+			// another request may have arrived during the read
 		}
 	}
 }
@@ -215,7 +216,7 @@
 	return true
 }
 
-// peerAttachment reports to another control instance what is announced to this one.
+// peerAttachment returns the attachment that forwards announcements and evidence of this control instance to another one.
 func (s *Source) peerAttachment(peer Peer) *attachment {
 	return newAttachment([]string{peer.Address}, attachment{
 		hub:    s.hub,
@@ -232,7 +233,7 @@
 			u := newUplink(conn, kindControl, s.options.EvidenceInterval)
 			return s.hub.runUplink(ctx, u, func() error {
 				for {
-					// Only pongs and changed paths arrive, and neither is needed: cumulative sums are sent again.
+					// Only pongs and path changes arrive. Neither is needed: evidence is cumulative and sent again on the next link.
 					if _, err := s.hub.receive(conn, linkTimeout); err != nil {
 						return err
 					}
@@ -247,8 +248,8 @@
 	return s.hub.endpoints(service)
 }
 
-// Fleet returns the lowest revision in force, the number of nodes and the schema version that all of them support. Nodes
-// that lost their parent count again once they are attached.
+// Fleet returns the lowest revision in force, the number of nodes and the newest schema version that all of them support. Nodes
+// without a parent are not counted.
 func (s *Source) Fleet() Fleet {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -263,21 +264,21 @@
 	}
 }
 
-// Evidence returns the newest sum of each control instance's run, data centre, move, service, route and release.
+// Evidence returns the cumulative sums by run of a control instance, data centre, move, service, route and release.
 func (s *Source) Evidence() []core.EvidenceCount {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	return s.hub.evidence.all()
 }
 
-// Reporting returns how many nodes report on a move; nodes that lost their parent count again once they are attached.
+// Reporting returns the number of nodes that report on a move; nodes without a parent are not counted.
 func (s *Source) Reporting(move core.MoveID) int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	return s.hub.reportingNodes(true)[move]
 }
 
-// Bytes returns how many bytes were sent and received over all links.
+// Bytes returns the number of bytes sent and received over all links.
 func (s *Source) Bytes() (sent, received uint64) {
 	return s.hub.meters.sent.Get(), s.hub.meters.received.Get()
 }
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -47,36 +47,36 @@
 	_ core.EndpointSource = (*Subscriber)(nil)
 )
 
-// Subscriber keeps a node's configuration and endpoints up to date and passes them on to the nodes below it.
+// Subscriber keeps a node's configuration and endpoints up to date and relays them to the nodes attached below it.
 type Subscriber struct {
 	options               SubscriberOptions
 	hub                   *hub
 	logger                zerolog.Logger
 	attach                *attachment
-	conn                  *frame.Conn // to the parent; guarded by hub.mu, as leavingForLocal is
-	leavingForLocal       bool        // the link was closed to attach in the own data centre
+	conn                  *frame.Conn // to the parent; guarded by hub.mu
+	leavingForLocal       bool        // conn was closed in order to attach in the node's own data centre; guarded by hub.mu
 	newest                atomic.Pointer[record.Configuration]
-	uses                  atomic.Pointer[map[core.ServiceName]*lastUse] // replaced as a whole, with hub.mu held
+	uses                  atomic.Pointer[map[core.ServiceName]*lastUse] // copied on write, with hub.mu held
 	confirmed             chan struct{}
 	confirmedOnce         sync.Once
 	endpointsReceived     chan struct{}
 	endpointsReceivedOnce sync.Once
-	firstStaleTarget      int // the attachment's turn at the first control instance without a leader, negative after any other parent
+	firstStaleTarget      int // attach.nextTarget at the first control instance without a leader, negative if the last parent knew one
 
 	changeMu sync.Mutex // guards changeCh
 	changeCh chan struct{}
 
-	// What follows is guarded by hub.mu.
+	// The fields below are guarded by hub.mu.
 	sequence      uint64
 	announced     core.Endpoint         // zero if nothing is announced
-	candidate     *record.Configuration // other content of the revision in force, until a read says which one was accepted
-	accepted      configVersion         // what the last confirmed read saw
+	candidate     *record.Configuration // other content of the current revision, kept until a confirmed read tells which one was accepted
+	accepted      configVersion         // version observed by the last confirmed read
 	parent        string
 	detachedSince time.Time // zero until the first parent is lost
 }
 
-// NewSubscriber starts the relay listener and the attachment to the tree; it returns an error for wrong options or an
-// address in use. The clean-up function withdraws the node's endpoint and waits for all goroutines.
+// NewSubscriber starts the relay listener and attaches the node to the tree. It returns an error for invalid options or an address
+// in use. The clean-up function withdraws the node's endpoint and waits for all goroutines.
 func NewSubscriber(options SubscriberOptions) (*Subscriber, func(), error) {
 	if err := options.validate(); err != nil {
 		return nil, nil, err
@@ -149,7 +149,8 @@
 	}
 }
 
-// leaveForLocalControl ends a link to a control instance of another data centre if the own one has some by now; hub.mu is held.
+// leaveForLocalControl closes a link to a control instance of another data centre once the node's own data centre has one; hub.mu
+// is held.
 func (s *Subscriber) leaveForLocalControl() {
 	if !s.hub.attached || s.hub.stale || s.conn == nil {
 		return
@@ -161,15 +162,15 @@
 	}
 }
 
-// checkPath refuses a parent that is this node or below it.
+// checkPath rejects a parent whose path contains this node, since the link would close a loop.
 func (s *Subscriber) checkPath(message accept) error {
 	if slices.Contains(message.Path, s.options.ID) || len(message.Path) > maxPathNodes {
-		return errors.Errorf("parent's path %v leads through this node or is too long", message.Path)
+		return errors.Errorf("parent's path %v contains this node or is too long", message.Path)
 	}
 	return nil
 }
 
-// serve uses a link to a parent until it breaks.
+// serve runs the link to a parent until it breaks.
 func (s *Subscriber) serve(ctx context.Context, conn *frame.Conn, address string) error {
 	u := newUplink(conn, kindNode, s.options.EvidenceInterval)
 	s.hub.mu.Lock()
@@ -181,7 +182,7 @@
 	s.hub.attached = true
 	s.hub.dropUnwanted()
 	if s.hub.stale && len(s.hub.path) == 0 {
-		s.firstStaleTarget = -1 // after the limit, all are tried again
+		s.firstStaleTarget = -1 // at the end of staleLinkTimeout, all control instances are tried again
 		expiry := time.AfterFunc(staleLinkTimeout, func() { s.closeIfStale(conn) })
 		defer expiry.Stop()
 	}
@@ -203,7 +204,7 @@
 	return err
 }
 
-// closeIfStale ends a link to a control instance that still has no leader, so that the others are tried again.
+// closeIfStale closes the link to a control instance that still knows no leader, so that the others are tried again.
 func (s *Subscriber) closeIfStale(conn *frame.Conn) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -212,7 +213,7 @@
 	}
 }
 
-// SetControlAddresses replaces the addresses to start from when the parent is lost.
+// SetControlAddresses replaces the addresses of the settings, which are tried when the parent is lost. An empty list is ignored.
 func (s *Subscriber) SetControlAddresses(addresses []string) {
 	if len(addresses) > 0 {
 		s.attach.targets.Store(addresses)
@@ -231,7 +232,7 @@
 	return s.changeCh
 }
 
-// Endpoints implements core.EndpointSource; leaving and starting endpoints are among them.
+// Endpoints implements core.EndpointSource. The list includes endpoints that are starting or leaving.
 func (s *Subscriber) Endpoints(service core.ServiceName) []core.Endpoint {
 	return s.hub.endpoints(service)
 }
@@ -246,7 +247,7 @@
 	return s.hub.tombstones(service)
 }
 
-// Confirmed reports whether the configuration in force is at least as new as any that an earlier run of the node served.
+// Confirmed reports whether the current configuration is at least as new as any that an earlier run of the node served.
 func (s *Subscriber) Confirmed() bool {
 	select {
 	case <-s.confirmed:
@@ -261,8 +262,8 @@
 	return s.confirmed
 }
 
-// Announce tells the fleet of the node's endpoint; node, incarnation, sequence and data centre are filled in, and an
-// announcement that changes nothing sends nothing.
+// Announce announces the node's endpoint to all nodes. It fills in the node, incarnation, sequence and data centre, and sends
+// nothing if the endpoint has not changed.
 func (s *Subscriber) Announce(endpoint core.Endpoint) {
 	endpoint.Node = s.options.ID
 	endpoint.Incarnation = s.options.Incarnation
@@ -298,8 +299,8 @@
 	s.hub.publishAndWake()
 }
 
-// ReportEvidence passes what the node has counted since its last report towards the control instances, with the moves
-// that it reports on, those without calls included.
+// ReportEvidence sends the counts since the last report towards the control instances, and the list of moves that the node
+// reports on, including moves without calls.
 func (s *Subscriber) ReportEvidence(moves []core.MoveID, counted []core.EvidenceCount) {
 	for i := range counted {
 		counted[i].DataCentre = s.options.DataCentre
@@ -314,12 +315,12 @@
 	s.hub.publishAndWake()
 }
 
-// Bytes returns how many bytes were sent and received over all links.
+// Bytes returns the number of bytes sent and received over all links.
 func (s *Subscriber) Bytes() (sent, received uint64) {
 	return s.hub.meters.sent.Get(), s.hub.meters.received.Get()
 }
 
-// Status describes the subscriber.
+// Status returns a summary of the subscriber's state.
 func (s *Subscriber) Status() Status {
 	held := s.newest.Load()
 	endpoints := s.hub.liveEndpoints()
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -10,45 +10,45 @@
 	"parsleyport/io/frame"
 )
 
-// uplink is the sending side of a link to a parent or to another control instance. All but conn and wake is guarded by hub.mu.
+// uplink is the sending side of a link to a parent or to another control instance. hub.mu guards all fields but conn and wake.
 type uplink struct {
 	conn *frame.Conn
 	wake *ring.Ring[struct{}]
 	kind linkKind
 
-	announced         bool
-	completeSent      bool // the other control instance got the complete set
-	cursor            uint64
+	announced         bool   // the local endpoints were sent, so that changes to them suffice
+	completeSent      bool   // the local endpoints were sent to another control instance after the end of startupGrace
+	cursor            uint64 // position in the table up to which changes were sent
 	batch             batcher
-	deferredUntil     time.Time // of changes that are not urgent
+	deferredUntil     time.Time // when changes that are not urgent are sent
 	acknowledged      acknowledge
 	acknowledgePacer  pacer
-	evidenceAt        uint64
+	evidenceAt        uint64 // position in the evidence store up to which counts were sent
 	evidencePacer     pacer
 	prioritySumsPacer pacer
-	backlogged        bool // not all sums fitted in the last message
+	backlogged        bool // the last regular message of sums had no room for all of them
 	seriesNumbers     map[series]uint64
-	rows              []row  // the last one of each series
-	lastNamed         series // the last one
+	rows              []row  // last row of each series
+	lastNamed         series // the series that was named last
 	reporting         map[core.MoveID]int
-	callsSincePing    uint64   // calls sent after the last ping
-	callsBeforePings  []uint64 // calls sent before each unanswered ping
-	nodesAt           uint64
+	callsSincePing    uint64   // calls in sums sent after the last ping
+	callsBeforePings  []uint64 // for each unanswered ping: calls in sums sent between the previous ping and it
+	nodesAt           uint64   // position in the node store up to which reports were sent
 	nodesPacer        pacer
-	crashesAt         uint64
+	crashesAt         uint64 // position in the crash store up to which reports were sent
 	pingPacer         pacer
 
 	subscribed          bool
-	subscriptionsAt     uint64
+	subscriptionsAt     uint64 // hub.subscriptions when the last subscription was sent
 	all                 bool
 	services            map[core.ServiceName]bool
-	detachedMS          int64
+	detachedMS          int64 // how long the node had no parent, negative if this is its first
 	configRequestDue    bool
 	endpointsRequestDue bool
 }
 
-// noAcknowledgementSent makes the first acknowledgement of a link differ from what was sent, also if it counts no nodes: the other
-// end may hold one from before a restart.
+// noAcknowledgementSent is a number of nodes that differs from every real one, so that the first acknowledgement of a link is sent
+// even if it counts no nodes: the other end may hold an older one, from before a restart of this process.
 const noAcknowledgementSent = -1
 
 func newUplink(conn *frame.Conn, kind linkKind, reportInterval time.Duration) *uplink {
@@ -80,7 +80,7 @@
 	}
 }
 
-// runUplink sends until the context ends or the link breaks, while receive handles what arrives; it returns receive's error.
+// runUplink runs the sending side of a link until the context ends or the link breaks, and returns the error of receive.
 func (h *hub) runUplink(ctx context.Context, u *uplink, receive func() error) error {
 	h.mu.Lock()
 	h.uplinks[u] = true
@@ -89,7 +89,7 @@
 	done := make(chan struct{})
 	h.start(func() {
 		defer close(done)
-		defer u.conn.Close() // ends the receiver
+		defer u.conn.Close() // unblocks the receiver
 		_ = h.sender(sending, u.wake, func(m outgoing) error {
 			return h.send(u.conn, writeTimeout, m)
 		}, func(now time.Time) ([]outgoing, time.Time) {
@@ -109,7 +109,7 @@
 	return err
 }
 
-// sendFinal sends what waits for its interval, above all the node's withdrawal.
+// sendFinal sends the messages that wait for an interval to pass, in particular the withdrawal of the node's endpoint.
 func (h *hub) sendFinal(u *uplink) {
 	messages, _ := h.dueToParent(u, time.Now(), true)
 	for _, m := range messages {
@@ -119,7 +119,8 @@
 	}
 }
 
-// dueToParent collects what the parent should be sent now.
+// dueToParent returns the messages that are due on an uplink and when to check again; final includes those that wait for an
+// interval to pass.
 func (h *hub) dueToParent(u *uplink, now time.Time, final bool) ([]outgoing, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,8 +178,9 @@
 	return next
 }
 
-// acknowledgementDue sends what only this node holds with the next ping: sent at once, it would delay the acknowledgement of
-// the nodes below, which follows a moment later, by the whole interval.
+// acknowledgementDue reports whether to send an acknowledgement. If only this node's own version has changed, it is sent with the
+// next ping: sending it at once would start the interval, which the acknowledgements of the nodes below, which follow a moment
+// later, would have to wait for.
 func (u *uplink) acknowledgementDue(report acknowledge, now time.Time) bool {
 	if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
 		return u.acknowledgePacer.ready(now)
@@ -186,7 +188,7 @@
 	return report != u.acknowledged && u.pingPacer.ready(now)
 }
 
-// ownAcknowledgement counts the node itself; a control instance does not count as a node.
+// ownAcknowledgement returns the acknowledgement of this node alone; a control instance does not count as a node.
 func (h *hub) ownAcknowledgement() acknowledge {
 	if h.relayID == "" {
 		return acknowledge{}
