--- a/io/distribution/compressor.go
+++ b/io/distribution/compressor.go
@@ -6,7 +6,7 @@
 	"parsleyport/io/frame"
 )
 
-// newCompressor returns the packing of messages on the links of the tree. Configurations repeat themselves and need no sample.
+// newCompressor returns the compressor for links of the tree. Configurations need no sample, since their records resemble each other.
 func newCompressor() (*frame.Compressor, error) {
 	endpoint := core.Endpoint{State: core.EndpointReady}
 	return frame.NewCompressor(
--- a/io/distribution/meters.go
+++ b/io/distribution/meters.go
@@ -42,7 +42,7 @@
 func (m *meters) countSent(n uint64)     { m.sent.AddInt64(int64(n)) }
 func (m *meters) countReceived(n uint64) { m.received.AddInt64(int64(n)) }
 
-// watch registers gauges over the state of a hub.
+// registerGauges registers gauges for the state of a hub.
 func (h *hub) registerGauges(set *metrics.Set) {
 	gauge := func(name string, read func() float64) {
 		set.GetOrCreateGauge("parsleyport_distribution_"+name, func() float64 {
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// nodeReportInterval is how often a node reports itself if nothing has changed. A report has about 125 bytes, so that
-	// a relay with 75 nodes in its subtree sends about 310 B/s of the 4 KB/s for control traffic.
+	// nodeReportInterval is how often a node reports itself if nothing has changed. A report takes about 125 bytes, so that a relay
+	// with 75 nodes in its subtree sends about 310 B/s of the 4 KB/s for control traffic.
 	nodeReportInterval = 30 * time.Second
-	// minNodesInterval spaces the reports of a link, so that those of one change go up in few frames.
+	// minNodesInterval spaces the node reports on a link, so that the reports that follow one change are sent in few frames.
 	minNodesInterval = time.Second
-	// nodeReportRetention is how long the last report of a node that went away is shown.
+	// nodeReportRetention is how long the last report of a node that is gone is listed.
 	nodeReportRetention = 10 * time.Minute
-	// maxNodeReports bounds the reports kept: three times the nodes of the planned size.
-	maxNodeReports         = 8192
-	maxNodesPerFrame       = 1000
+	// maxNodeReports bounds the stored reports: three times the planned number of nodes.
+	maxNodeReports   = 8192
+	maxNodesPerFrame = 1000
+	// maxNodeReportNameBytes bounds the total length of a report's names.
 	maxNodeReportNameBytes = 256
 )
 
-// NodeReport is what a node says of itself; AgeMS is the time since then, which needs no common clock.
+// NodeReport is a node's report of its state; AgeMS is the time since the report in milliseconds, since clocks may differ.
 type NodeReport struct {
 	Node        core.NodeID        `msgpack:"node"`
 	Incarnation core.Incarnation   `msgpack:"incarnation"`
@@ -33,7 +34,7 @@
 	AgeMS       int64              `msgpack:"age-ms"`
 }
 
-// nodes carries reports upwards and between control instances.
+// nodes carries reports to the parent or to another control instance.
 type nodes struct {
 	Reports []NodeReport `msgpack:"reports"`
 }
@@ -41,7 +42,7 @@
 type storedReport struct {
 	report NodeReport
 	at     time.Time
-	remote bool // came from another control instance
+	remote bool // received from another control instance
 	change uint64
 }
 
@@ -57,7 +58,7 @@
 	}
 }
 
-// merge keeps the newer of two reports that came over different paths: a run of a node never goes back to an older revision.
+// merge keeps the newer of two reports that arrived over different paths. The revision of a node never decreases during a run.
 func (s *nodeStore) merge(now time.Time, report NodeReport, remote bool) {
 	at := now.Add(-time.Duration(max(report.AgeMS, 0)) * time.Millisecond)
 	held, exists := s.items[report.Node]
@@ -83,7 +84,7 @@
 	}
 }
 
-// since returns the reports after a change, at most a frame full, and the change up to which they reach.
+// since returns at most maxNodesPerFrame reports that changed after a position, and the position of the last change that it covers.
 func (s *nodeStore) since(now time.Time, after uint64, localOnly bool) ([]NodeReport, uint64) {
 	var newer []storedReport
 	for _, held := range s.items {
@@ -100,6 +101,7 @@
 	return reportsWithAge(now, newer), reached
 }
 
+// reportsWithAge returns the reports with their age at the given time.
 func reportsWithAge(now time.Time, held []storedReport) []NodeReport {
 	reports := make([]NodeReport, 0, len(held))
 	for _, each := range held {
@@ -109,7 +111,7 @@
 	return reports
 }
 
-// reportSelf keeps the node's own report up to date; mu is held.
+// reportSelf updates the node's own report after a change of its revision and every nodeReportInterval; mu is held.
 func (h *hub) reportSelf(now time.Time) {
 	if h.relayID == "" {
 		return
@@ -145,7 +147,8 @@
 	}}
 }
 
-// Nodes returns the newest report of each node, sorted by name; nodes that went away are in it for a while.
+// Nodes returns the newest report of each node, sorted by name. A node that is gone is listed until its last
+// report is 10 min old.
 func (s *Source) Nodes() []NodeReport {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
--- a/io/distribution/rows.go
+++ b/io/distribution/rows.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// valuesPerRow are the values of a sum on the wire: calls without latency, failures, crashes, lateness and the buckets.
+	// valuesPerRow is the number of values of a sum on the wire: calls without latency, failures, crashes, lateness and the buckets.
 	valuesPerRow = 4 + core.LatencyBuckets
-	// maxCodeBits is the length of a value's code without its zeros; a longer one is malformed.
+	// maxCodeBits limits the length of a value's code without its leading zeros; a longer one is malformed.
 	maxCodeBits = 64
 )
 
-// row is the last sum of a series on a link. The next one is sent as its difference from it, since a sum of the same nodes
-// over the same interval hardly changes: a value of 30 takes 6 bits on average.
+// row holds the values of the last sum of a series on a link. The next sum is sent as its difference from that row, since sums of
+// the same nodes over equal intervals hardly differ: a value of 30 takes 6 bits on average.
 type row [valuesPerRow]uint64
 
 func rowOf(count core.EvidenceCount, late uint64) row {
@@ -27,7 +27,7 @@
 		calls -= n
 		r[4+i] = n
 	}
-	// A report can see a call before its latency, so the next one may have fewer calls than latencies.
+	// A report may count a call before its latency, so that the next report has more latencies than calls.
 	r[0], r[1], r[2], r[3] = zigzag(calls), count.Failures, count.Crashes, late
 	return r
 }
@@ -41,20 +41,20 @@
 	return count, r[3]
 }
 
-// zigzag makes a small number of a small difference of either sign.
+// zigzag maps differences of either sign to numbers that are small if the difference is.
 func zigzag(n uint64) uint64   { return n<<1 ^ uint64(int64(n)>>63) }
 func unzigzag(n uint64) uint64 { return n>>1 ^ -(n & 1) }
 
-// order is the order of the Golomb code for what follows a value: half of the value's bits, as the usual difference
-// between two counts is the square root of the count.
+// golombOrder returns the order of the exponential Golomb code for the difference from a value: half of the value's bits, since the
+// standard deviation of a count is about its square root.
 func golombOrder(last uint64) int {
 	return (bits.Len64(last) + 1) / 2
 }
 
-// bitWriter appends bits; the last byte is filled with zeros.
+// bitWriter appends bits; the last byte is padded with zeros.
 type bitWriter struct {
 	bytes    []byte
-	freeBits int // bits of the last byte
+	freeBits int // unused bits of the last byte
 }
 
 func (w *bitWriter) writeBits(n uint64, width int) {
@@ -70,28 +70,30 @@
 	}
 }
 
-// number writes an exponential Golomb code; n is below 2^63.
+// writeNumber writes the exponential Golomb code of n, which must be below 2^63.
 func (w *bitWriter) writeNumber(n uint64, order int) {
 	n += 1 << order
 	w.writeBits(0, bits.Len64(n)-1-order)
 	w.writeBits(n, bits.Len64(n))
 }
 
+// writeRow writes the differences between a row and the last one of its series.
 func (w *bitWriter) writeRow(r, last row) {
 	for i, n := range r {
 		w.writeNumber(zigzag(n-last[i]), golombOrder(last[i]))
 	}
 }
 
+// bitReader reads bits; err is set at the first read beyond the end and by malformed codes.
 type bitReader struct {
 	bytes       []byte
-	bitPosition int // in bits
+	bitPosition int // position of the next bit
 	err         error
 }
 
 func (r *bitReader) readBit() uint64 {
 	if r.bitPosition >= 8*len(r.bytes) {
-		r.err = errors.Annotate(frame.ErrMalformed, "cut sum")
+		r.err = errors.Annotate(frame.ErrMalformed, "truncated sum")
 		return 1
 	}
 	n := uint64(r.bytes[r.bitPosition/8] >> (7 - r.bitPosition%8) & 1)
@@ -103,7 +105,7 @@
 	width := order
 	for r.readBit() == 0 {
 		if width++; width >= maxCodeBits {
-			r.err = errors.Annotate(frame.ErrMalformed, "value of a sum is too long")
+			r.err = errors.Annotate(frame.ErrMalformed, "code of a value in a sum is too long")
 			return 0
 		}
 	}
--- a/io/distribution/source.go
+++ b/io/distribution/source.go
@@ -216,7 +216,7 @@
 	return true
 }
 
-// peerAttachment returns the attachment that forwards announcements and evidence of this control instance to another one.
+// peerAttachment returns the attachment that forwards announcements, evidence and reports of this control instance to another one.
 func (s *Source) peerAttachment(peer Peer) *attachment {
 	return newAttachment([]string{peer.Address}, attachment{
 		hub:    s.hub,
@@ -249,7 +249,7 @@
 }
 
 // Fleet returns the lowest revision in force, the number of nodes and the newest schema version that all of them support. Nodes
-// without a parent are not counted.
+// that lost their parent are not counted until they are attached again.
 func (s *Source) Fleet() Fleet {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -271,7 +271,8 @@
 	return s.hub.evidence.all()
 }
 
-// Reporting returns the number of nodes that report on a move; nodes without a parent are not counted.
+// Reporting returns the number of nodes that report on a move. Nodes that lost their parent are not counted until they are attached
+// again.
 func (s *Source) Reporting(move core.MoveID) int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
--- a/io/distribution/statechange.go
+++ b/io/distribution/statechange.go
@@ -10,21 +10,22 @@
 	"parsleyport/core"
 )
 
-// stateChange is an announcement that differs from the node's last one in its state only. It takes about 15 bytes instead of
-// 65; Check is a hash of what both sides have to hold already.
+// stateChange is an announcement that differs from the node's last one only in its state and sequence. It takes about 15 bytes
+// instead of 65. Check is a hash of the fields that it omits, which the receiver must already hold.
 type stateChange struct {
-	//lint:ignore U1000 tells the msgpack library the form
+	//lint:ignore U1000 tells the msgpack library to encode the fields as an array
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Node     core.NodeID
 	Check    uint16
 	Sequence uint64
-	State    uint8 // position in stateCodes
+	State    uint8 // index in stateCodes
 }
 
+// stateCodes lists the states by their code on the wire.
 var stateCodes = []core.EndpointState{core.EndpointStarting, core.EndpointReady, core.EndpointLeaving}
 
-// checksumOf hashes what a state change leaves out.
+// checksumOf hashes the fields that a state change omits.
 func checksumOf(e core.Endpoint) uint16 {
 	hash := xxhash.New()
 	for _, part := range []string{
@@ -36,7 +37,7 @@
 	return uint16(hash.Sum64())
 }
 
-// shorten replaces announcements by state changes where the child has been sent the rest on this link.
+// compactUpserts replaces announcements by state changes if the child was sent the other fields on this link.
 func (c *child) compactUpserts(list []core.Endpoint) (full upserts, states []stateChange) {
 	for _, e := range list {
 		check := checksumOf(e)
@@ -56,19 +57,19 @@
 	return full, states
 }
 
-// tell remembers which endpoints a child has been sent.
+// recordSent records the endpoints that a child was sent.
 func (c *child) recordSent(list []core.Endpoint) {
 	for _, e := range list {
 		c.sentChecks[e.Node] = checksumOf(e)
 	}
 }
 
-// applyStateChanges applies state changes, and asks for the services that differ if it does not hold what a change is based on.
+// applyStateChanges applies state changes; it requests the services that differ if the node does not hold the base of a change.
 func (s *Subscriber) applyStateChanges(now time.Time, u *uplink, list []stateChange) {
 	for _, change := range list {
 		held, known := s.hub.table.Lookup(change.Node)
 		if known && !u.wants(held.Service) {
-			continue // crossed with the end of a subscription
+			continue // the change crossed with the end of a subscription
 		}
 		if !known || checksumOf(held) != change.Check || int(change.State) >= len(stateCodes) {
 			u.endpointsRequestDue = true
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// checkPath rejects a parent whose path contains this node, since the link would close a loop.
+// checkPath rejects a parent whose path contains this node, since the link would close a loop, and a path that is too long.
 func (s *Subscriber) checkPath(message accept) error {
 	if slices.Contains(message.Path, s.options.ID) || len(message.Path) > maxPathNodes {
 		return errors.Errorf("parent's path %v contains this node or is too long", message.Path)
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -10,14 +10,15 @@
 	"parsleyport/core/lease"
 )
 
-// useResolution is how exactly the last use of a service is noted, so that calls on many cores seldom write to one place.
+// useResolution is the resolution of the last use of a service. It is written at most once a second, to avoid contention between
+// cores.
 const useResolution = time.Second
 
 // lastUse is the time of the last use of a service, in nanoseconds since the Unix epoch.
 type lastUse = atomic.Int64
 
-// Subscribe notes that the node uses a service, and asks for its endpoints at the first use and after 10 min without one.
-// It is cheap enough for each call, and has no effect unless the options say OnDemandEndpoints.
+// Subscribe records that the node uses a service, and requests its endpoints at the first use and at the first after 10 min without
+// one. It is cheap enough to be called for each call, and has no effect without the option OnDemandEndpoints.
 func (s *Subscriber) Subscribe(service core.ServiceName) {
 	if !s.options.OnDemandEndpoints {
 		return
@@ -45,8 +46,8 @@
 	s.hub.publishAndWake()
 }
 
-// EndpointsKnown reports whether the node has all endpoints of a service and those that left within the last 10 min, as far
-// as its control instance knows them. Without OnDemandEndpoints it returns true.
+// EndpointsKnown reports whether the node has received all endpoints of a service, and those that left within the last 10 min, as far
+// as its control instance knows them. Without the option OnDemandEndpoints it returns true.
 func (s *Subscriber) EndpointsKnown(service core.ServiceName) bool {
 	if !s.options.OnDemandEndpoints {
 		return true
@@ -76,7 +77,7 @@
 	}
 }
 
-// expireLingering ends the subscriptions of lost children, and those that ended while there was no parent.
+// expireLingering ends lingering subscriptions: those of lost children, and those that ended while the node had no parent.
 func (h *hub) expireLingering(now time.Time) {
 	for service, until := range h.lingering {
 		if !now.Before(until) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// wanted reports whether this node or one of its children wants the endpoints of a service.
+// isWanted reports whether this node or one of its children wants the endpoints of a service.
 func (h *hub) isWanted(service core.ServiceName) bool {
 	if _, lingers := h.lingering[service]; lingers || h.all || h.services[service] {
 		return true
@@ -99,20 +100,20 @@
 	return false
 }
 
-// await notes that a service which nobody has wanted so far has to be asked for. Until the parent has sent its endpoints,
-// a relay must not pass for one that knows there to be none.
+// markUnsynced records that the endpoints of a service that was not wanted so far have to be requested. Until the parent has sent
+// them, a relay must not report to its children that there are none.
 func (h *hub) markUnsynced(service core.ServiceName) {
 	if h.relayID != "" && !h.isWanted(service) {
 		h.unsynced[service] = false
 	}
 }
 
-// release forgets the endpoints of a service that nobody wants any more, since the parent will send no more word of them.
+// dropIfUnwanted removes the endpoints of a service that is no longer wanted, since the parent will not send changes to them.
 func (h *hub) dropIfUnwanted(service core.ServiceName) {
 	if h.relayID == "" || h.isWanted(service) {
 		return
 	}
-	if !h.attached { // nobody could send the endpoints again
+	if !h.attached { // no parent could send the endpoints again
 		h.lingering[service] = time.Now().Add(lostChildSubscriptionTTL)
 		return
 	}
@@ -122,14 +123,14 @@
 	h.publishAndWake()
 }
 
-// dropUnwanted is for a new parent, which sends only what is wanted now.
+// dropUnwanted drops all services that are no longer wanted when a new parent is found, which sends changes to wanted ones only.
 func (h *hub) dropUnwanted() {
 	for _, service := range h.table.ServicesOf(parentOwner) {
 		h.dropIfUnwanted(service)
 	}
 }
 
-// retainSubscriptions keeps what a lost child wanted for a while.
+// retainSubscriptions keeps the subscriptions of a lost child for lostChildSubscriptionTTL.
 func (h *hub) retainSubscriptions(now time.Time, c *child) {
 	if h.relayID == "" {
 		return
@@ -140,7 +141,7 @@
 	h.subscriptions++
 }
 
-// subscriptionDue names what this node and its children want, or no longer want, and the parent has not been told.
+// subscriptionDue returns the services that this node and its children want, or no longer want, and that the parent was not sent.
 func (h *hub) subscriptionDue(u *uplink) (subscribe, bool) {
 	if u.subscribed && u.subscriptionsAt == h.subscriptions {
 		return subscribe{}, false
@@ -178,6 +179,7 @@
 	return message, needed
 }
 
+// wantedServices returns the services that this node or its children want; all means that one of them wants all services.
 func (h *hub) wantedServices() (wanted map[core.ServiceName]bool, all bool) {
 	wanted, all = maps.Clone(h.services), h.all
 	for service := range h.lingering {
@@ -192,7 +194,7 @@
 	return wanted, all
 }
 
-// subscribed is the parent's side.
+// handleSubscribe updates the subscriptions of a child; mu is held.
 func (h *hub) handleSubscribe(now time.Time, c *child, message subscribe) {
 	first := !c.subscribed
 	c.subscribed = true
@@ -220,7 +222,7 @@
 		c.digestDue = true
 		c.tombstonesSince = now.Add(-lease.TombstoneAge)
 		if message.DetachedMS >= 0 {
-			// The child saw what left before its link broke; the margin covers the time until it noticed.
+			// The child knows what left before its link broke; the margin covers the time until it noticed the break.
 			c.tombstonesSince = now.Add(-time.Duration(message.DetachedMS)*time.Millisecond - lostSubtreeGrace)
 		}
 		for _, service := range message.Fresh {
@@ -231,7 +233,7 @@
 	h.publishAndWake() // a relay may have to subscribe to more services itself
 }
 
-// markUnsyncedForChild notes what a relay has to subscribe to for a child.
+// markUnsyncedForChild marks the services to which a relay has to subscribe on behalf of a child.
 func (h *hub) markUnsyncedForChild(c *child, message subscribe) {
 	for u := range h.uplinks {
 		if u.kind == kindNode && message.All && !u.all {
@@ -246,8 +248,8 @@
 	}
 }
 
-// tombstonesFor lists the endpoints that left and that a child has not been told of; pending ones are told again until what the
-// child gets is final.
+// tombstonesFor returns the tombstones that a child was not sent. Those of pending services are sent again until the table is
+// complete for the child.
 func (h *hub) tombstonesFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []tombstone {
 	list := h.recentTombstones(now, wanted)
 	return slices.DeleteFunc(list, func(each tombstone) bool {
@@ -256,7 +258,7 @@
 	})
 }
 
-// recentTombstones lists the endpoints that left within lease.TombstoneAge.
+// recentTombstones returns the endpoints that left within lease.TombstoneAge.
 func (h *hub) recentTombstones(now time.Time, wanted func(core.ServiceName) bool) []tombstone {
 	var list []tombstone
 	for _, each := range h.table.Tombstones(now.Add(-lease.TombstoneAge), wanted) {
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// maxPendingSums bounds the sums that wait at a node for its parent; calls of further series are not counted.
+	// maxPendingSums bounds the sums that wait at a node for its parent; calls of any further series are dropped.
 	maxPendingSums = 4096
-	// maxSeriesPerLink bounds the series named on one link; then their numbers begin again.
+	// maxSeriesPerLink bounds the series that are named on one link; then all numbers are reassigned.
 	maxSeriesPerLink = 8192
 	// maxReportedMoves bounds the moves in one message.
 	maxReportedMoves = 4096
-	// maxChangedMoves bounds the numbers of reporting nodes in one message, so that it does not exceed the budget by much.
+	// maxChangedMoves bounds the moves in sums.Changed, so that a message exceeds the link's budget only slightly.
 	maxChangedMoves = 8
-	// sumsOverheadBytes is what a message of sums has besides its names and rows: frame, map and keys.
+	// sumsOverheadBytes is the approximate size of a message of sums without names and rows: frame, map and keys.
 	sumsOverheadBytes = 16
 )
 
-// series is what a sum is counted by.
+// series identifies what a sum counts.
 type series struct {
 	Move       core.MoveID      `msgpack:"m"`
 	DataCentre core.DataCentre  `msgpack:"d"`
@@ -34,7 +34,7 @@
 	Release    core.Release     `msgpack:"v"`
 }
 
-// label names what a sum counts.
+// label sets the fields of a count that identify its series.
 func (s series) label(count core.EvidenceCount) core.EvidenceCount {
 	count.Move, count.DataCentre, count.Service, count.Route, count.Release = s.Move, s.DataCentre, s.Service, s.Route, s.Release
 	return count
@@ -50,41 +50,42 @@
 	}
 }
 
-// sums carries what the sender and the nodes below it have counted since its last message on any link. Nothing in it is
-// ever sent twice: a parent can add it up without knowing who counted. Series, Counts and Reporting are for a parent whose
-// accept does not say that it reads rows; the keys of the others are short, as the message is sent every second.
+// sums carries the counts of the sender and the nodes below it since its last message on any link. Counts are never sent twice, so
+// that a parent can add them up without deduplication. Series, Counts and Reporting are for a parent that cannot read rows, see
+// accept. The keys of the other fields are short, since the message is sent every second.
 type sums struct {
-	Restart bool     `msgpack:"restart,omitempty"` // the numbers of the series begin again
-	Series  []series `msgpack:"series,omitempty"`  // numbered on the link in the order in which they are named
-	// Names and Same name series too: the bits of a byte of Same tell which names are those of the series before.
+	Restart bool     `msgpack:"restart,omitempty"` // the numbers of the series start again at zero
+	Series  []series `msgpack:"series,omitempty"`  // new series; they are numbered on the link in the order in which they are named
+	// Names and Same also name new series. Each byte of Same is one series: bit i means that its name i equals that of the
+	// series before; Names holds the others.
 	Names []string `msgpack:"n,omitempty"`
 	Same  []byte   `msgpack:"k,omitempty"`
-	// Counts is a row of numbers for each sum: series, calls, failures, crashes, number of latency buckets, buckets.
+	// Counts holds varints for each sum: number of the series, calls, failures, crashes, number of latency buckets, buckets.
 	Counts []byte `msgpack:"counts,omitempty"`
-	// Rows is a bit stream: the number of rows, and for each the distance of its series from the one after the row before,
-	// and its values.
+	// Rows is a bit stream: the number of rows, then for each row the difference of its series number from the successor of the
+	// previous row's, and its values.
 	Rows []byte `msgpack:"w,omitempty"`
-	// Reporting is the number of nodes below that report on a move, the sender included; it replaces the last one if Reports.
+	// Reporting is the number of nodes that report on each move, the sender included. It replaces the last one if Reports is set.
 	Reports   bool                `msgpack:"reports,omitempty"`
 	Reporting map[core.MoveID]int `msgpack:"reporting,omitempty"`
-	Changed   map[core.MoveID]int `msgpack:"c,omitempty"` // numbers of reporting nodes that replace the last ones
-	// InDoubt counts calls in messages whose arrival was not known when their link was lost.
+	Changed   map[core.MoveID]int `msgpack:"c,omitempty"` // numbers of reporting nodes that replace the last ones of their moves
+	// InDoubt is the number of calls in messages that may not have arrived because their link was lost.
 	InDoubt uint64 `msgpack:"in-doubt,omitempty"`
 }
 
-// pendingSum is what a node has counted or heard of since it last sent a sum of the series.
+// pendingSum is what a node has counted or received from its children since it last sent a sum of the series.
 type pendingSum struct {
 	count core.EvidenceCount
-	since time.Time
-	late  uint64 // on the way to this node
+	since time.Time // when the oldest of the counts was added
+	late  uint64    // lateness on the way to this node, in units of latenessUnit
 }
 
-// latenessAt returns how much longer than usual the oldest count has waited on its way, in units of latenessUnit.
+// latenessAt returns how much longer than usual the oldest count has been on its way, in units of latenessUnit.
 func (p pendingSum) latenessAt(now time.Time) uint64 {
 	return p.late + uint64(max(0, now.Sub(p.since)-evidenceInterval)/latenessUnit)
 }
 
-// pendingSums are what a node has not yet passed to a parent.
+// pendingSums holds the counts that a node has not sent to a parent yet.
 type pendingSums struct {
 	counts  map[series]pendingSum
 	inDoubt uint64
@@ -105,7 +106,7 @@
 	p.counts[key] = held
 }
 
-// addEvidence counts what this node or a child has reported.
+// addEvidence adds a count of this node or of a child; mu is held.
 func (h *hub) addEvidence(now time.Time, count core.EvidenceCount, late uint64) {
 	if h.relayID != "" {
 		h.pending.add(now, count, late)
@@ -116,8 +117,8 @@
 	h.evidence.add(count)
 }
 
-// reporting returns for each move how many nodes report on it: this node, those below it and, if asked for, those of the
-// other control instances.
+// reportingNodes returns the number of nodes that report on each move: this node, those below it and, with includePeers, those of
+// the other control instances.
 func (h *hub) reportingNodes(includePeers bool) map[core.MoveID]int {
 	sum := make(map[core.MoveID]int)
 	for _, move := range h.ownMoves {
@@ -134,8 +135,8 @@
 	return sum
 }
 
-// sumsDue hands the pending sums whose turn it is over to a link, and returns about how many bytes that costs. From then on
-// they count as delivered; addCallsInDoubt tells if they may not be.
+// sumsDue moves pending sums into a message for a link and returns its approximate size in bytes. From then on they count as
+// delivered; if the link is lost, addCallsInDoubt counts those that may not have been.
 func (h *hub) sumsDue(u *uplink, now time.Time, mode sumsMode) ([]outgoing, int) {
 	var message sums
 	compact := h.parentReadsRows && u.kind == kindNode
@@ -210,7 +211,7 @@
 	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
 }
 
-// evictOldest begins the numbers of the series again if there may not be enough of them.
+// ensureSeriesCapacity starts the numbers of the series again at zero if the needed ones would exceed maxSeriesPerLink.
 func (u *uplink) ensureSeriesCapacity(message *sums, needed int) {
 	if len(u.seriesNumbers)+needed > maxSeriesPerLink {
 		message.Restart, u.rows, u.lastNamed = true, nil, series{}
@@ -224,7 +225,7 @@
 	return number
 }
 
-// take removes a sum that is about to be sent.
+// removePending removes a pending sum that is about to be sent.
 func (h *hub) removePending(u *uplink, key series) pendingSum {
 	sum := h.pending.counts[key]
 	delete(h.pending.counts, key)
@@ -243,12 +244,12 @@
 	return to
 }
 
-// readCount returns the number of a sum's series, the sum and the bytes behind it.
+// readCount decodes one sum of sums.Counts; remaining holds the bytes after it.
 func readCount(from []byte) (number uint64, count core.EvidenceCount, remaining []byte, err error) {
 	next := func() uint64 {
 		n, size := binary.Uvarint(from)
 		if size <= 0 {
-			err = errors.Annotate(frame.ErrMalformed, "cut sum")
+			err = errors.Annotate(frame.ErrMalformed, "truncated sum")
 			return 0
 		}
 		from = from[size:]
@@ -258,7 +259,7 @@
 	count.Calls, count.Failures, count.Crashes = next(), next(), next()
 	buckets := next()
 	if buckets > core.LatencyBuckets {
-		return 0, count, nil, errors.Annotatef(frame.ErrMalformed, "%d latency buckets", buckets)
+		return 0, count, nil, errors.Annotatef(frame.ErrMalformed, "sum has %d latency buckets", buckets)
 	}
 	for i := range buckets {
 		count.Latency[i] = next()
@@ -266,13 +267,13 @@
 	return number, count, from, err
 }
 
-// handleSums adds a child's message.
+// handleSums adds the sums of a child; mu is held.
 func (h *hub) handleSums(now time.Time, c *child, message sums) error {
 	if message.Restart {
 		c.series, c.rows = nil, nil
 	}
 	if len(c.series)+len(message.Series)+len(message.Same) > maxSeriesPerLink || len(message.Reporting) > maxReportedMoves {
-		return errors.Annotate(frame.ErrMalformed, "too many series or moves")
+		return errors.Annotate(frame.ErrMalformed, "message of sums has too many series or moves")
 	}
 	c.series = append(slices.Clip(c.series), message.Series...)
 	if err := c.readNames(message); err != nil {
@@ -288,7 +289,7 @@
 			return err
 		}
 		if number >= uint64(len(c.series)) {
-			return errors.Annotatef(frame.ErrMalformed, "sum of series %d of %d", number, len(c.series))
+			return errors.Annotatef(frame.ErrMalformed, "sum refers to series %d of %d", number, len(c.series))
 		}
 		counts, remaining = append(counts, lateCount{count: c.series[number].label(count)}), unread
 	}
@@ -301,14 +302,14 @@
 	}
 	if len(message.Changed) > 0 {
 		if c.reporting = withChanges(c.reporting, message.Changed); len(c.reporting) > maxReportedMoves {
-			return errors.Annotate(frame.ErrMalformed, "too many moves")
+			return errors.Annotate(frame.ErrMalformed, "child reports on too many moves")
 		}
 	}
 	h.publishAndWake()
 	return nil
 }
 
-// pinged and answered bracket what the parent has certainly taken: it handles a ping after the sums sent before it.
+// pingSent and pongReceived track which sums the parent has received: it handles a ping after the sums that were sent before it.
 func (u *uplink) pingSent() {
 	u.callsBeforePings = append(u.callsBeforePings, u.callsSincePing)
 	u.callsSincePing = 0
@@ -322,7 +323,8 @@
 	}
 }
 
-// addCallsInDoubt counts the calls that the parent may not have taken; mu is held. They are not sent again, since it may have.
+// addCallsInDoubt counts the calls of a lost link that the parent may not have received; mu is held. They are not sent again, since
+// it may have received them.
 func (h *hub) addCallsInDoubt(u *uplink) {
 	for _, calls := range append(u.callsBeforePings, u.callsSincePing) {
 		h.pending.inDoubt += calls
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -128,11 +128,11 @@
 	before, countedBefore := r.calls, totalEvidence(sources[0]).Calls
 	c.Assert(float64(countedBefore) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", countedBefore, before))
 	time.Sleep(20 * time.Second) // all are attached again and have passed on what they held
-	missing := totalEvidence(sources[0]).Calls - r.calls
+	difference := totalEvidence(sources[0]).Calls - r.calls
 	reportAll(5)
 	time.Sleep(10 * time.Second)
 	for _, s := range sources {
-		c.Assert(totalEvidence(s).Calls-r.calls, qt.Equals, missing, qt.Commentf("of %d calls", r.calls)) // nothing is lost without a fault
+		c.Assert(totalEvidence(s).Calls-r.calls, qt.Equals, difference, qt.Commentf("of %d calls", r.calls)) // nothing is lost without a fault
 		c.Assert(s.Reporting("m1"), qt.Equals, len(nodes))
 	}
 }
--- a/io/distribution/sumschedule.go
+++ b/io/distribution/sumschedule.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// relaySumsBytesPerSecond is how many bytes a second a link to a relay has for evidence. A relay hears 16 such links and has one to its own
-	// parent, so evidence costs it 2,880 B/s at most; the rest of its 4 KB/s is for all other messages. Six open moves
-	// with two routes and two releases fit in every second.
+	// relaySumsBytesPerSecond is the budget for evidence, in bytes a second, of a link to a relay. A relay has up to 16 such links
+	// from its children and one to its own parent, so that evidence costs it at most 2,880 B/s of the 4 KB/s for control traffic. The
+	// sums of six open moves with two routes and two releases fit in every second.
 	relaySumsBytesPerSecond = 160
-	// directSumsBytesPerSecond is that of a link to a control instance, whose sums are larger and of which a relay has one.
+	// directSumsBytesPerSecond is the budget of a link to a control instance, whose sums are larger. A relay has at most one.
 	directSumsBytesPerSecond = 2 * relaySumsBytesPerSecond
-	// latenessUnit is the unit in which lateness is sent; the usual jitter of timers stays below it.
+	// latenessUnit is the unit of lateness on the wire; it is longer than the usual jitter of timers.
 	latenessUnit = 250 * time.Millisecond
-	// latenessWindow is how long a control instance holds a lateness against smaller ones of the same move: not all
-	// children are late at the same time.
+	// latenessWindow is how long a control instance keeps the lateness of a move when smaller values follow, since not all children
+	// are late at the same time.
 	latenessWindow = 5 * time.Second
-	// stepPriorityWindow is how long after a step its move goes first: a node reports the step's calls after a second, and they have
-	// to be at a control instance 3 s after the step.
+	// stepPriorityWindow is how long a move has priority after a step. A node reports the step's calls after a second, and they have
+	// to reach a control instance within 3 s of the step.
 	stepPriorityWindow = 4 * time.Second
-	// stepPriorityAdvance is how much older the sums of another move have to be to go before one that has just taken a step.
+	// stepPriorityAdvance is how much older the sums of another move have to be to be sent before those of a move with priority.
 	stepPriorityAdvance = 2 * time.Second
-	// priorityBudgetRatio is the part of the budget that moves that have just taken a step may use outside of the turns.
+	// priorityBudgetRatio is the part of the budget of one second that a priority message may use, see sumsMode.
 	priorityBudgetRatio = 0.75
 )
 
@@ -40,7 +40,7 @@
 	return relaySumsBytesPerSecond
 }
 
-// recordSteps remembers which moves have got another share; mu is held.
+// recordSteps records when an open move last got other weights, given the next configuration; mu is held.
 func (h *hub) recordSteps(now time.Time, next *record.Configuration) {
 	held := make(map[core.MoveID][]core.Weight)
 	if h.current != nil {
@@ -61,11 +61,12 @@
 	h.steps = steps
 }
 
+// recentlyStepped reports whether a move has priority because it took a step within stepPriorityWindow.
 func (h *hub) recentlyStepped(now time.Time, move core.MoveID) bool {
 	return now.Sub(h.steps[move]) < stepPriorityWindow
 }
 
-// prioritySumsPending reports whether sums of a move that has just taken a step wait on a link that sends others in turns.
+// prioritySumsPending reports whether sums of a move with priority wait for a backlogged link.
 func (h *hub) prioritySumsPending(u *uplink, now time.Time) bool {
 	if !u.backlogged {
 		return false
@@ -78,8 +79,8 @@
 	return false
 }
 
-// turns returns the pending series in the order in which they are sent: moves take turns by their oldest counts, and one that
-// has just taken a step goes before others.
+// pendingInSendOrder returns the pending series in the order in which they are sent: those of the move with the oldest count first,
+// where the counts of a move with priority are taken to be stepPriorityAdvance older.
 func (h *hub) pendingInSendOrder(now time.Time, priorityOnly bool) []series {
 	ranks := make(map[core.MoveID]time.Time)
 	keys := make([]series, 0, len(h.pending.counts))
@@ -107,7 +108,8 @@
 	return []string{string(s.Move), string(s.DataCentre), string(s.Service), string(s.Route), string(s.Release)}
 }
 
-// fillRows fills a message up to the link's budget for one interval; the last message of a link takes more.
+// fillRows moves pending sums into a message, up to the link's budget for one second, or up to half of core.MaxFrameBytes in the last
+// message of a link.
 func (h *hub) fillRows(u *uplink, message *sums, now time.Time, mode sumsMode) {
 	limit := h.sumsBytesPerSecond() - sumsOverheadBytes
 	switch mode {
@@ -145,16 +147,16 @@
 	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
 }
 
-// sumsMode is how a message of sums comes to be sent.
+// sumsMode tells why a message of sums is sent.
 type sumsMode int
 
 const (
-	sumsRegular sumsMode = iota
-	sumsPriority
-	sumsFinal
+	sumsRegular  sumsMode = iota // at the regular interval
+	sumsPriority                 // between two regular messages, only with sums of moves with priority
+	sumsFinal                    // the last message of a link
 )
 
-// charge spaces the messages so that they stay within the budget; what goes express delays the turns.
+// chargeBudget delays the next message so that the link stays within its budget. A priority message delays the regular ones.
 func (h *hub) chargeBudget(u *uplink, now time.Time, size int, mode sumsMode) {
 	cost := time.Duration(size) * time.Second / time.Duration(h.sumsBytesPerSecond())
 	if mode == sumsPriority {
@@ -168,10 +170,10 @@
 	}
 }
 
-// rowCountOrder is the order of the code of the number of rows, which fills whole bytes.
+// rowCountOrder is the order of the Golomb code of the number of rows, whose last byte is padded so that the rows begin at a byte.
 const rowCountOrder = 4
 
-// appendNames names a series by what differs from the one named before, and returns the bytes that it costs.
+// appendNames adds the names of a series that differ from those of the series named before, and returns their size in bytes.
 func (u *uplink) appendNames(message *sums, key series) int {
 	same, size := byte(0), 1
 	for i, name := range key.names() {
@@ -186,6 +188,7 @@
 	return size
 }
 
+// readNames adds the series that the message names in Names and Same.
 func (c *child) readNames(message sums) error {
 	names := message.Names
 	for _, same := range message.Same {
@@ -200,7 +203,7 @@
 				continue
 			}
 			if len(names) == 0 {
-				return errors.Annotate(frame.ErrMalformed, "series without a name")
+				return errors.Annotate(frame.ErrMalformed, "message of sums lacks a name of a series")
 			}
 			parts[i], names = names[0], names[1:]
 		}
@@ -215,11 +218,13 @@
 	return nil
 }
 
+// lateCount is a received count and its lateness in units of latenessUnit.
 type lateCount struct {
 	count core.EvidenceCount
 	late  uint64
 }
 
+// readRows decodes sums.Rows and updates the last row of each series.
 func (c *child) readRows(bytes []byte) ([]lateCount, error) {
 	if len(bytes) == 0 {
 		return nil, nil
@@ -234,7 +239,7 @@
 	for next := uint64(0); rows > 0 && reader.err == nil; rows-- {
 		number := next + unzigzag(reader.readNumber(0))
 		if number >= uint64(len(c.series)) {
-			return nil, errors.Annotatef(frame.ErrMalformed, "sum of series %d of %d", number, len(c.series))
+			return nil, errors.Annotatef(frame.ErrMalformed, "sum refers to series %d of %d", number, len(c.series))
 		}
 		c.rows[number] = reader.readRow(c.rows[number])
 		count, late := c.rows[number].count()
@@ -246,7 +251,7 @@
 	return counts, reader.err
 }
 
-// lateness is how much longer than usual the evidence of moves was on its way lately, in units of latenessUnit.
+// lateness holds by move how much longer than usual its evidence has recently been on its way, in units of latenessUnit.
 type lateness map[core.MoveID]latenessEntry
 
 type latenessEntry struct {
@@ -254,6 +259,7 @@
 	at   time.Time
 }
 
+// observe records a lateness, unless a greater one of the last latenessWindow is held.
 func (l lateness) observe(now time.Time, move core.MoveID, late uint64) {
 	held := l[move]
 	switch {
@@ -276,8 +282,8 @@
 	return all
 }
 
-// EvidenceLateness returns how much later than usual the oldest counts of a move arrived in the last seconds, because they waited
-// for their turn on a link, or for a link.
+// EvidenceLateness returns how much later than usual the oldest counts of a move arrived within the last 5 s, because they waited for
+// the budget of a link or for a parent.
 func (s *Source) EvidenceLateness(move core.MoveID) time.Duration {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -288,5 +294,5 @@
 	return time.Duration(min(late, maxLatenessUnits)) * latenessUnit
 }
 
-// maxLatenessUnits bounds what a child can claim: an hour.
+// maxLatenessUnits limits the lateness that a child can report to an hour.
 const maxLatenessUnits = uint64(time.Hour / latenessUnit)
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -42,7 +42,7 @@
 	subscriptionsAt     uint64 // hub.subscriptions when the last subscription was sent
 	all                 bool
 	services            map[core.ServiceName]bool
-	detachedMS          int64 // how long the node had no parent, negative if this is its first
+	detachedMS          int64 // how long the node had no parent, negative if it has had none before
 	configRequestDue    bool
 	endpointsRequestDue bool
 }
@@ -179,8 +179,8 @@
 }
 
 // acknowledgementDue reports whether to send an acknowledgement. If only this node's own version has changed, it is sent with the
-// next ping: sending it at once would start the interval, which the acknowledgements of the nodes below, which follow a moment
-// later, would have to wait for.
+// next ping: sent at once, it would start the interval and so delay the acknowledgement of the nodes below, which is due a
+// moment later.
 func (u *uplink) acknowledgementDue(report acknowledge, now time.Time) bool {
 	if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
 		return u.acknowledgePacer.ready(now)
--- a/io/distribution/upserts.go
+++ b/io/distribution/upserts.go
@@ -8,11 +8,11 @@
 	"parsleyport/core"
 )
 
-// endpointFields is how many fields an endpoint has on the wire.
+// endpointFields is the number of fields of an endpoint on the wire.
 const endpointFields = 9
 
-// upserts are endpoints without the names of their fields, which were two thirds of a message about one endpoint. A later
-// program may append fields; a program that knows only maps reads arrays of exactly endpointFields too.
+// upserts encodes each endpoint as an array, since the names of the fields would take two thirds of a message with one endpoint.
+// Newer versions may append fields. Versions that send maps can read arrays too, but only of exactly endpointFields elements.
 type upserts []core.Endpoint
 
 var (
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// DecodeMsgpack implements msgpack.CustomDecoder; it also reads the maps of earlier programs.
+// DecodeMsgpack implements msgpack.CustomDecoder; it also reads endpoints encoded as maps by earlier versions.
 func (u *upserts) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	count, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
 	*u = nil
-	for range count { // a nil has the length -1
+	for range count { // nil has length -1
 		endpoint, err := decodeEndpoint(decoder)
 		if err != nil {
 			return err
