--- a/io/distribution/bench_test.go
+++ b/io/distribution/bench_test.go
@@ -11,7 +11,7 @@
 	"parsleyport/core/record"
 )
 
-// fleet runs one source and a number of nodes in this process over loopback TCP.
+// fleet is a source and a number of nodes in this process, connected over loopback TCP.
 type fleet struct {
 	*cluster
 	source *Source
@@ -27,12 +27,12 @@
 	return f
 }
 
-// planned is a configuration of the planned size: 170 services.
+// plannedConfiguration returns a configuration of the planned size of 170 services.
 func plannedConfiguration(number core.Revision) *record.Configuration {
 	return configuration(number, testRecords(170, number))
 }
 
-// bytes counts each byte once, where it is sent.
+// bytes returns the bytes sent by all processes, so that each byte is counted once.
 func (f *fleet) bytes() (total uint64) {
 	total, _ = f.source.Bytes()
 	for _, n := range f.nodes {
@@ -42,7 +42,7 @@
 	return total
 }
 
-// BenchmarkChange measures from a change at the source to its being in force on all nodes.
+// BenchmarkChange measures the time from a change at the source until the change is in force on all nodes.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// BenchmarkControlTraffic measures the control bytes of a node without changes and with one endpoint change a second
-// and ten; run it with -benchtime=1x.
+// BenchmarkControlTraffic measures the control bytes per node without changes, with one endpoint change a second and with ten. Run
+// it with -benchtime=1x.
 func BenchmarkControlTraffic(b *testing.B) {
 	const seconds = 10
 	states := []core.EndpointState{core.EndpointLeaving, core.EndpointStarting, core.EndpointReady}
@@ -85,7 +85,7 @@
 					ticker := time.NewTicker(time.Second / time.Duration(max(rate, 1)))
 					for i := range seconds * max(rate, 1) {
 						<-ticker.C
-						if rate > 0 { // each node's backend server restarts in turn
+						if rate > 0 { // the backend servers restart one after another
 							f.nodes[i/len(states)%count].Announce(endpoint("service-0", states[i%len(states)]))
 						}
 					}
@@ -96,9 +96,9 @@
 	}
 }
 
-// BenchmarkEvidence measures the control bytes a second of a first-level relay, sent and received, while each node counts
-// calls of two routes and two releases of each service with an open move, and how old the counts are that arrive; run it with
-// -benchtime=1x. The first 5 s, in which the series are named, are measured apart.
+// BenchmarkEvidence measures the control bytes a second that a first-level relay sends and receives while each node counts calls of
+// two routes and two releases of each service with an open move, and the lateness of the counts that arrive. The first 5 s, in which
+// the series are named, are measured separately. Run it with -benchtime=1x.
 func BenchmarkEvidence(b *testing.B) {
 	const seconds = 30 // the interval of the node reports
 	for _, size := range [][2]int{{10, 1}, {30, 1}, {60, 1}, {150, 1}, {150, 3}, {150, 6}, {150, 12}, {150, 24}} {
@@ -130,7 +130,7 @@
 	}
 }
 
-// reportMoves counts 36 calls on average for each series, answered in up to 32 ms, and adds them up by move.
+// reportMoves reports 36 calls on average for each series, with latencies of up to 32 ms, and adds them to calls by move.
 func reportMoves(n *Subscriber, moves int, calls map[core.MoveID]uint64) {
 	var ids []core.MoveID
 	var counts []core.EvidenceCount
@@ -158,8 +158,8 @@
 	dataCentres     = 18
 )
 
-// newPlannedFleet has nodes in the planned data centres, whose backend servers belong to the planned services in turn. With
-// onRequest, each node uses servicesPerNode services; otherwise it gets all endpoints.
+// newPlannedFleet spreads the nodes over the planned data centres and their backend servers over the planned services. With onDemand,
+// each node uses servicesPerNode services; otherwise it receives all endpoints.
 func newPlannedFleet(b *testing.B, count int, onDemand bool) *fleet {
 	w := newCluster(b)
 	w.loopback()
@@ -175,22 +175,22 @@
 			n.Subscribe(services[(i*7+use*17)%len(services)])
 		}
 	}
-	known := func(n *Subscriber) bool { return n.Confirmed() && n.Status().Endpoints == count }
+	endpointsKnown := func(n *Subscriber) bool { return n.Confirmed() && n.Status().Endpoints == count }
 	if onDemand {
-		known = func(n *Subscriber) bool {
+		endpointsKnown = func(n *Subscriber) bool {
 			return n.Confirmed() && n.EndpointsKnown(services[0]) == n.hub.services[services[0]]
 		}
 	}
-	w.eventually(5*time.Minute, "endpoints known", func() bool { return f.source.Fleet().Nodes == count && every(f.nodes, known)() })
+	w.eventually(5*time.Minute, "endpoints known", func() bool { return f.source.Fleet().Nodes == count && every(f.nodes, endpointsKnown)() })
 	return f
 }
 
-// BenchmarkControlTrafficByUse measures the control bytes of a node and of the busiest relay at the planned size against
-// the endpoint changes a second in the whole fleet, with the endpoints of all services and with those of 10 of 170; run it
-// with -benchtime=1x.
+// BenchmarkControlTrafficByUse measures the control bytes of the average node and of the busiest relay at the planned size for several
+// rates of endpoint changes in the whole fleet, with the endpoints of all services and with those of 10 of 170. Run it with
+// -benchtime=1x.
 func BenchmarkControlTrafficByUse(b *testing.B) {
-	const seconds = 30 // the interval of the node reports
-	const apart = 5    // seconds between two changes of a node
+	const seconds = 30              // the interval of the node reports
+	const secondsBetweenChanges = 5 // seconds between two changes of a node
 	states := []core.EndpointState{core.EndpointLeaving, core.EndpointStarting, core.EndpointReady}
 	for _, count := range []int{450, 900, 2700} {
 		for _, onDemand := range []bool{false, true} {
@@ -209,12 +209,12 @@
 						for i := range seconds * max(rate, 1) {
 							<-ticker.C
 							if rate > 0 { // the backend servers of a group of nodes restart together
-								group := apart * rate
+								group := secondsBetweenChanges * rate
 								node := (i/group/len(states)*group + i%group) * 37 % count
 								f.nodes[node].Announce(endpoint(services[node%len(services)], states[i/group%len(states)]))
 							}
 						}
-						time.Sleep(time.Second) // until the last change is everywhere
+						time.Sleep(time.Second) // until the last change has reached all nodes
 						f.report(b, rate, seconds+1, before)
 					}
 				}
--- a/io/distribution/compressor_test.go
+++ b/io/distribution/compressor_test.go
@@ -11,22 +11,22 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against links between data centres that are not packed, against packed messages to a child that does not read them,
-// and against work for packing within a data centre.
+// Guards against links between data centres that are not compressed, against compressed messages to a child that cannot read them,
+// and against the cost of compression within a data centre.
 func TestLinksBetweenDataCentresAreCompressed(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		compressor, err := newCompressor()
 		c.Assert(err, qt.IsNil)
-		w.source("c1", w.catalog) // in no data centre
+		w.source("c1", w.catalog) // its data centre is empty
 		for name, test := range map[string]struct {
 			dataCentre core.DataCentre
 			supported  frame.CompressorID
 			compressed bool
 		}{
-			"another data centre":        {dataCentre: "dc-b", supported: compressor.ID(), compressed: true},
-			"the same data centre":       {dataCentre: "", supported: compressor.ID()},
-			"a child without packing":    {dataCentre: "dc-b"},
-			"a child of another version": {dataCentre: "dc-b", supported: compressor.ID() + 2},
+			"another data centre":         {dataCentre: "dc-b", supported: compressor.ID(), compressed: true},
+			"the same data centre":        {dataCentre: "", supported: compressor.ID()},
+			"a child without compression": {dataCentre: "dc-b"},
+			"a child of another version":  {dataCentre: "dc-b", supported: compressor.ID() + 2},
 		} {
 			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.supported}, compressor)
 			var accepted accept
@@ -40,7 +40,7 @@
 	})
 }
 
-// Guards against a child that goes on with plain messages although its parent has agreed to packed ones, and the reverse.
+// Guards against a child that sends uncompressed messages although its parent has agreed to compression, and the reverse.
 func TestChildCompressesWhatItsParentReads(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		compressor, err := newCompressor()
@@ -50,14 +50,14 @@
 			compressed bool
 		}{
 			"agreed":             {agreed: compressor.ID(), compressed: true},
-			"no packing":         {agreed: 0},
+			"no compression":     {agreed: 0},
 			"another dictionary": {agreed: compressor.ID() + 2},
 		} {
 			parent := w.rawParent("parent-" + name)
 			child := w.subscriber(core.NodeID("n-"+name), "parent-"+name)
 			child.Announce(endpoint("service-0", core.EndpointReady))
 			parent.attach(accept{Compressor: test.agreed})
-			// The test's end reads no packed messages.
+			// The test's end cannot read compressed messages.
 			for err = nil; err == nil; {
 				_, err = parent.conn.Receive(time.Now().Add(linkTimeout))
 			}
--- a/io/distribution/fuzz_test.go
+++ b/io/distribution/fuzz_test.go
@@ -15,7 +15,7 @@
 	"parsleyport/io/frame"
 )
 
-// framed returns a frame with a body that need not be what its type says.
+// newFrame returns a frame whose body need not match its type.
 func newFrame(kind frame.Type, body []byte) (frame.Frame, error) {
 	head := binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint32(nil, uint32(len(body)+2)), uint16(kind))
 	received, _, err := frame.Read(bytes.NewReader(append(head, body...)))
@@ -48,7 +48,7 @@
 	f.Add(uint16(typeSums), []byte("\x81\xa6counts\xc4\x02\xff\xff"))
 }
 
-// Guards against a message of a child, or of another control instance, that makes a process panic or hang.
+// Guards against a message of a child or of another control instance that makes a process panic or hang.
 func FuzzMessageFromChild(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
@@ -70,7 +70,7 @@
 	})
 }
 
-// Guards against a message of a parent that makes a node panic or hang, or puts a broken configuration in force.
+// Guards against a message of a parent that makes a node panic or hang, or that puts an invalid configuration into force.
 func FuzzMessageFromParent(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
--- a/io/distribution/localcontrol_test.go
+++ b/io/distribution/localcontrol_test.go
@@ -12,27 +12,27 @@
 	"parsleyport/core"
 )
 
-// Guards against nodes that stay with a control instance of another data centre although their own has one, and against nodes
-// that never learn of control instances which their settings do not name.
+// Guards against nodes that stay attached to a control instance of another data centre although their own has one, and against nodes
+// that never learn of control instances which their settings do not list.
 func TestNodesAttachInTheirDataCentre(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		first := w.source("c1", w.catalog)
-		node := w.subscriber("n1", "c1") // of dc-a
+		node := w.subscriber("n1", "c1") // its data centre is dc-a
 		w.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
 		w.source("c2", w.catalog, "c1")
 		first.SetPeers([]Peer{{ID: "c2", Address: "c2"}}, []ControlAddress{
 			{Address: "c1", DataCentre: "dc-b"},
 			{Address: "c2", DataCentre: "dc-a"},
 		})
-		w.eventually(5*time.Second, "attached at home", func() bool { return node.Status().Parent == "c2" })
+		w.eventually(5*time.Second, "attached in its data centre", func() bool { return node.Status().Parent == "c2" })
 		w.stop("c2")
-		w.eventually(5*time.Second, "attached elsewhere", func() bool { return node.Status().Parent == "c1" })
+		w.eventually(5*time.Second, "attached in another data centre", func() bool { return node.Status().Parent == "c1" })
 		w.source("c2", w.catalog, "c1")
-		w.eventually(localRetryInterval+5*time.Second, "attached at home again", func() bool { return node.Status().Parent == "c2" })
+		w.eventually(localRetryInterval+5*time.Second, "attached in its data centre again", func() bool { return node.Status().Parent == "c2" })
 	})
 }
 
-// Guards against nodes that keep to control instances which have been replaced.
+// Guards against nodes that keep trying control instances which the settings no longer list.
 func TestSettingsReplaceControlAddresses(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
@@ -53,13 +53,13 @@
 	c.Assert(localFirst([]ControlAddress{first, second}, "dc-c"), qt.DeepEquals, []ControlAddress{first, second})
 }
 
-// Guards against a node without a parent for more than 3 s when two of five control instances freeze at once, of which one is
-// at its home: both still accept connections, and the others send it home.
+// Guards against a node that is without a parent for more than 3 s when two of five control instances freeze at once, one of them in
+// the node's data centre. Both still accept connections, and the others redirect the node to its own data centre.
 func TestTwoFrozenControlInstances(t *testing.T) {
 	controls := []core.ControlID{"c1", "c2", "c3", "c4", "c5"} // the first two are in the node's data centre
 	for frozen := 1; frozen < len(controls); frozen++ {
 		runTest(t, func(c *qt.C, w *cluster) {
-			known := lo.Map(controls, func(id core.ControlID, i int) ControlAddress {
+			addresses := lo.Map(controls, func(id core.ControlID, i int) ControlAddress {
 				return ControlAddress{
 					Address:    string(id),
 					DataCentre: lo.Ternary[core.DataCentre](i < 2, "dc-a", "dc-b"),
@@ -69,10 +69,10 @@
 				peers := slices.Concat(controls[:i], controls[i+1:])
 				w.source(id, w.catalog, peers...).SetPeers(lo.Map(peers, func(peer core.ControlID, _ int) Peer {
 					return Peer{ID: peer, Address: string(peer)}
-				}), known)
+				}), addresses)
 			}
 			node := w.startNodes(1, withControlAddresses("c1", "c2", "c3", "c4", "c5"))[0]
-			w.eventually(20*time.Second, "attached at home", func() bool { return slices.Contains([]string{"c1", "c2"}, node.Status().Parent) })
+			w.eventually(20*time.Second, "attached in its data centre", func() bool { return slices.Contains([]string{"c1", "c2"}, node.Status().Parent) })
 			first := slices.Index(controls, core.ControlID(node.Status().Parent))
 			time.Sleep(10 * time.Second)
 			w.net.freeze(string(controls[first]))
@@ -83,18 +83,18 @@
 	}
 }
 
-// Guards against another time-out at a control instance whose link has just gone silent, since one that stands still accepts
-// connections, and against one that is never tried again although no other is left.
+// Guards against a second timeout at a control instance whose link has just timed out, since a process that hangs still accepts
+// connections, and against a control instance that is never tried again although no other is left.
 func TestSilentControlInstanceIsExcludedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for _, test := range []struct {
-			targets []string
-			want    []string
-			later   []string
+			targets            []string
+			want               []string
+			wantAfterExclusion []string
 		}{
-			{targets: []string{"c1", "c2", "c3"}, want: []string{"c2", "c3", "c2"}, later: []string{"c3", "c1", "c2"}},
-			{targets: []string{"c1", "c2"}, want: []string{"c2", "c2"}, later: []string{"c1", "c2"}},
+			{targets: []string{"c1", "c2", "c3"}, want: []string{"c2", "c3", "c2"}, wantAfterExclusion: []string{"c3", "c1", "c2"}},
+			{targets: []string{"c1", "c2"}, want: []string{"c2", "c2"}, wantAfterExclusion: []string{"c1", "c2"}},
 			{targets: []string{"c1"}, want: []string{"c1", "c1"}},
 		} {
 			a := newAttachment(test.targets, attachment{random: func() float64 { return 0 }})
@@ -107,7 +107,7 @@
 				c.Assert(chosen(), qt.Equals, want)
 			}
 			time.Sleep(silentExclusion)
-			for _, want := range test.later {
+			for _, want := range test.wantAfterExclusion {
 				c.Assert(chosen(), qt.Equals, want)
 			}
 		}
--- a/io/distribution/nodes_test.go
+++ b/io/distribution/nodes_test.go
@@ -10,8 +10,8 @@
 	"parsleyport/core"
 )
 
-// Guards against a list of nodes that misses those deep in the tree or attached to another control instance, and against one
-// that shows a node which went away as if it were there, or hides it at once.
+// Guards against a list of nodes that lacks those deep in the tree or attached to another control instance, and against a list that
+// shows a node which has stopped as if it were running, or removes it at once.
 func TestNodesAreListed(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog, "c2")
--- a/io/distribution/source_test.go
+++ b/io/distribution/source_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a control instance that is back without nodes and still counts with the nodes and the revision that it
-// reported before its restart, so that no configuration would be shown as in force everywhere again.
+// Guards against a control instance that has restarted without nodes and still counts with the nodes and the revision that it reported
+// before: no further configuration would be reported as in force on all nodes.
 func TestRestartedControlInstanceReplacesItsReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t)
@@ -20,6 +20,6 @@
 		w.stop("n1")
 		w.stop("c2")
 		w.source("c2", w.catalog, "c1")
-		w.eventually(5*time.Second, "no node is counted any more", func() bool { return first.Fleet().Nodes == 0 })
+		w.eventually(5*time.Second, "the node is no longer counted", func() bool { return first.Fleet().Nodes == 0 })
 	})
 }
--- a/io/distribution/subscriber_test.go
+++ b/io/distribution/subscriber_test.go
@@ -8,7 +8,7 @@
 	"parsleyport/core"
 )
 
-// Guards against a fresh node that takes callers before it knows the endpoints and refuses what others could serve.
+// Guards against a fresh node that accepts callers before it knows the endpoints, and so refuses calls that others could serve.
 func TestEndpointsSignalWaitsForTheEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t)
@@ -28,6 +28,6 @@
 		empty := newCluster(t)
 		defer empty.close()
 		empty.source("c1", empty.catalog)
-		<-empty.subscriber("n1", "c1").EndpointsSignal() // a fleet without endpoints must not keep a node waiting
+		<-empty.subscriber("n1", "c1").EndpointsSignal() // is closed even if there are no endpoints
 	})
 }
--- a/io/distribution/subscriptions_test.go
+++ b/io/distribution/subscriptions_test.go
@@ -9,7 +9,7 @@
 	"parsleyport/core"
 )
 
-// relayed is a leaf below a relay that uses no service, and a node that serves service-0.
+// startRelayAndLeaf starts a server of service-0, a relay that uses no service, and a leaf below the relay.
 func startRelayAndLeaf(w *cluster) (server, relay, leaf *Subscriber) {
 	onDemand := func(parent string) func(*SubscriberOptions) {
 		return func(o *SubscriberOptions) { o.OnDemandEndpoints, o.ControlAddresses = true, []string{parent} }
@@ -22,8 +22,8 @@
 	return server, relay, leaf
 }
 
-// Guards against a subscription that is kept for good or ends while it is in use; against endpoints that stay listed after
-// it ended; against live endpoints that count as left then; and against a second use that finds what was known long ago.
+// Guards against a subscription that never ends or ends while it is in use; against endpoints that stay listed after it ended; against
+// live endpoints that are then taken to have left; and against a renewed subscription that returns outdated endpoints.
 func TestSubscriptionEndsAfterItsLastUse(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
@@ -53,8 +53,8 @@
 	})
 }
 
-// Guards against a node that takes the wrong nodes for the holders of an idempotency key, because it first uses a service
-// after a holder has left, below a relay that never used the service, and after the control instance has restarted.
+// Guards against a node that selects the wrong holders of an idempotency key, because it first uses a service after a holder has left,
+// below a relay that never used the service, or after the control instance has restarted.
 func TestLateSubscriptionReceivesTombstones(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
@@ -77,7 +77,7 @@
 	})
 }
 
-// Guards against a child that asks a relay without a parent for a service, and takes the relay's silence for a service
+// Guards against a child that subscribes to a service below a relay without a parent, and takes the missing answer for a service
 // without endpoints.
 func TestSubscriptionBelowADetachedRelay(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
@@ -93,7 +93,7 @@
 	})
 }
 
-// detach cuts a relay off from the control instance.
+// detach disconnects a relay from the control instance and blocks new connections.
 func (w *cluster) detach(relay *Subscriber) {
 	w.net.block("c1", true)
 	for _, conn := range w.net.connsOf(relay.options.RelayAddress) {
@@ -104,7 +104,7 @@
 	w.eventually(time.Second, "detached", func() bool { return relay.Status().Parent == "" })
 }
 
-// Guards against endpoints that are given up while the control instances are away, so that nobody can send them again.
+// Guards against endpoints that are dropped while all control instances are unreachable, so that no process could send them again.
 func TestEndpointsAreKeptWithoutAParent(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -18,7 +18,7 @@
 
 var faultSeeds = flag.Uint64("fault-seeds", 6, "number of seeds of TestEvidenceSumsUnderFaults")
 
-// reporter counts what its nodes report; each report has two calls, one of which failed.
+// reporter adds up what nodes report; each report has two calls, one of which failed.
 type reporter struct {
 	calls uint64
 }
@@ -30,14 +30,14 @@
 	n.ReportEvidence([]core.MoveID{"m1"}, []core.EvidenceCount{count})
 }
 
-// newTestHub is a node's, without links.
+// newTestHub returns the hub of a node without links.
 func newTestHub(relay core.NodeID) *hub {
 	h := newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{})
 	h.relayID, h.current = relay, record.Empty()
 	return h
 }
 
-// counted adds up what a control instance knows.
+// totalEvidence returns the sum of all evidence of a control instance.
 func totalEvidence(s *Source) (sum core.EvidenceCount) {
 	for _, count := range s.Evidence() {
 		sum = sumOf(sum, count)
@@ -45,8 +45,8 @@
 	return sum
 }
 
-// Guards against counts that are lost or counted twice on the way through relays and between control instances, and
-// against nodes that are hidden in a sum.
+// Guards against counts that are lost or counted twice on the way through relays and between control instances, and against nodes
+// that are missing from the number of reporting nodes.
 func TestEvidenceIsSummedByRelays(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
@@ -73,13 +73,13 @@
 			n.ReportEvidence(nil, nil)
 		}
 		for _, s := range sources {
-			w.eventually(8*time.Second, "nobody reports any more", func() bool { return s.Reporting("m1") == 0 })
+			w.eventually(8*time.Second, "no node reports", func() bool { return s.Reporting("m1") == 0 })
 		}
 	})
 }
 
-// Guards against sums that count a report twice, or lose failures without the calls that they belong to, when nodes and
-// relays restart, links break or go silent and nodes change their parent.
+// Guards against sums that count a report twice, or that lose calls but not their failures, when nodes and relays restart, links break
+// or stop delivering, and nodes change their parent.
 func TestEvidenceSumsUnderFaults(t *testing.T) {
 	for seed := range *faultSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 	before, countedBefore := r.calls, totalEvidence(sources[0]).Calls
 	c.Assert(float64(countedBefore) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", countedBefore, before))
-	time.Sleep(20 * time.Second) // all are attached again and have passed on what they held
+	time.Sleep(20 * time.Second) // until all nodes are attached again and have sent their pending sums
 	difference := totalEvidence(sources[0]).Calls - r.calls
 	reportAll(5)
 	time.Sleep(10 * time.Second)
@@ -137,7 +137,7 @@
 	}
 }
 
-// Guards against calls that vanish with a silent link without being named.
+// Guards against calls that are lost with a link that stopped delivering and are not counted as in doubt.
 func TestCallsInDoubtAreCounted(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
@@ -157,13 +157,13 @@
 		inDoubt := source.hub.pending.inDoubt
 		source.hub.mu.Unlock()
 		sum := totalEvidence(source)
-		c.Assert(sum.Calls < r.calls, qt.IsTrue) // the silent link lost some
+		c.Assert(sum.Calls < r.calls, qt.IsTrue) // some were lost with the link
 		c.Assert(sum.Calls+inDoubt >= r.calls, qt.IsTrue, qt.Commentf("%d counted, %d in doubt, %d reported", sum.Calls, inDoubt, r.calls))
-		c.Assert(inDoubt <= 10, qt.IsTrue) // what was answered before is not in doubt
+		c.Assert(inDoubt <= 10, qt.IsTrue) // calls before the last answered ping are not in doubt
 	})
 }
 
-// Guards against sums that do not survive their form on the wire, that of earlier programs included.
+// Guards against sums that change when they are encoded and decoded, in rows or in the format of earlier versions.
 func TestSumsRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -202,8 +202,8 @@
 	})
 }
 
-// Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost or late without notice
-// meanwhile, and against evidence of a step that arrives after more than 3 s.
+// Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost, or late without a reported lateness,
+// and against evidence of a step that arrives after more than 3 s.
 func TestEvidenceOfManyMovesSharesTheBudget(t *testing.T) {
 	for _, moves := range []int{6, 24} {
 		runTest(t, func(c *qt.C, w *cluster) {
@@ -243,7 +243,7 @@
 				report(1) // the first calls of the step
 				since := calls["move-5"]
 				report(1)
-				time.Sleep(100 * time.Millisecond) // on the way and in timers
+				time.Sleep(100 * time.Millisecond) // network delay and jitter of timers
 				c.Assert(arrived("move-5") >= since, qt.IsTrue, qt.Commentf("%d moves, step %d: %d of %d calls arrived in 3 s", moves, number, arrived("move-5"), since))
 				report(3)
 			}
--- a/io/distribution/upserts_test.go
+++ b/io/distribution/upserts_test.go
@@ -9,8 +9,8 @@
 	"parsleyport/core"
 )
 
-// Guards against an upgrade in which programs of two versions do not understand each other's endpoints, and against
-// endpoints that are cut or changed on the wire.
+// Guards against two versions of the program that cannot read each other's endpoints during an upgrade, and against endpoints that
+// are truncated or changed on the wire.
 func TestEndpointsAreReadAcrossVersions(t *testing.T) {
 	c := qt.New(t)
 	sent := core.Endpoint{
@@ -25,14 +25,14 @@
 		c.Assert(err, qt.IsNil)
 		return encoded
 	}
-	now := encode(endpoints{Upserts: upserts{sent, sent}})
-	for _, encoded := range [][]byte{now, encode(asMaps{Upserts: []core.Endpoint{sent, sent}})} {
+	current := encode(endpoints{Upserts: upserts{sent, sent}})
+	for _, encoded := range [][]byte{current, encode(asMaps{Upserts: []core.Endpoint{sent, sent}})} {
 		var received endpoints
 		c.Assert(msgpack.Unmarshal(encoded, &received), qt.IsNil)
 		c.Assert([]core.Endpoint(received.Upserts), qt.DeepEquals, []core.Endpoint{sent, sent})
 	}
 	var earlier asMaps
-	c.Assert(msgpack.Unmarshal(now, &earlier), qt.IsNil)
+	c.Assert(msgpack.Unmarshal(current, &earlier), qt.IsNil)
 	c.Assert(earlier.Upserts, qt.DeepEquals, []core.Endpoint{sent, sent})
 
 	appended := []any{"n1", 1 << 60, 300, "dc-a", "127.0.0.1:1", "service-0", "v1", 9, "ready", "a later field"}
