--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -36,7 +36,7 @@
 	crashesAt        uint64 // position in the crash store up to which reports were sent
 	series           []series
 	rows             []row                  // last row of each series
-	late             map[core.MoveID]uint64 // reported by another control instance
+	latenessByMove   map[core.MoveID]uint64 // reported by another control instance
 	reporting        map[core.MoveID]int
 	pathVersion      uint64 // hub.pathVersion when the path was last sent
 	subscribed       bool
@@ -222,7 +222,7 @@
 		return h.decodeAndHandle(received, &message, func() {
 			if c.hello.Kind == kindControl {
 				h.evidence.merge(message.Counts, true)
-				c.late = message.Late
+				c.latenessByMove = message.Late
 			}
 		})
 	case typeSums:
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -38,7 +38,7 @@
 	evidenceRun core.Incarnation // only of a control instance: tells its sums from those of earlier runs
 	evidence    *evidenceStore   // only of a control instance
 	pending     pendingSums
-	late        lateness // only of a control instance
+	lateness    lateness // only of a control instance
 	steps       map[core.MoveID]time.Time
 	ownMoves    []core.MoveID // moves on which this node reports
 	nodes       *nodeStore
@@ -94,7 +94,7 @@
 		pending: pendingSums{
 			counts: make(map[series]pendingSum),
 		},
-		late:        make(lateness),
+		lateness:    make(lateness),
 		nodes:       newNodeStore(),
 		crashes:     newCrashStore(),
 		confirmer:   newConfirmer(),
--- a/io/distribution/rows.go
+++ b/io/distribution/rows.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// bitReader reads bits; err is set at the first read beyond the end and by malformed codes.
+// bitReader reads bits; err is frame.ErrMalformed after a read beyond the end or of a code that is too long.
 type bitReader struct {
 	bytes       []byte
 	bitPosition int // position of the next bit
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -75,14 +75,14 @@
 
 // pendingSum is what a node has counted or received from its children since it last sent a sum of the series.
 type pendingSum struct {
-	count core.EvidenceCount
-	since time.Time // when the oldest of the counts was added
-	late  uint64    // lateness on the way to this node, in units of latenessUnit
+	count     core.EvidenceCount
+	since     time.Time // when the oldest of the counts was added
+	lateUnits uint64    // lateness on the way to this node, in units of latenessUnit
 }
 
 // latenessAt returns how much longer than usual the oldest count has been on its way, in units of latenessUnit.
 func (p pendingSum) latenessAt(now time.Time) uint64 {
-	return p.late + uint64(max(0, now.Sub(p.since)-evidenceInterval)/latenessUnit)
+	return p.lateUnits + uint64(max(0, now.Sub(p.since)-evidenceInterval)/latenessUnit)
 }
 
 // pendingSums holds the counts that a node has not sent to a parent yet.
@@ -102,7 +102,7 @@
 	if !exists {
 		held.since = now
 	}
-	held.count, held.late = sumOf(count, held.count), max(late, held.late)
+	held.count, held.lateUnits = sumOf(count, held.count), max(late, held.lateUnits)
 	p.counts[key] = held
 }
 
@@ -112,7 +112,7 @@
 		h.pending.add(now, count, late)
 		return
 	}
-	h.late.observe(now, count.Move, late)
+	h.lateness.observe(now, count.Move, late)
 	count.Node, count.Incarnation = core.NodeID(h.control)+"/"+core.NodeID(count.DataCentre), h.evidenceRun
 	h.evidence.add(count)
 }
@@ -163,6 +163,7 @@
 	}}, size + sumsOverheadBytes
 }
 
+// fillReporting adds the numbers of reporting nodes that the other end was not sent; compact sends only those that changed.
 func (h *hub) fillReporting(u *uplink, message *sums, compact bool) {
 	reporting := h.reportingNodes(false)
 	if maps.Equal(reporting, u.reporting) {
@@ -191,6 +192,7 @@
 	return next
 }
 
+// fillCounts moves pending sums into Series and Counts, for a parent that cannot read rows.
 func (h *hub) fillCounts(u *uplink, message *sums) {
 	keys := make([]series, 0, maxCountsPerFrame)
 	for key := range h.pending.counts {
@@ -294,7 +296,7 @@
 		counts, remaining = append(counts, lateCount{count: c.series[number].label(count)}), unread
 	}
 	for _, each := range counts {
-		h.addEvidence(now, each.count, each.late)
+		h.addEvidence(now, each.count, each.lateUnits)
 	}
 	h.pending.inDoubt += message.InDoubt
 	if message.Reports {
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -202,8 +202,8 @@
 	})
 }
 
-// Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost, or late without a reported lateness,
-// and against evidence of a step that arrives after more than 3 s.
+// Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost, or late without a reported
+// lateness, and against evidence of a step that arrives after more than 3 s.
 func TestEvidenceOfManyMovesSharesTheBudget(t *testing.T) {
 	for _, moves := range []int{6, 24} {
 		runTest(t, func(c *qt.C, w *cluster) {
--- a/io/distribution/sumschedule.go
+++ b/io/distribution/sumschedule.go
@@ -14,8 +14,8 @@
 
 const (
 	// relaySumsBytesPerSecond is the budget for evidence, in bytes a second, of a link to a relay. A relay has up to 16 such links
-	// from its children and one to its own parent, so that evidence costs it at most 2,880 B/s of the 4 KB/s for control traffic. The
-	// sums of six open moves with two routes and two releases fit in every second.
+	// from its children and one to its own parent, which may be a control instance, so that evidence costs it at most 2,880 B/s of
+	// the 4 KB/s for control traffic. The sums of six open moves with two routes and two releases fit in every second.
 	relaySumsBytesPerSecond = 160
 	// directSumsBytesPerSecond is the budget of a link to a control instance, whose sums are larger. A relay has at most one.
 	directSumsBytesPerSecond = 2 * relaySumsBytesPerSecond
@@ -40,7 +40,8 @@
 	return relaySumsBytesPerSecond
 }
 
-// recordSteps records when an open move last got other weights, given the next configuration; mu is held.
+// recordSteps compares the overrides of the current and the next configuration, and records when each open move took its last step;
+// mu is held.
 func (h *hub) recordSteps(now time.Time, next *record.Configuration) {
 	held := make(map[core.MoveID][]core.Weight)
 	if h.current != nil {
@@ -220,8 +221,8 @@
 
 // lateCount is a received count and its lateness in units of latenessUnit.
 type lateCount struct {
-	count core.EvidenceCount
-	late  uint64
+	count     core.EvidenceCount
+	lateUnits uint64
 }
 
 // readRows decodes sums.Rows and updates the last row of each series.
@@ -244,8 +245,8 @@
 		c.rows[number] = reader.readRow(c.rows[number])
 		count, late := c.rows[number].count()
 		counts, next = append(counts, lateCount{
-			count: c.series[number].label(count),
-			late:  late,
+			count:     c.series[number].label(count),
+			lateUnits: late,
 		}), number+1
 	}
 	return counts, reader.err
@@ -255,21 +256,21 @@
 type lateness map[core.MoveID]latenessEntry
 
 type latenessEntry struct {
-	late uint64
-	at   time.Time
+	lateUnits uint64
+	at        time.Time
 }
 
 // observe records a lateness, unless a greater one of the last latenessWindow is held.
 func (l lateness) observe(now time.Time, move core.MoveID, late uint64) {
 	held := l[move]
 	switch {
-	case late < held.late && now.Sub(held.at) < latenessWindow:
+	case late < held.lateUnits && now.Sub(held.at) < latenessWindow:
 	case late == 0:
 		delete(l, move)
 	case len(l) < maxReportedMoves:
 		l[move] = latenessEntry{
-			late: late,
-			at:   now,
+			lateUnits: late,
+			at:        now,
 		}
 	}
 }
@@ -277,7 +278,7 @@
 func (l lateness) all() map[core.MoveID]uint64 {
 	all := make(map[core.MoveID]uint64, len(l))
 	for move, held := range l {
-		all[move] = held.late
+		all[move] = held.lateUnits
 	}
 	return all
 }
@@ -287,9 +288,9 @@
 func (s *Source) EvidenceLateness(move core.MoveID) time.Duration {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	late := s.hub.late[move].late
+	late := s.hub.lateness[move].lateUnits
 	for _, c := range s.hub.children {
-		late = max(late, c.late[move])
+		late = max(late, c.latenessByMove[move])
 	}
 	return time.Duration(min(late, maxLatenessUnits)) * latenessUnit
 }
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -251,7 +251,7 @@
 			kind: typeEvidence,
 			message: evidence{
 				Counts: counts,
-				Late:   h.late.all(),
+				Late:   h.lateness.all(),
 			},
 		})
 	}
