--- a/io/distribution/nodes_test.go
+++ b/io/distribution/nodes_test.go
@@ -10,8 +10,8 @@
 	"parsleyport/core"
 )
 
-// Guards against a list of nodes that misses those deep in the tree or attached to another control instance, and against one
-// that shows a node which went away as if it were there, or hides it at once.
+// Guards against a list of nodes that lacks those deep in the tree or attached to another control instance, and against a list that
+// shows a node which has stopped as if it were running, or removes it at once.
 func TestNodesAreListed(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog, "c2")
@@ -39,10 +39,10 @@
 		c.Assert(oldest.AgeMS < (2*nodeReportInterval).Milliseconds(), qt.IsTrue, qt.Commentf("%+v", oldest))
 
 		w.stop("n003")
-		time.Sleep(nodeReportKept / 2)
+		time.Sleep(nodeReportRetention / 2)
 		gone := source.Nodes()[3]
-		c.Assert(gone.Node == "n003" && gone.AgeMS > (nodeReportKept/2-nodeReportInterval).Milliseconds(), qt.IsTrue, qt.Commentf("%+v", gone))
-		time.Sleep(nodeReportKept / 2)
+		c.Assert(gone.Node == "n003" && gone.AgeMS > (nodeReportRetention/2-nodeReportInterval).Milliseconds(), qt.IsTrue, qt.Commentf("%+v", gone))
+		time.Sleep(nodeReportRetention / 2)
 		c.Assert(source.Nodes(), qt.HasLen, 39)
 	})
 }
--- a/io/distribution/source.go
+++ b/io/distribution/source.go
@@ -13,10 +13,10 @@
 	"parsleyport/io/frame"
 )
 
-// confirmRetry is the wait before a confirmed read that failed is tried again.
-const confirmRetry = 100 * time.Millisecond
+// confirmRetryInterval is the wait before a failed confirmed read is retried.
+const confirmRetryInterval = 100 * time.Millisecond
 
-// Fleet describes all attached nodes, those of the other control instances included.
+// Fleet summarises all attached nodes, including those of the other control instances.
 type Fleet struct {
 	Lowest core.Revision      `json:"lowest-revision-in-force"`
 	Nodes  int                `json:"nodes"`
@@ -27,26 +27,26 @@
 
 // Source is the root of a tree on a control instance.
 type Source struct {
-	options  SourceOptions
-	hub      *hub
-	confirms *ring.Ring[struct{}]
-	context  context.Context
-	links    map[core.ControlID]peerLink // guarded by hub.mu
+	options     SourceOptions
+	hub         *hub
+	confirmWake *ring.Ring[struct{}]
+	context     context.Context
+	peerLinks   map[core.ControlID]peerLink // guarded by hub.mu
 }
 
-// peerLink is the link to another control instance.
+// peerLink is the outgoing link to another control instance.
 type peerLink struct {
 	address string
 	stop    context.CancelFunc
 }
 
-// NewSource starts the listener for nodes and the links to the other control instances; it returns an error for wrong
-// options or an address in use. The clean-up function waits for all goroutines.
+// NewSource starts the listener for nodes and the links to the other control instances. It returns an error for invalid options
+// or an address in use. The clean-up function waits for all goroutines.
 func NewSource(options SourceOptions) (*Source, func(), error) {
 	if err := options.validate(); err != nil {
 		return nil, nil, err
 	}
-	packing, err := newPacking()
+	compressor, err := newCompressor()
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
@@ -55,27 +55,27 @@
 		return nil, nil, errors.Annotatef(err, "node address %q", options.ListenAddress)
 	}
 	s := &Source{
-		options:  options,
-		hub:      newHub(options.Logger, newMeters(options.Metrics), options.Network),
-		confirms: ring.New[struct{}](1),
-		links:    make(map[core.ControlID]peerLink),
+		options:     options,
+		hub:         newHub(options.Logger, newMeters(options.Metrics), options.Network),
+		confirmWake: ring.New[struct{}](1),
+		peerLinks:   make(map[core.ControlID]peerLink),
 	}
-	s.hub.compressor, s.hub.dataCentre = packing, options.DataCentre
+	s.hub.compressor, s.hub.dataCentre = compressor, options.DataCentre
 	s.hub.maxDirectNodes = options.DirectNodes
 	s.hub.control = options.ID
 	s.hub.evidenceRun = core.Incarnation(time.Now().UnixNano())
 	s.hub.attached = true
 	s.hub.pathVersion = 1
-	s.hub.confirmWake = s.confirms
+	s.hub.confirmWake = s.confirmWake
 	s.hub.setCurrent(options.Catalog.Current())
-	s.hub.watch(options.Metrics)
+	s.hub.registerGauges(options.Metrics)
 	ctx, cancel := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() { _ = listener.Close() })
 	s.context = ctx
 	s.SetPeers(options.Peers, nil)
 	began := time.Now()
 	s.hub.start(func() { s.hub.serve(ctx, listener) })
-	s.hub.start(func() { s.follow(ctx) })
+	s.hub.start(func() { s.followCatalog(ctx) })
 	s.hub.start(func() { s.confirmReads(ctx) })
 	s.hub.start(func() { s.watchLeader(ctx) })
 	s.hub.start(func() { s.hub.tick(ctx, func(now time.Time) { s.tick(now, began) }) })
@@ -85,8 +85,8 @@
 	}, nil
 }
 
-// SetPeers links to these other control instances in place of the earlier ones, and tells the nodes where they can attach:
-// to the addresses, the own one included, or to those of their settings if there are none.
+// SetPeers replaces the links to the other control instances and sends the nodes the addresses at which they can attach, this
+// instance's own included. Without addresses, the nodes use those of their settings.
 func (s *Source) SetPeers(peers []Peer, addresses []ControlAddress) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -97,19 +97,19 @@
 	for _, peer := range peers {
 		wanted[peer.ID] = peer.Address
 	}
-	for id, link := range s.links {
+	for id, link := range s.peerLinks {
 		if wanted[id] != link.address {
 			link.stop()
-			delete(s.links, id)
+			delete(s.peerLinks, id)
 			delete(s.hub.peers, id)
 		}
 	}
 	for _, peer := range peers {
-		if _, linked := s.links[peer.ID]; linked {
+		if _, linked := s.peerLinks[peer.ID]; linked {
 			continue
 		}
 		ctx, stop := context.WithCancel(s.context)
-		s.links[peer.ID] = peerLink{
+		s.peerLinks[peer.ID] = peerLink{
 			address: peer.Address,
 			stop:    stop,
 		}
@@ -136,14 +136,15 @@
 	}
 }
 
-// watchLeader tells the children when this control instance has known no leader for a while, and when it does again.
+// watchLeader marks this control instance as stale after leaderlessTimeout without a known leader, and tells the children about
+// each change.
 func (s *Source) watchLeader(ctx context.Context) {
-	known := time.Now()
+	lastKnown := time.Now()
 	for ctx.Err() == nil {
 		if s.options.Replicator.Status().Leader != "" {
-			known = time.Now()
+			lastKnown = time.Now()
 		}
-		s.setStale(time.Since(known) >= leaderlessTimeout)
+		s.setStale(time.Since(lastKnown) >= leaderlessTimeout)
 		sleepContext(ctx, tickInterval)
 	}
 }
@@ -157,11 +158,11 @@
 	s.hub.stale = stale
 	s.hub.pathVersion++
 	s.hub.publishAndWake()
-	s.options.Logger.Info().Bool("stale", stale).Msg("knowledge of a leader changed")
+	s.options.Logger.Info().Bool("stale", stale).Msg("stale state of the control instance changed")
 }
 
-// follow passes on each configuration that the catalog accepts; children that are slow skip some.
-func (s *Source) follow(ctx context.Context) {
+// followCatalog distributes each new configuration of the catalog; slow children skip some revisions.
+func (s *Source) followCatalog(ctx context.Context) {
 	for {
 		changed := s.options.Catalog.Changed()
 		s.hub.mu.Lock()
@@ -180,11 +181,11 @@
 // confirmReads runs one confirmed read at a time for all requests that arrived before it began.
 func (s *Source) confirmReads(ctx context.Context) {
 	for {
-		if _, err := s.confirms.Pop(ctx); err != nil {
+		if _, err := s.confirmWake.Pop(ctx); err != nil {
 			return
 		}
 		for s.confirmOnce(ctx) {
-			// A request may have arrived during the read.
+			// another request may have arrived during the read
 		}
 	}
 }
@@ -196,15 +197,15 @@
 	if !begun {
 		return false
 	}
-	reading, cancel := context.WithTimeout(ctx, linkTimeout)
-	err := s.options.Replicator.ConfirmRead(reading)
+	readCtx, cancel := context.WithTimeout(ctx, linkTimeout)
+	err := s.options.Replicator.ConfirmRead(readCtx)
 	cancel()
 	newest := s.options.Catalog.Current()
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	if err != nil {
 		s.hub.confirmer.abandon()
-		time.AfterFunc(confirmRetry, func() { s.confirms.TryPush(struct{}{}) })
+		time.AfterFunc(confirmRetryInterval, func() { s.confirmWake.TryPush(struct{}{}) })
 		return false
 	}
 	s.hub.confirmer.finish(number, configVersionOf(newest))
@@ -215,7 +216,7 @@
 	return true
 }
 
-// peerAttachment reports to another control instance what is announced to this one.
+// peerAttachment returns the attachment that forwards announcements, evidence and reports of this control instance to another one.
 func (s *Source) peerAttachment(peer Peer) *attachment {
 	return newAttachment([]string{peer.Address}, attachment{
 		hub:    s.hub,
@@ -232,7 +233,7 @@
 			u := newUplink(conn, kindControl, s.options.EvidenceInterval)
 			return s.hub.runUplink(ctx, u, func() error {
 				for {
-					// Only pongs and changed paths arrive, and neither is needed: cumulative sums are sent again.
+					// Only pongs and path changes arrive. Neither is needed: evidence is cumulative and sent again on the next link.
 					if _, err := s.hub.receive(conn, linkTimeout); err != nil {
 						return err
 					}
@@ -247,8 +248,8 @@
 	return s.hub.endpoints(service)
 }
 
-// Fleet returns the lowest revision in force, the number of nodes and the schema version that all of them support. Nodes
-// that lost their parent count again once they are attached.
+// Fleet returns the lowest revision in force, the number of nodes and the newest schema version that all of them support. Nodes
+// that lost their parent are not counted until they are attached again.
 func (s *Source) Fleet() Fleet {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -263,21 +264,22 @@
 	}
 }
 
-// Evidence returns the newest sum of each control instance's run, data centre, move, service, route and release.
+// Evidence returns the cumulative sums by run of a control instance, data centre, move, service, route and release.
 func (s *Source) Evidence() []core.EvidenceCount {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	return s.hub.evidence.all()
 }
 
-// Reporting returns how many nodes report on a move; nodes that lost their parent count again once they are attached.
+// Reporting returns the number of nodes that report on a move. Nodes that lost their parent are not counted until they are attached
+// again.
 func (s *Source) Reporting(move core.MoveID) int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	return s.hub.reporting(true)[move]
+	return s.hub.reportingNodes(true)[move]
 }
 
-// Bytes returns how many bytes were sent and received over all links.
+// Bytes returns the number of bytes sent and received over all links.
 func (s *Source) Bytes() (sent, received uint64) {
 	return s.hub.meters.sent.Get(), s.hub.meters.received.Get()
 }
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -10,14 +10,15 @@
 	"parsleyport/core/lease"
 )
 
-// useResolution is how exactly the last use of a service is noted, so that calls on many cores seldom write to one place.
+// useResolution is the resolution of the last use of a service. It is written at most once a second, to avoid contention between
+// cores.
 const useResolution = time.Second
 
 // lastUse is the time of the last use of a service, in nanoseconds since the Unix epoch.
 type lastUse = atomic.Int64
 
-// Subscribe notes that the node uses a service, and asks for its endpoints at the first use and after 10 min without one.
-// It is cheap enough for each call, and has no effect unless the options say OnDemandEndpoints.
+// Subscribe records that the node uses a service, and requests its endpoints at the first use and at the first after 10 min without
+// one. It is cheap enough to be called for each call, and has no effect without the option OnDemandEndpoints.
 func (s *Subscriber) Subscribe(service core.ServiceName) {
 	if !s.options.OnDemandEndpoints {
 		return
@@ -39,14 +40,14 @@
 	next[service] = &lastUse{}
 	next[service].Store(now)
 	s.uses.Store(&next)
-	s.hub.await(service)
+	s.hub.markUnsynced(service)
 	s.hub.services[service] = true
 	s.hub.subscriptions++
 	s.hub.publishAndWake()
 }
 
-// EndpointsKnown reports whether the node has all endpoints of a service and those that left within the last 10 min, as far
-// as its control instance knows them. Without OnDemandEndpoints it returns true.
+// EndpointsKnown reports whether the node has received all endpoints of a service, and those that left within the last 10 min, as far
+// as its control instance knows them. Without the option OnDemandEndpoints it returns true.
 func (s *Subscriber) EndpointsKnown(service core.ServiceName) bool {
 	if !s.options.OnDemandEndpoints {
 		return true
@@ -71,23 +72,23 @@
 	for service := range held {
 		if next[service] == nil {
 			delete(s.hub.services, service)
-			s.hub.release(service)
+			s.hub.dropIfUnwanted(service)
 		}
 	}
 }
 
-// expireLinger ends the subscriptions of lost children, and those that ended while there was no parent.
-func (h *hub) expireLinger(now time.Time) {
+// expireLingering ends lingering subscriptions: those of lost children, and those that ended while the node had no parent.
+func (h *hub) expireLingering(now time.Time) {
 	for service, until := range h.lingering {
 		if !now.Before(until) {
 			delete(h.lingering, service)
-			h.release(service)
+			h.dropIfUnwanted(service)
 		}
 	}
 }
 
-// wanted reports whether this node or one of its children wants the endpoints of a service.
-func (h *hub) wanted(service core.ServiceName) bool {
+// isWanted reports whether this node or one of its children wants the endpoints of a service.
+func (h *hub) isWanted(service core.ServiceName) bool {
 	if _, lingers := h.lingering[service]; lingers || h.all || h.services[service] {
 		return true
 	}
@@ -99,20 +100,20 @@
 	return false
 }
 
-// await notes that a service which nobody has wanted so far has to be asked for. Until the parent has sent its endpoints,
-// a relay must not pass for one that knows there to be none.
-func (h *hub) await(service core.ServiceName) {
-	if h.relayID != "" && !h.wanted(service) {
+// markUnsynced records that the endpoints of a service that was not wanted so far have to be requested. Until the parent has sent
+// them, a relay must not report to its children that there are none.
+func (h *hub) markUnsynced(service core.ServiceName) {
+	if h.relayID != "" && !h.isWanted(service) {
 		h.unsynced[service] = false
 	}
 }
 
-// release forgets the endpoints of a service that nobody wants any more, since the parent will send no more word of them.
-func (h *hub) release(service core.ServiceName) {
-	if h.relayID == "" || h.wanted(service) {
+// dropIfUnwanted removes the endpoints of a service that is no longer wanted, since the parent will not send changes to them.
+func (h *hub) dropIfUnwanted(service core.ServiceName) {
+	if h.relayID == "" || h.isWanted(service) {
 		return
 	}
-	if !h.attached { // nobody could send the endpoints again
+	if !h.attached { // no parent could send the endpoints again
 		h.lingering[service] = time.Now().Add(lostChildSubscriptionTTL)
 		return
 	}
@@ -122,15 +123,15 @@
 	h.publishAndWake()
 }
 
-// releaseUnwanted is for a new parent, which sends only what is wanted now.
-func (h *hub) releaseUnwanted() {
+// dropUnwanted drops all services that are no longer wanted when a new parent is found, which sends changes to wanted ones only.
+func (h *hub) dropUnwanted() {
 	for _, service := range h.table.ServicesOf(parentOwner) {
-		h.release(service)
+		h.dropIfUnwanted(service)
 	}
 }
 
-// loseSubscriptions keeps what a lost child wanted for a while.
-func (h *hub) loseSubscriptions(now time.Time, c *child) {
+// retainSubscriptions keeps the subscriptions of a lost child for lostChildSubscriptionTTL.
+func (h *hub) retainSubscriptions(now time.Time, c *child) {
 	if h.relayID == "" {
 		return
 	}
@@ -140,17 +141,17 @@
 	h.subscriptions++
 }
 
-// subscriptionDue names what this node and its children want, or no longer want, and the parent has not been told.
+// subscriptionDue returns the services that this node and its children want, or no longer want, and that the parent was not sent.
 func (h *hub) subscriptionDue(u *uplink) (subscribe, bool) {
 	if u.subscribed && u.subscriptionsAt == h.subscriptions {
 		return subscribe{}, false
 	}
 	u.subscriptionsAt = h.subscriptions
 	message := subscribe{
-		AwayMS: u.awayMS,
-		States: true,
+		DetachedMS: u.detachedMS,
+		States:     true,
 	}
-	wanted, all := h.allWanted()
+	wanted, all := h.wantedServices()
 	message.All = all && !u.all
 	for service := range wanted {
 		if u.services[service] || len(u.services) >= maxSubscriptions {
@@ -178,7 +179,8 @@
 	return message, needed
 }
 
-func (h *hub) allWanted() (wanted map[core.ServiceName]bool, all bool) {
+// wantedServices returns the services that this node or its children want; all means that one of them wants all services.
+func (h *hub) wantedServices() (wanted map[core.ServiceName]bool, all bool) {
 	wanted, all = maps.Clone(h.services), h.all
 	for service := range h.lingering {
 		wanted[service] = true
@@ -192,18 +194,18 @@
 	return wanted, all
 }
 
-// subscribed is the parent's side.
-func (h *hub) subscribed(now time.Time, c *child, message subscribe) {
+// handleSubscribe updates the subscriptions of a child; mu is held.
+func (h *hub) handleSubscribe(now time.Time, c *child, message subscribe) {
 	first := !c.subscribed
 	c.subscribed = true
 	c.readsStates = message.States
-	h.awaitServices(c, message)
+	h.markUnsyncedForChild(c, message)
 	c.all = c.all || message.All
 	for _, service := range message.Drop {
 		delete(c.services, service)
 		delete(c.tombstonesPending, service)
 		c.newServices = slices.DeleteFunc(c.newServices, func(each core.ServiceName) bool { return each == service })
-		h.release(service)
+		h.dropIfUnwanted(service)
 	}
 	for _, service := range message.Services {
 		if c.services[service] || len(c.services) >= maxSubscriptions {
@@ -219,9 +221,9 @@
 		c.cursor = h.table.Position(lease.All)
 		c.digestDue = true
 		c.tombstonesSince = now.Add(-lease.TombstoneAge)
-		if message.AwayMS >= 0 {
-			// The child saw what left before its link broke; the margin covers the time until it noticed.
-			c.tombstonesSince = now.Add(-time.Duration(message.AwayMS)*time.Millisecond - lostSubtreeGrace)
+		if message.DetachedMS >= 0 {
+			// The child knows what left before its link broke; the margin covers the time until it noticed the break.
+			c.tombstonesSince = now.Add(-time.Duration(message.DetachedMS)*time.Millisecond - lostSubtreeGrace)
 		}
 		for _, service := range message.Fresh {
 			c.tombstonesPending[service] = c.services[service]
@@ -231,33 +233,33 @@
 	h.publishAndWake() // a relay may have to subscribe to more services itself
 }
 
-// awaitServices notes what a relay has to subscribe to for a child.
-func (h *hub) awaitServices(c *child, message subscribe) {
+// markUnsyncedForChild marks the services to which a relay has to subscribe on behalf of a child.
+func (h *hub) markUnsyncedForChild(c *child, message subscribe) {
 	for u := range h.uplinks {
 		if u.kind == kindNode && message.All && !u.all {
 			h.unsyncedAll, c.digestFinal = true, false
 		}
 	}
 	for _, service := range message.Services {
-		h.await(service)
+		h.markUnsynced(service)
 		if _, awaited := h.unsynced[service]; awaited {
 			c.digestFinal = false
 		}
 	}
 }
 
-// leftFor lists the endpoints that left and that a child has not been told of; pending ones are told again until what the
-// child gets is final.
-func (h *hub) leftFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []tombstone {
-	list := h.leftWithin(now, wanted)
+// tombstonesFor returns the tombstones that a child was not sent. Those of pending services are sent again until the table is
+// complete for the child.
+func (h *hub) tombstonesFor(c *child, now time.Time, wanted func(core.ServiceName) bool) []tombstone {
+	list := h.recentTombstones(now, wanted)
 	return slices.DeleteFunc(list, func(each tombstone) bool {
 		at := now.Add(-time.Duration(each.AgeMS) * time.Millisecond)
 		return at.Before(c.tombstonesSince) && !c.tombstonesPending[each.Endpoint.Service]
 	})
 }
 
-// leftWithin lists the endpoints that left within lease.TombstoneAge.
-func (h *hub) leftWithin(now time.Time, wanted func(core.ServiceName) bool) []tombstone {
+// recentTombstones returns the endpoints that left within lease.TombstoneAge.
+func (h *hub) recentTombstones(now time.Time, wanted func(core.ServiceName) bool) []tombstone {
 	var list []tombstone
 	for _, each := range h.table.Tombstones(now.Add(-lease.TombstoneAge), wanted) {
 		list = append(list, tombstone{
@@ -268,7 +270,7 @@
 	return list
 }
 
-func (h *hub) rememberLeft(now time.Time, list []tombstone) {
+func (h *hub) addTombstones(now time.Time, list []tombstone) {
 	for _, each := range list {
 		h.table.AddTombstone(now, lease.Tombstone{
 			Endpoint: each.Endpoint,
--- a/io/distribution/subscriptions_test.go
+++ b/io/distribution/subscriptions_test.go
@@ -9,25 +9,25 @@
 	"parsleyport/core"
 )
 
-// relayed is a leaf below a relay that uses no service, and a node that serves service-0.
-func relayed(w *cluster) (server, relay, leaf *Subscriber) {
-	onRequest := func(parent string) func(*SubscriberOptions) {
+// startRelayAndLeaf starts a server of service-0, a relay that uses no service, and a leaf below the relay.
+func startRelayAndLeaf(w *cluster) (server, relay, leaf *Subscriber) {
+	onDemand := func(parent string) func(*SubscriberOptions) {
 		return func(o *SubscriberOptions) { o.OnDemandEndpoints, o.ControlAddresses = true, []string{parent} }
 	}
-	server = w.subscriberWith("server", onRequest("c1"))
+	server = w.subscriberWith("server", onDemand("c1"))
 	server.Announce(endpoint("service-0", core.EndpointReady))
-	relay = w.subscriberWith("relay", onRequest("c1"))
-	leaf = w.subscriberWith("leaf", onRequest("relay-relay"))
+	relay = w.subscriberWith("relay", onDemand("c1"))
+	leaf = w.subscriberWith("leaf", onDemand("relay-relay"))
 	w.eventually(convergenceTimeout, "attached", func() bool { return server.Confirmed() && leaf.Confirmed() })
 	return server, relay, leaf
 }
 
-// Guards against a subscription that is kept for good or ends while it is in use; against endpoints that stay listed after
-// it ended; against live endpoints that count as left then; and against a second use that finds what was known long ago.
+// Guards against a subscription that never ends or ends while it is in use; against endpoints that stay listed after it ended; against
+// live endpoints that are then taken to have left; and against a renewed subscription that returns outdated endpoints.
 func TestSubscriptionEndsAfterItsLastUse(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		server, relay, leaf := relayed(w)
+		server, relay, leaf := startRelayAndLeaf(w)
 		time.Sleep(startupGrace)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known", func() bool { return leaf.EndpointsKnown("service-0") })
@@ -53,12 +53,12 @@
 	})
 }
 
-// Guards against a node that takes the wrong nodes for the holders of an idempotency key, because it first uses a service
-// after a holder has left, below a relay that never used the service, and after the control instance has restarted.
-func TestLateSubscriptionLearnsWhatLeft(t *testing.T) {
+// Guards against a node that selects the wrong holders of an idempotency key, because it first uses a service after a holder has left,
+// below a relay that never used the service, or after the control instance has restarted.
+func TestLateSubscriptionReceivesTombstones(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		server, _, leaf := relayed(w)
+		server, _, leaf := startRelayAndLeaf(w)
 		other := w.subscriberWith("other", func(o *SubscriberOptions) { o.OnDemandEndpoints = true })
 		other.Subscribe("service-0")
 		time.Sleep(startupGrace)
@@ -77,12 +77,12 @@
 	})
 }
 
-// Guards against a child that asks a relay without a parent for a service, and takes the relay's silence for a service
+// Guards against a child that subscribes to a service below a relay without a parent, and takes the missing answer for a service
 // without endpoints.
 func TestSubscriptionBelowADetachedRelay(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		_, relay, leaf := relayed(w)
+		_, relay, leaf := startRelayAndLeaf(w)
 		time.Sleep(startupGrace)
 		w.detach(relay)
 		leaf.Subscribe("service-0")
@@ -93,7 +93,7 @@
 	})
 }
 
-// detach cuts a relay off from the control instance.
+// detach disconnects a relay from the control instance and blocks new connections.
 func (w *cluster) detach(relay *Subscriber) {
 	w.net.block("c1", true)
 	for _, conn := range w.net.connsOf(relay.options.RelayAddress) {
@@ -104,11 +104,11 @@
 	w.eventually(time.Second, "detached", func() bool { return relay.Status().Parent == "" })
 }
 
-// Guards against endpoints that are given up while the control instances are away, so that nobody can send them again.
+// Guards against endpoints that are dropped while all control instances are unreachable, so that no process could send them again.
 func TestEndpointsAreKeptWithoutAParent(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		w.source("c1", w.catalog)
-		_, relay, leaf := relayed(w)
+		_, relay, leaf := startRelayAndLeaf(w)
 		time.Sleep(startupGrace)
 		leaf.Subscribe("service-0")
 		w.eventually(time.Second, "known", func() bool { return leaf.EndpointsKnown("service-0") })
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -18,7 +18,7 @@
 
 var faultSeeds = flag.Uint64("fault-seeds", 6, "number of seeds of TestEvidenceSumsUnderFaults")
 
-// reporter counts what its nodes report; each report has two calls, one of which failed.
+// reporter adds up what nodes report; each report has two calls, one of which failed.
 type reporter struct {
 	calls uint64
 }
@@ -30,23 +30,23 @@
 	n.ReportEvidence([]core.MoveID{"m1"}, []core.EvidenceCount{count})
 }
 
-// testHub is a node's, without links.
-func testHub(relay core.NodeID) *hub {
+// newTestHub returns the hub of a node without links.
+func newTestHub(relay core.NodeID) *hub {
 	h := newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{})
 	h.relayID, h.current = relay, record.Empty()
 	return h
 }
 
-// counted adds up what a control instance knows.
-func counted(s *Source) (sum core.EvidenceCount) {
+// totalEvidence returns the sum of all evidence of a control instance.
+func totalEvidence(s *Source) (sum core.EvidenceCount) {
 	for _, count := range s.Evidence() {
 		sum = sumOf(sum, count)
 	}
 	return sum
 }
 
-// Guards against counts that are lost or counted twice on the way through relays and between control instances, and
-// against nodes that are hidden in a sum.
+// Guards against counts that are lost or counted twice on the way through relays and between control instances, and against nodes
+// that are missing from the number of reporting nodes.
 func TestEvidenceIsSummedByRelays(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
@@ -63,9 +63,9 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		for _, s := range sources {
-			w.eventually(8*time.Second, "all calls are counted", func() bool { return counted(s).Calls == r.calls })
-			c.Assert(counted(s).Failures, qt.Equals, r.calls/2)
-			c.Assert(counted(s).Latency[3], qt.Equals, r.calls)
+			w.eventually(8*time.Second, "all calls are counted", func() bool { return totalEvidence(s).Calls == r.calls })
+			c.Assert(totalEvidence(s).Failures, qt.Equals, r.calls/2)
+			c.Assert(totalEvidence(s).Latency[3], qt.Equals, r.calls)
 			c.Assert(s.Evidence(), qt.HasLen, 3) // two data centres below c1 and one below c2
 			c.Assert(s.Reporting("m1"), qt.Equals, 20)
 		}
@@ -73,29 +73,29 @@
 			n.ReportEvidence(nil, nil)
 		}
 		for _, s := range sources {
-			w.eventually(8*time.Second, "nobody reports any more", func() bool { return s.Reporting("m1") == 0 })
+			w.eventually(8*time.Second, "no node reports", func() bool { return s.Reporting("m1") == 0 })
 		}
 	})
 }
 
-// Guards against sums that count a report twice, or lose failures without the calls that they belong to, when nodes and
-// relays restart, links break or go silent and nodes change their parent.
+// Guards against sums that count a report twice, or that lose calls but not their failures, when nodes and relays restart, links break
+// or stop delivering, and nodes change their parent.
 func TestEvidenceSumsUnderFaults(t *testing.T) {
 	for seed := range *faultSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runTest(t, func(c *qt.C, w *cluster) { sumUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
+			runTest(t, func(c *qt.C, w *cluster) { checkSumsUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
 		})
 	}
 }
 
-func sumUnderFaults(c *qt.C, w *cluster, random *rand.Rand) {
+func checkSumsUnderFaults(c *qt.C, w *cluster, random *rand.Rand) {
 	sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
 	nodes := w.startNodes(24, withControlAddresses("c1", "c2"))
 	w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 	r := &reporter{}
 	check := func() {
 		for _, s := range sources {
-			sum := counted(s)
+			sum := totalEvidence(s)
 			c.Assert(sum.Calls <= r.calls, qt.IsTrue, qt.Commentf("%d calls counted of %d", sum.Calls, r.calls))
 			c.Assert(sum.Failures*2, qt.Equals, sum.Calls)
 		}
@@ -125,20 +125,20 @@
 		reportAll(1 + random.IntN(5))
 		w.net.block(nodes[i].options.RelayAddress, false)
 	}
-	before, counted0 := r.calls, counted(sources[0]).Calls
-	c.Assert(float64(counted0) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", counted0, before))
-	time.Sleep(20 * time.Second) // all are attached again and have passed on what they held
-	settled := counted(sources[0]).Calls - r.calls
+	before, countedBefore := r.calls, totalEvidence(sources[0]).Calls
+	c.Assert(float64(countedBefore) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", countedBefore, before))
+	time.Sleep(20 * time.Second) // until all nodes are attached again and have sent their pending sums
+	difference := totalEvidence(sources[0]).Calls - r.calls
 	reportAll(5)
 	time.Sleep(10 * time.Second)
 	for _, s := range sources {
-		c.Assert(counted(s).Calls-r.calls, qt.Equals, settled, qt.Commentf("of %d calls", r.calls)) // nothing is lost without a fault
+		c.Assert(totalEvidence(s).Calls-r.calls, qt.Equals, difference, qt.Commentf("of %d calls", r.calls)) // nothing is lost without a fault
 		c.Assert(s.Reporting("m1"), qt.Equals, len(nodes))
 	}
 }
 
-// Guards against calls that vanish with a silent link without being named.
-func TestEvidenceInDoubtIsCounted(t *testing.T) {
+// Guards against calls that are lost with a link that stopped delivering and are not counted as in doubt.
+func TestCallsInDoubtAreCounted(t *testing.T) {
 	runTest(t, func(c *qt.C, w *cluster) {
 		source := w.source("c1", w.catalog)
 		node := w.subscriber("a", "c1")
@@ -156,18 +156,18 @@
 		source.hub.mu.Lock()
 		inDoubt := source.hub.pending.inDoubt
 		source.hub.mu.Unlock()
-		sum := counted(source)
-		c.Assert(sum.Calls < r.calls, qt.IsTrue) // the silent link lost some
+		sum := totalEvidence(source)
+		c.Assert(sum.Calls < r.calls, qt.IsTrue) // some were lost with the link
 		c.Assert(sum.Calls+inDoubt >= r.calls, qt.IsTrue, qt.Commentf("%d counted, %d in doubt, %d reported", sum.Calls, inDoubt, r.calls))
-		c.Assert(inDoubt <= 10, qt.IsTrue) // what was answered before is not in doubt
+		c.Assert(inDoubt <= 10, qt.IsTrue) // calls before the last answered ping are not in doubt
 	})
 }
 
-// Guards against sums that do not survive their form on the wire, that of earlier programs included.
+// Guards against sums that change when they are encoded and decoded, in rows or in the format of earlier versions.
 func TestSumsRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
-		h, parent := testHub("n1"), testHub("n0")
+		h, parent := newTestHub("n1"), newTestHub("n0")
 		h.parentReadsRows = rapid.Bool().Draw(t, "rows")
 		u, link, now := newUplink(nil, kindNode, evidenceInterval), &child{}, time.Now()
 		for range 20 {
@@ -184,13 +184,13 @@
 			for key, count := range want {
 				want[key] = key.label(count)
 			}
-			due, _ := h.sumsDue(u, now, lastOfLink)
+			due, _ := h.sumsDue(u, now, sumsFinal)
 			for _, m := range due {
 				body, err := msgpack.Marshal(m.message)
 				c.Assert(err, qt.IsNil)
 				var message sums
 				c.Assert(msgpack.Unmarshal(body, &message), qt.IsNil)
-				c.Assert(parent.takeSums(now, link, message), qt.IsNil)
+				c.Assert(parent.handleSums(now, link, message), qt.IsNil)
 			}
 			got := make(map[series]core.EvidenceCount)
 			for key, sum := range parent.pending.counts {
@@ -202,9 +202,9 @@
 	})
 }
 
-// Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost or late without notice
-// meanwhile, and against evidence of a step that arrives after more than 3 s.
-func TestEvidenceOfManyMovesTakesTurns(t *testing.T) {
+// Guards against a relay that exceeds its 4 KB/s with many open moves, against calls that are lost, or late without a reported
+// lateness, and against evidence of a step that arrives after more than 3 s.
+func TestEvidenceOfManyMovesSharesTheBudget(t *testing.T) {
 	for _, moves := range []int{6, 24} {
 		runTest(t, func(c *qt.C, w *cluster) {
 			source, calls := w.source("c1", w.catalog), make(map[core.MoveID]uint64)
@@ -232,7 +232,7 @@
 			for i, after := range bytesOf(nodes) {
 				c.Assert(after-before[i] <= 10*4000, qt.IsTrue, qt.Commentf("node %d: %d B/s", i, (after-before[i])/10))
 			}
-			c.Assert(source.EvidenceLate("move-0") > 0, qt.Equals, moves > 6)
+			c.Assert(source.EvidenceLateness("move-0") > 0, qt.Equals, moves > 6)
 			for number := range core.Revision(4) {
 				override := core.Override{Service: "service-0", Move: "move-5", From: "service-0-v1", To: "service-0-v1", Open: true}
 				override.Weights = []core.Weight{{Upstream: "service-0-v1", PerMille: 997 + core.PerMille(number)}}
@@ -243,7 +243,7 @@
 				report(1) // the first calls of the step
 				since := calls["move-5"]
 				report(1)
-				time.Sleep(100 * time.Millisecond) // on the way and in timers
+				time.Sleep(100 * time.Millisecond) // network delay and jitter of timers
 				c.Assert(arrived("move-5") >= since, qt.IsTrue, qt.Commentf("%d moves, step %d: %d of %d calls arrived in 3 s", moves, number, arrived("move-5"), since))
 				report(3)
 			}
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -10,77 +10,77 @@
 	"parsleyport/io/frame"
 )
 
-// uplink is the sending side of a link to a parent or to another control instance. All but conn and wake is guarded by hub.mu.
+// uplink is the sending side of a link to a parent or to another control instance. hub.mu guards all fields but conn and wake.
 type uplink struct {
 	conn *frame.Conn
 	wake *ring.Ring[struct{}]
 	kind linkKind
 
-	announced     bool
-	finished      bool // the other control instance got the complete set
-	cursor        uint64
-	batch         batcher
-	waitsUntil    time.Time // of changes that are not urgent
-	acknowledged  acknowledge
-	acknowledging pacer
-	evidenceAt    uint64
-	evidencing    pacer
-	expressing    pacer
-	crowded       bool // not all sums fitted in the last message
-	series        map[series]uint64
-	rows          []row  // the last one of each series
-	named         series // the last one
-	reporting     map[core.MoveID]int
-	inDoubt       uint64   // calls sent after the last ping
-	awaiting      []uint64 // calls sent before each unanswered ping
-	nodesAt       uint64
-	nodesPacer    pacer
-	crashesAt     uint64
-	pinging       pacer
+	announced         bool   // the local endpoints were sent, so that changes to them suffice
+	completeSent      bool   // the local endpoints were sent to another control instance after the end of startupGrace
+	cursor            uint64 // position in the table up to which changes were sent
+	batch             batcher
+	deferredUntil     time.Time // when changes that are not urgent are sent
+	acknowledged      acknowledge
+	acknowledgePacer  pacer
+	evidenceAt        uint64 // position in the evidence store up to which counts were sent
+	evidencePacer     pacer
+	prioritySumsPacer pacer
+	backlogged        bool // the last regular message of sums had no room for all of them
+	seriesNumbers     map[series]uint64
+	rows              []row  // last row of each series
+	lastNamed         series // the series that was named last
+	reporting         map[core.MoveID]int
+	callsSincePing    uint64   // calls in sums sent after the last ping
+	callsBeforePings  []uint64 // for each unanswered ping: calls in sums sent between the previous ping and it
+	nodesAt           uint64   // position in the node store up to which reports were sent
+	nodesPacer        pacer
+	crashesAt         uint64 // position in the crash store up to which reports were sent
+	pingPacer         pacer
 
-	subscribed       bool
-	subscriptionsAt  uint64
-	all              bool
-	services         map[core.ServiceName]bool
-	awayMS           int64
-	configRequest    bool
-	endpointsRequest bool
+	subscribed          bool
+	subscriptionsAt     uint64 // hub.subscriptions when the last subscription was sent
+	all                 bool
+	services            map[core.ServiceName]bool
+	detachedMS          int64 // how long the node had no parent, negative if it has had none before
+	configRequestDue    bool
+	endpointsRequestDue bool
 }
 
-// nothingSent makes the first acknowledgement of a link differ from what was sent, also if it counts no nodes: the other
-// end may hold one from before a restart.
-const nothingSent = -1
+// noAcknowledgementSent is a number of nodes that differs from every real one, so that the first acknowledgement of a link is sent
+// even if it counts no nodes: the other end may hold an older one, from before a restart of this process.
+const noAcknowledgementSent = -1
 
-func newUplink(conn *frame.Conn, kind linkKind, evidenceEvery time.Duration) *uplink {
+func newUplink(conn *frame.Conn, kind linkKind, reportInterval time.Duration) *uplink {
 	return &uplink{
-		conn:     conn,
-		wake:     ring.New[struct{}](1),
-		kind:     kind,
-		services: make(map[core.ServiceName]bool),
-		series:   make(map[series]uint64),
+		conn:          conn,
+		wake:          ring.New[struct{}](1),
+		kind:          kind,
+		services:      make(map[core.ServiceName]bool),
+		seriesNumbers: make(map[series]uint64),
 		acknowledged: acknowledge{
-			Nodes: nothingSent,
+			Nodes: noAcknowledgementSent,
 		},
-		acknowledging: pacer{
+		acknowledgePacer: pacer{
 			interval: batchInterval,
 		},
-		evidencing: pacer{
-			interval: evidenceEvery,
+		evidencePacer: pacer{
+			interval: reportInterval,
 		},
-		expressing: pacer{
-			interval: evidenceEvery,
+		prioritySumsPacer: pacer{
+			interval: reportInterval,
 		},
 		nodesPacer: pacer{
-			interval: nodesInterval,
+			interval: minNodesInterval,
 		},
-		pinging: pacer{
+		pingPacer: pacer{
 			interval: pingInterval,
 			next:     time.Now().Add(pingInterval),
 		},
 	}
 }
 
-// runUplink sends until the context ends or the link breaks, while receive handles what arrives; it returns receive's error.
+// runUplink runs the sending side of a link until the context ends or the link breaks, and returns the error of receive.
 func (h *hub) runUplink(ctx context.Context, u *uplink, receive func() error) error {
 	h.mu.Lock()
 	h.uplinks[u] = true
@@ -89,11 +89,11 @@
 	done := make(chan struct{})
 	h.start(func() {
 		defer close(done)
-		defer u.conn.Close() // ends the receiver
+		defer u.conn.Close() // unblocks the receiver
 		_ = h.sender(sending, u.wake, func(m outgoing) error {
 			return h.send(u.conn, writeTimeout, m)
 		}, func(now time.Time) ([]outgoing, time.Time) {
-			return h.dueUp(u, now, false)
+			return h.dueToParent(u, now, false)
 		})
 		if ctx.Err() != nil {
 			h.sendFinal(u)
@@ -104,14 +104,14 @@
 	<-done
 	h.mu.Lock()
 	delete(h.uplinks, u)
-	h.sumsLost(u)
+	h.addCallsInDoubt(u)
 	h.mu.Unlock()
 	return err
 }
 
-// sendFinal sends what waits for its interval, above all the node's withdrawal.
+// sendFinal sends the messages that wait for an interval to pass, in particular the withdrawal of the node's endpoint.
 func (h *hub) sendFinal(u *uplink) {
-	messages, _ := h.dueUp(u, time.Now(), true)
+	messages, _ := h.dueToParent(u, time.Now(), true)
 	for _, m := range messages {
 		if err := h.send(u.conn, finalSendTimeout, m); err != nil {
 			return
@@ -119,14 +119,15 @@
 	}
 }
 
-// dueUp collects what the parent should be sent now.
-func (h *hub) dueUp(u *uplink, now time.Time, last bool) ([]outgoing, time.Time) {
+// dueToParent returns the messages that are due on an uplink and when to check again; final includes those that wait for an
+// interval to pass.
+func (h *hub) dueToParent(u *uplink, now time.Time, final bool) ([]outgoing, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	due := h.announcementsDue(u, now, last)
-	if report := h.ownAcknowledgement().merge(h.subtreeAcknowledgement()); last && report != u.acknowledged || u.acknowledgementDue(report, now) {
+	due := h.announcementsDue(u, now, final)
+	if report := h.ownAcknowledgement().merge(h.subtreeAcknowledgement()); final && report != u.acknowledged || u.acknowledgementDue(report, now) {
 		if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
-			u.acknowledging.sent(now)
+			u.acknowledgePacer.sent(now)
 		}
 		u.acknowledged = report
 		due = append(due, outgoing{
@@ -135,58 +136,59 @@
 		})
 	}
 	switch {
-	case last:
-		due = append(due, h.evidenceDue(u, now, lastOfLink)...)
-	case u.evidencing.ready(now):
-		due = append(due, h.evidenceDue(u, now, inTurn)...)
-	case u.expressing.ready(now) && h.expressWaits(u, now):
-		due = append(due, h.evidenceDue(u, now, express)...)
+	case final:
+		due = append(due, h.evidenceDue(u, now, sumsFinal)...)
+	case u.evidencePacer.ready(now):
+		due = append(due, h.evidenceDue(u, now, sumsRegular)...)
+	case u.prioritySumsPacer.ready(now) && h.prioritySumsPending(u, now):
+		due = append(due, h.evidenceDue(u, now, sumsPriority)...)
 	}
 	due = append(due, h.crashesForParent(u, now)...)
 	due = append(due, h.nodesDue(u, now)...)
 	if u.kind == kindNode {
 		due = append(due, h.requestsDue(u)...)
 	}
-	if u.pinging.ready(now) {
-		u.pinging.sent(now)
+	if u.pingPacer.ready(now) {
+		u.pingPacer.sent(now)
 		if u.kind == kindNode {
-			u.pinged()
+			u.pingSent()
 		}
 		due = append(due, outgoing{
 			kind:    typePing,
 			message: ping{},
 		})
 	}
-	return due, h.nextUp(u, now)
+	return due, h.nextDueToParent(u, now)
 }
 
-func (h *hub) nextUp(u *uplink, now time.Time) time.Time {
-	next := u.pinging.next
-	if len(h.pending.counts) > 0 && u.kind == kindNode && u.evidencing.next.Before(next) {
-		next = u.evidencing.next
+func (h *hub) nextDueToParent(u *uplink, now time.Time) time.Time {
+	next := u.pingPacer.next
+	if len(h.pending.counts) > 0 && u.kind == kindNode && u.evidencePacer.next.Before(next) {
+		next = u.evidencePacer.next
 	}
-	if u.expressing.next.Before(next) && h.expressWaits(u, now) {
-		next = u.expressing.next
+	if u.prioritySumsPacer.next.Before(next) && h.prioritySumsPending(u, now) {
+		next = u.prioritySumsPacer.next
 	}
-	if at := laterOf(u.batch.nextUrgent, u.waitsUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
+	if at := laterOf(u.batch.nextUrgent, u.deferredUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
 		next = at
 	}
-	if u.acknowledged.subtreeOnly() != h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).subtreeOnly() && u.acknowledging.next.Before(next) {
-		next = u.acknowledging.next
+	if u.acknowledged.subtreeOnly() != h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).subtreeOnly() && u.acknowledgePacer.next.Before(next) {
+		next = u.acknowledgePacer.next
 	}
 	return next
 }
 
-// acknowledgementDue sends what only this node holds with the next ping: sent at once, it would delay the acknowledgement of
-// the nodes below, which follows a moment later, by the whole interval.
+// acknowledgementDue reports whether to send an acknowledgement. If only this node's own version has changed, it is sent with the
+// next ping: sent at once, it would start the interval and so delay the acknowledgement of the nodes below, which is due a
+// moment later.
 func (u *uplink) acknowledgementDue(report acknowledge, now time.Time) bool {
 	if report.subtreeOnly() != u.acknowledged.subtreeOnly() {
-		return u.acknowledging.ready(now)
+		return u.acknowledgePacer.ready(now)
 	}
-	return report != u.acknowledged && u.pinging.ready(now)
+	return report != u.acknowledged && u.pingPacer.ready(now)
 }
 
-// ownAcknowledgement counts the node itself; a control instance does not count as a node.
+// ownAcknowledgement returns the acknowledgement of this node alone; a control instance does not count as a node.
 func (h *hub) ownAcknowledgement() acknowledge {
 	if h.relayID == "" {
 		return acknowledge{}
@@ -200,33 +202,33 @@
 	}
 }
 
-func (h *hub) announcementsDue(u *uplink, now time.Time, last bool) []outgoing {
-	if !u.announced || (u.kind == kindControl && h.complete && !u.finished) {
-		u.announced, u.finished = true, h.complete
+func (h *hub) announcementsDue(u *uplink, now time.Time, final bool) []outgoing {
+	if !u.announced || (u.kind == kindControl && h.complete && !u.completeSent) {
+		u.announced, u.completeSent = true, h.complete
 		u.cursor = h.table.Position(lease.Local)
 		return []outgoing{{
 			kind: typeAnnounce,
 			message: announce{
 				Complete:   u.kind == kindControl && h.complete,
 				Upserts:    h.table.LocalEndpoints(),
-				Tombstones: h.leftWithin(now, anyService),
+				Tombstones: h.recentTombstones(now, anyService),
 			},
 		}}
 	}
-	if !last && now.Before(u.batch.nextUrgent) {
-		u.waitsUntil = time.Time{}
+	if !final && now.Before(u.batch.nextUrgent) {
+		u.deferredUntil = time.Time{}
 		return nil
 	}
 	changes, reached := h.table.Changes(lease.Local, u.cursor, lease.Owner{}, anyService)
 	if !reached {
 		u.announced = false
-		return h.announcementsDue(u, now, last)
+		return h.announcementsDue(u, now, final)
 	}
-	if at := u.batch.dueAt(changes); !last && !changes.Empty() && now.Before(at) {
-		u.waitsUntil = at
+	if at := u.batch.dueAt(changes); !final && !changes.Empty() && now.Before(at) {
+		u.deferredUntil = at
 		return nil
 	}
-	u.cursor, u.waitsUntil = changes.Next, time.Time{}
+	u.cursor, u.deferredUntil = changes.Next, time.Time{}
 	if changes.Empty() {
 		return nil
 	}
@@ -240,8 +242,8 @@
 	}}
 }
 
-func (h *hub) evidenceDue(u *uplink, now time.Time, pace sumsPace) []outgoing {
-	due, size := h.sumsDue(u, now, pace)
+func (h *hub) evidenceDue(u *uplink, now time.Time, mode sumsMode) []outgoing {
+	due, size := h.sumsDue(u, now, mode)
 	counts, at := h.evidence.since(u.evidenceAt)
 	u.evidenceAt = at
 	if len(counts) > 0 {
@@ -249,12 +251,12 @@
 			kind: typeEvidence,
 			message: evidence{
 				Counts: counts,
-				Late:   h.late.all(),
+				Late:   h.lateness.all(),
 			},
 		})
 	}
 	if len(due) > 0 {
-		h.charge(u, now, size, pace)
+		h.chargeBudget(u, now, size, mode)
 	}
 	return due
 }
@@ -267,15 +269,15 @@
 			message: message,
 		})
 	}
-	if u.configRequest {
-		u.configRequest = false
+	if u.configRequestDue {
+		u.configRequestDue = false
 		due = append(due, outgoing{
 			kind:    typeConfigRequest,
 			message: configRequest{},
 		})
 	}
-	if u.endpointsRequest {
-		u.endpointsRequest = false
+	if u.endpointsRequestDue {
+		u.endpointsRequestDue = false
 		due = append(due, outgoing{
 			kind: typeEndpointsRequest,
 			message: endpointsRequest{
