--- a/core/rollout/brief_move_decider_test.go
+++ b/core/rollout/short_move_decider_test.go
@@ -12,8 +12,8 @@
 	"parsleyport/core/rollout"
 )
 
-// briefRelease describes how the calls of a new release end.
-type briefRelease struct {
+// simulatedRelease describes how the calls of a new release end.
+type simulatedRelease struct {
 	failing float64       // part of the calls that fail
 	slow    float64       // part of the calls that take eight times as long
 	from    core.PerMille // the fault shows from this share on
@@ -21,15 +21,15 @@
 	both    float64       // part of the calls of both releases that fail from then on
 }
 
-// briefReplay replays a move of 14 s in steps of a tenth of a second.
-type briefReplay struct {
+// shortMoveReplay replays a move of 14 s in steps of a tenth of a second.
+type shortMoveReplay struct {
 	calls   func(at time.Duration, move core.Move) // counts the calls of one step
 	counted func() []core.EvidenceCount
 	every   time.Duration // between two decisions
 	late    bool          // a decision sees the counts of the previous one
 }
 
-func (r briefReplay) run() core.Move {
+func (r shortMoveReplay) run() core.Move {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	move := core.Move{
 		MoveID:    "m1",
@@ -38,7 +38,7 @@
 		StartedAt: start,
 		SteppedAt: start,
 	}
-	decider := rollout.NewBriefMoveDecider(move, "v2")
+	decider := rollout.NewShortMoveDecider(move, "v2")
 	var reported []core.EvidenceCount
 	for at := time.Duration(0); at < 15*time.Second && !rollout.IsFinal(move.State); at += 100 * time.Millisecond {
 		r.calls(at, move)
@@ -61,16 +61,16 @@
 		&core.EvidenceCount{Service: "s", Route: "r", Release: "v2", Move: "m1"}
 }
 
-// replayBrief replays a move with perTick calls in each tenth of a second, and reports that are late by half a second.
-func replayBrief(seed uint64, release briefRelease, perTick int) (move core.Move, newCalls, allCalls int) {
+// replayShortMove replays a move with perTick calls in each tenth of a second, and reports that are late by half a second.
+func replayShortMove(seed uint64, release simulatedRelease, perTick int) (move core.Move, newCalls, allCalls int) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	before, after := countsOf()
-	move = briefReplay{
+	move = shortMoveReplay{
 		calls: func(at time.Duration, move core.Move) {
 			for range perTick {
 				allCalls++
 				c := before
-				bad := briefRelease{failing: 0.001}
+				bad := simulatedRelease{failing: 0.001}
 				if at >= release.after {
 					bad.failing += release.both
 				}
@@ -99,27 +99,27 @@
 	return move, newCalls, allCalls
 }
 
-// Guards against good releases that are taken back, and against bad releases of each kind that get all traffic because the move is
+// Guards against good releases that are taken back, and against bad releases of each kind that get all calls because the move is
 // short. A bad release may get at most a tenth of the calls and 50 more.
-func TestBriefMoves(t *testing.T) {
+func TestShortMoves(t *testing.T) {
 	c := qt.New(t)
 	notDone := 0
 	for _, test := range []struct {
 		name    string
-		release briefRelease
+		release simulatedRelease
 		good    bool
 	}{
 		{name: "good", good: true},
-		{name: "good in a bad time", release: briefRelease{both: 0.3, after: 10 * time.Second}, good: true},
-		{name: "fails", release: briefRelease{failing: 0.5}},
-		{name: "fails seldom", release: briefRelease{failing: 0.15}},
-		{name: "slow", release: briefRelease{slow: 0.32}},
-		{name: "slow and failing a little", release: briefRelease{slow: 0.14, failing: 0.10}},
-		{name: "late", release: briefRelease{failing: 0.5, after: 3 * time.Second}},
-		{name: "under load", release: briefRelease{failing: 0.5, from: 200}},
+		{name: "good in a bad time", release: simulatedRelease{both: 0.3, after: 10 * time.Second}, good: true},
+		{name: "fails", release: simulatedRelease{failing: 0.5}},
+		{name: "fails seldom", release: simulatedRelease{failing: 0.15}},
+		{name: "slow", release: simulatedRelease{slow: 0.32}},
+		{name: "slow and failing a little", release: simulatedRelease{slow: 0.14, failing: 0.10}},
+		{name: "late", release: simulatedRelease{failing: 0.5, after: 3 * time.Second}},
+		{name: "under load", release: simulatedRelease{failing: 0.5, from: 200}},
 	} {
 		for seed := range uint64(200) {
-			move, newCalls, allCalls := replayBrief(seed, test.release, 13)
+			move, newCalls, allCalls := replayShortMove(seed, test.release, 13)
 			comment := qt.Commentf("%s, seed %d: %s (%s), %d of %d calls", test.name, seed, move.State, move.Cause, newCalls, allCalls)
 			if test.good {
 				notDone += lo.Ternary(move.State == core.MoveDone, 0, 1)
@@ -135,10 +135,10 @@
 
 // Guards against a release that has had too many calls before its last step, when its fault shows too late to be found. The rate
 // of calls is so high that the allowance of 50 calls makes no difference.
-func TestBriefMoveLimitsCallsAtRisk(t *testing.T) {
+func TestShortMoveLimitsCallsAtRisk(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
-		move, newCalls, _ := replayBrief(seed, briefRelease{}, 72)
+		move, newCalls, _ := replayShortMove(seed, simulatedRelease{}, 72)
 		c.Assert(move.State, qt.Equals, core.MoveDone)
 		c.Assert(newCalls <= 14*720/10+50, qt.IsTrue, qt.Commentf("seed %d: %d calls", seed, newCalls))
 	}
@@ -146,7 +146,7 @@
 
 // Guards against a slow release that gets all traffic because the old release's answers are queued under load: few of its slow
 // answers take longer than nearly all answers of the old release, but many take longer than most of them.
-func TestBriefMoveFindsSlownessUnderLoad(t *testing.T) {
+func TestShortMoveFindsSlownessUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	// Buckets of 128 ms to 2 s. A third of the new release's answers takes eight times as long, and none of them is queued.
 	old := []float64{0.45, 0.35, 0.13, 0.068, 0.002}
@@ -162,7 +162,7 @@
 		"seldom slow, few calls": {latencyReplay: latencyReplay{old: old, answers: seldom, perTick: 3}, most: 20},
 		"good":                   {latencyReplay: latencyReplay{old: old, answers: old, perTick: 7}, good: true},
 		"good, few calls":        {latencyReplay: latencyReplay{old: old, answers: old, perTick: 3}, good: true, most: 30},
-		// Backend servers without free slots turn calls away. A slow release turns away most of the calls that would have been slow.
+		// Backend servers without free slots reject calls. A slow release rejects most of the calls that would have been slow.
 		"slow, turned away":        {latencyReplay: latencyReplay{old: old, oldAway: 0.02, answers: old, away: 0.25, perTick: 7}, most: 4},
 		"slow, both turned away":   {latencyReplay: latencyReplay{old: old, oldAway: 0.2, answers: slow, away: 0.4, perTick: 7}, most: 4},
 		"good, both turned away":   {latencyReplay: latencyReplay{old: old, oldAway: 0.1, answers: old, away: 0.1, perTick: 7}, good: true},
@@ -186,7 +186,7 @@
 }
 
 // latencyReplay replays a move with given parts of both releases' answers in each bucket from 128 ms on, and given parts of their
-// calls that are turned away. While the new release is cold, all its answers are in the slowest bucket.
+// calls that are rejected. While the new release is cold, all its answers are in the slowest bucket.
 type latencyReplay struct {
 	old, answers  []float64
 	oldAway, away float64
@@ -208,7 +208,7 @@
 	}
 	before, after := countsOf()
 	began := time.Duration(0) // of the first share
-	return briefReplay{
+	return shortMoveReplay{
 		calls: func(at time.Duration, move core.Move) {
 			if move.Step == 0 {
 				began = at
@@ -233,7 +233,7 @@
 }
 
 // Guards against a move that is taken back because the old release answers nothing, so that there is nothing to compare with.
-func TestBriefMoveFromAReleaseThatAnswersNothing(t *testing.T) {
+func TestShortMoveFromAReleaseThatAnswersNothing(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		replay := latencyReplay{answers: []float64{1}, oldAway: 1, perTick: 7}
@@ -242,7 +242,7 @@
 }
 
 // Guards against a move that is done although no calls of the new release have been reported.
-func TestBriefMoveWithoutEvidenceExpires(t *testing.T) {
+func TestShortMoveWithoutEvidenceExpires(t *testing.T) {
 	c := qt.New(t)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	move := core.Move{
@@ -251,7 +251,7 @@
 		State:     core.MoveProposed,
 		StartedAt: start,
 	}
-	decider := rollout.NewBriefMoveDecider(move, "v2")
+	decider := rollout.NewShortMoveDecider(move, "v2")
 	decider.ObserveEndpoints(start, []core.Endpoint{{Service: "s", Release: "v2", State: core.EndpointReady}})
 	for at := start; !rollout.IsFinal(move.State); at = at.Add(200 * time.Millisecond) {
 		if step, due := decider.Decide(at, move, nil); due {
@@ -262,15 +262,15 @@
 	c.Assert(move.Share, qt.Equals, core.PerMille(0))
 }
 
-// Guards against the larger risk share of brief moves where the settings do not allow brief moves.
-func TestMovesAreBriefOnlyWhereAllowed(t *testing.T) {
+// Guards against the larger risk share of short moves where the settings do not allow short moves.
+func TestMovesAreShortOnlyWhereAllowed(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1_700_000_000, 0)
 	move := core.Move{
 		Request:   core.MoveRequest{Deadline: start.Add(24 * time.Second)},
 		StartedAt: start,
 	}
-	c.Assert(rollout.IsBrief(move, 0), qt.IsFalse)
-	c.Assert(rollout.IsBrief(move, 20*time.Second), qt.IsFalse)
-	c.Assert(rollout.IsBrief(move, time.Minute), qt.IsTrue)
+	c.Assert(rollout.IsShortMove(move, 0), qt.IsFalse)
+	c.Assert(rollout.IsShortMove(move, 20*time.Second), qt.IsFalse)
+	c.Assert(rollout.IsShortMove(move, time.Minute), qt.IsTrue)
 }
--- a/io/control/control.go
+++ b/io/control/control.go
@@ -218,11 +218,11 @@
 // startMover starts the duty that steps the open moves.
 func (p *process) startMover(injector do.Injector) {
 	m := &mover{
-		catalog:     do.MustInvoke[*catalog.Catalog](injector),
-		source:      do.MustInvoke[*distribution.Source](injector),
-		replicator:  do.MustInvoke[*raftpeer.Replica](injector),
-		briefAtMost: p.settings.BriefMoves,
-		log:         p.log,
+		catalog:              do.MustInvoke[*catalog.Catalog](injector),
+		source:               do.MustInvoke[*distribution.Source](injector),
+		replicator:           do.MustInvoke[*raftpeer.Replica](injector),
+		maxShortMoveDuration: p.settings.MaxShortMoveDuration,
+		log:                  p.log,
 	}
 	p.startPeriodic(stepEvery, m.judgeAll)
 }
--- a/io/control/moves.go
+++ b/io/control/moves.go
@@ -28,10 +28,10 @@
 	catalog    *catalog.Catalog
 	source     *distribution.Source
 	replicator core.Replicator
-	// briefAtMost is the time of the longest move that is too short for a Judge, zero if none is.
-	briefAtMost time.Duration
-	log         zerolog.Logger
-	judges      map[core.MoveID]judge
+	// maxShortMoveDuration is the longest duration of a move that a rollout.ShortMoveDecider decides, zero for no such moves.
+	maxShortMoveDuration time.Duration
+	log                  zerolog.Logger
+	judges               map[core.MoveID]judge
 }
 
 // judge decides the steps of one move.
@@ -99,8 +99,8 @@
 	if !fromExists || !toExists {
 		return nil
 	}
-	if rollout.IsBrief(move, m.briefAtMost) {
-		return rollout.NewBriefMoveDecider(move, to.Release)
+	if rollout.IsShortMove(move, m.maxShortMoveDuration) {
+		return rollout.NewShortMoveDecider(move, to.Release)
 	}
 	return rollout.NewSequentialDecider(move, from.Release, to.Release)
 }
--- a/io/settings/control.go
+++ b/io/settings/control.go
@@ -39,11 +39,11 @@
 	// MemberAt gives the other addresses of an instance that introduces itself with its peer address; nil if all instances
 	// are in Members.
 	MemberAt func(peerAddress string) Member
-	// BriefMoves is the time of the longest move that has more calls at risk in exchange for an end in time, zero for none.
-	BriefMoves    time.Duration
-	DirectNodes   int           // of one data centre that attach to this instance, zero for the default
-	EvidenceEvery time.Duration // between two reports of evidence to the other instances, zero for the default
-	LogLevel      zerolog.Level
+	// MaxShortMoveDuration is the longest duration of a move that risks more calls in order to end in time, zero for no such moves.
+	MaxShortMoveDuration time.Duration
+	DirectNodes          int           // of one data centre that attach to this instance, zero for the default
+	EvidenceEvery        time.Duration // between two reports of evidence to the other instances, zero for the default
+	LogLevel             zerolog.Level
 }
 
 var memberAddressKeys = []string{"operator-address", "peer-address", "node-address"}
