--- a/io/control/audit.go
+++ b/io/control/audit.go
@@ -37,16 +37,16 @@
 	payload []byte
 }
 
-// backfill fetches archived entries of the audit trail that an instance missed: with a new disk, or after it was away for
-// so long that it got a snapshot. Until then the other instances alone hold them.
+// backfill fetches archived entries of the audit trail that this instance lacks because its disk is new, or because it was away for
+// so long that it received a snapshot. Until then only the other instances hold them.
 type backfill struct {
-	catalog *catalog.Catalog
-	archive *disk.Archive
-	peers   func() []core.ControlID
-	send    func(to core.ControlID, topic string, payload []byte) bool
-	log     zerolog.Logger
-	inbox   *ring.Ring[auditMessage]
-	next    int
+	catalog  *catalog.Catalog
+	archive  *disk.Archive
+	peers    func() []core.ControlID
+	send     func(to core.ControlID, topic string, payload []byte) bool
+	log      zerolog.Logger
+	inbox    *ring.Ring[auditMessage]
+	nextPeer int
 }
 
 func newBackfill() *backfill {
@@ -55,7 +55,7 @@
 	}
 }
 
-// receive takes a message of another instance.
+// receive queues a message from another instance, or drops it if the queue is full.
 func (b *backfill) receive(from core.ControlID, topic string, payload []byte) {
 	b.inbox.TryPush(auditMessage{
 		from:    from,
@@ -75,8 +75,8 @@
 			b.handle(message)
 		case <-ticker.C:
 			if peers := b.peers(); len(peers) > 0 {
-				b.next = (b.next + 1) % len(peers)
-				b.request(peers[b.next])
+				b.nextPeer = (b.nextPeer + 1) % len(peers)
+				b.request(peers[b.nextPeer])
 			}
 		}
 	}
@@ -84,16 +84,16 @@
 
 func (b *backfill) request(from core.ControlID) {
 	if first, end := b.catalog.MissingAudit(); first < end {
-		b.post(from, auditRequestTopic, auditRange{
+		b.sendRange(from, auditRequestTopic, auditRange{
 			First: first,
 			End:   end,
 		})
 	}
 }
 
-func (b *backfill) post(to core.ControlID, topic string, content auditRange) {
+func (b *backfill) sendRange(to core.ControlID, topic string, content auditRange) {
 	if payload, err := msgpack.Marshal(content); err == nil {
-		b.send(to, topic, payload) // what is lost is asked for again
+		b.send(to, topic, payload) // a lost message is requested again
 	}
 }
 
@@ -116,20 +116,20 @@
 		return // another instance may hold them
 	}
 	entries = entries[asked.First-first:]
-	b.post(to, auditEntriesTopic, auditRange{
+	b.sendRange(to, auditEntriesTopic, auditRange{
 		First:   asked.First,
 		Entries: entries[:min(uint64(len(entries)), asked.End-asked.First)],
 	})
 }
 
-// store takes what is missing now, and asks on at once while there is progress.
+// store appends received entries if they begin with the first missing one, and requests the next ones at once.
 func (b *backfill) store(from core.ControlID, got auditRange) {
 	first, end := b.catalog.MissingAudit()
 	if got.First != first || len(got.Entries) == 0 || uint64(len(got.Entries)) > end-first {
 		return
 	}
 	if err := b.archive.Append(first, got.Entries); err != nil {
-		b.log.Error().Err(err).Msg("audit trail not completed") // the next snapshot stops the instance
+		b.log.Error().Err(err).Msg("missing audit entries not stored") // a fault of the disk stops the instance at the next snapshot
 		return
 	}
 	if first, end = b.catalog.MissingAudit(); first >= end {
@@ -163,12 +163,12 @@
 	return catalog.NewWithArchive(archive), nil
 }
 
-// startBackfill starts the duty that completes the archive of the audit trail.
+// startBackfill starts the background task that completes the archive of the audit trail.
 func (p *process) startBackfill(injector do.Injector) {
 	replica := do.MustInvoke[*raftpeer.Replica](injector)
 	b := p.backfill
 	b.catalog, b.archive = do.MustInvoke[*catalog.Catalog](injector), do.MustInvoke[*disk.Archive](injector)
 	b.send, b.log = replica.Send, p.log
 	b.peers = func() []core.ControlID { return p.otherIDs(replica) }
-	p.startDuty(b.run)
+	p.startTask(b.run)
 }
--- a/io/control/catchup.go
+++ b/io/control/catchup.go
@@ -22,21 +22,21 @@
 const (
 	catchUpTopic    = "catch-up"
 	catchUpInterval = 500 * time.Millisecond
-	// catchUpAge is how long a report counts; two of three may be lost.
-	catchUpAge = 3 * catchUpInterval
-	// maxCatchUpLag is how far behind a learner may be when its promotion begins; the rest is waited for. Such a learner gets
-	// entries and no snapshot, so its archive of the audit trail gets no new gap.
+	// maxCatchUpReportAge is how long a report is valid, so that two of three may be lost.
+	maxCatchUpReportAge = 3 * catchUpInterval
+	// maxCatchUpLag is the number of entries that a learner may lack when its promotion begins; the promotion waits for the rest.
+	// Such a learner gets entries and no snapshot, so its archive of the audit trail gets no new gap.
 	maxCatchUpLag = raft.TrailingEntries
 )
 
-// catchUpReport is what an instance tells the others of itself.
+// catchUpReport tells the other instances which log entries, audit entries and rules an instance has.
 type catchUpReport struct {
 	Identity     raft.Identity `msgpack:"identity"`
 	Applied      core.LogIndex `msgpack:"applied"`
 	MissingAudit uint64        `msgpack:"missing-audit"`
 
 	KnownRules core.RulesVersion `msgpack:"known-rules"`
-	at         time.Time
+	receivedAt time.Time
 }
 
 // catchUp holds the newest report of each other instance.
@@ -61,31 +61,31 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	report.at = now
+	report.receivedAt = now
 	c.reports[from] = report
 	maps.DeleteFunc(c.reports, func(id core.ControlID, _ catchUpReport) bool { return !c.isMember(id) })
 }
 
-// last returns the newest report of an instance unless it is of another data folder.
-func (c *catchUp) last(peer raft.Peer) (catchUpReport, bool) {
+// latest returns the newest report of an instance, and false if there is none or it is about another data folder.
+func (c *catchUp) latest(peer raft.Peer) (catchUpReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	report, exists := c.reports[peer.ID]
 	return report, exists && report.Identity == peer.Identity
 }
 
-// of returns the report of an instance unless it is too old or of another data folder.
-func (c *catchUp) of(now time.Time, peer raft.Peer) (catchUpReport, bool) {
+// fresh returns the newest report of an instance, and false if there is none, it is too old or it is about another data folder.
+func (c *catchUp) fresh(now time.Time, peer raft.Peer) (catchUpReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	report, exists := c.reports[peer.ID]
-	return report, exists && report.Identity == peer.Identity && now.Sub(report.at) <= catchUpAge
+	return report, exists && report.Identity == peer.Identity && now.Sub(report.receivedAt) <= maxCatchUpReportAge
 }
 
-// check returns why a learner must not be promoted yet. Else it might count towards the majority while it lacks the log,
-// or become the last instance with a vote and lack the older audit entries.
-func (c *catchUp) check(now time.Time, peer raft.Peer, commit core.LogIndex) error {
-	report, exists := c.of(now, peer)
+// checkPromotion returns an error if a learner must not be promoted yet. Otherwise it might count towards the quorum while it lacks
+// the log, or become the last voter while it lacks the older audit entries.
+func (c *catchUp) checkPromotion(now time.Time, peer raft.Peer, commit core.LogIndex) error {
+	report, exists := c.fresh(now, peer)
 	switch {
 	case !exists:
 		return errors.Annotatef(raft.ErrTransient, "promotion of %q: it has not reported what it holds", peer.ID)
@@ -104,7 +104,7 @@
 		if member.Voter {
 			continue
 		}
-		report, known := m.catchUp.of(time.Now(), member.Peer)
+		report, known := m.catchUp.fresh(time.Now(), member.Peer)
 		list = append(list, operatorhttp.CatchUp{
 			ID:           member.Peer.ID,
 			Known:        known,
@@ -116,16 +116,16 @@
 	return list
 }
 
-// reportTo names the instances that need reports: the leader, which alone changes the membership, if it keeps the voters, and
-// else all, since an operator may ask any of them.
-func (p *process) reportTo(replica *raftpeer.Replica) []core.ControlID {
+// reportRecipients returns the instances that need reports: only the leader if it maintains the voters, because it alone changes the
+// membership then, and otherwise all instances, because an operator may ask any of them.
+func (p *process) reportRecipients(replica *raftpeer.Replica) []core.ControlID {
 	if leader := replica.Status().Leader; p.settings.Voters > 0 && leader != "" {
 		return lo.Without([]core.ControlID{leader}, p.settings.ID)
 	}
 	return p.otherIDs(replica)
 }
 
-// startCatchUp starts the duty that tells the others what this instance holds.
+// startCatchUp starts the background task that reports to the other instances what this one holds.
 func (p *process) startCatchUp(injector do.Injector) {
 	replica, records := do.MustInvoke[*raftpeer.Replica](injector), do.MustInvoke[*catalog.Catalog](injector)
 	p.startPeriodic(catchUpInterval, func(context.Context, time.Time) {
@@ -137,10 +137,10 @@
 			KnownRules:   catalog.KnownRules,
 		})
 		if err != nil {
-			p.log.Error().Err(err).Str("event", "report-not-encoded").Msg("other instances are not told what this one holds")
+			p.log.Error().Err(err).Str("event", "report-not-encoded").Msg("catch-up report cannot be encoded")
 			return
 		}
-		for _, peer := range p.reportTo(replica) {
+		for _, peer := range p.reportRecipients(replica) {
 			replica.Send(peer, catchUpTopic, payload)
 		}
 	})
--- a/io/control/catchup_test.go
+++ b/io/control/catchup_test.go
@@ -13,20 +13,20 @@
 	"parsleyport/core/raft"
 )
 
-// Guards against a promoted learner that lacks the log or the older audit entries, and against a report of the disk that
-// it has lost; and against rules that come into force while an instance does not know them.
+// Guards against a promoted learner that lacks the log or the older audit entries, against a report about a disk that the learner has
+// lost, and against rules that come into force while an instance does not know them.
 func TestPromotionIsRefusedUntilCaughtUp(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	held := newCatchUp(func(id core.ControlID) bool { return id == "c2" })
+	tracked := newCatchUp(func(id core.ControlID) bool { return id == "c2" })
 	learner := raft.Peer{ID: "c2", Identity: "new"}
 	report := func(from core.ControlID, r catchUpReport) {
 		payload, err := msgpack.Marshal(r)
 		c.Assert(err, qt.IsNil)
-		held.receive(now, from, payload)
+		tracked.receive(now, from, payload)
 	}
 	refused := func(text string) {
-		err := held.check(now, learner, 5000)
+		err := tracked.checkPromotion(now, learner, 5000)
 		c.Assert(err, qt.ErrorMatches, `promotion of "c2": `+text+`: .*`)
 		c.Assert(errors.Is(err, raft.ErrTransient), qt.IsTrue) // so that the client asks again
 	}
@@ -38,14 +38,14 @@
 	report("c2", catchUpReport{Identity: "new", Applied: 4990, MissingAudit: 12})
 	refused("it lacks 12 entries of the audit trail")
 	report("c2", catchUpReport{Identity: "new", Applied: 4990})
-	c.Assert(held.check(now, learner, 5000), qt.IsNil)
-	now = now.Add(catchUpAge + 1)
+	c.Assert(tracked.checkPromotion(now, learner, 5000), qt.IsNil)
+	now = now.Add(maxCatchUpReportAge + 1)
 	refused("it has not reported what it holds")
 	report("stranger", catchUpReport{})
-	c.Assert(held.reports, qt.HasLen, 1)
+	c.Assert(tracked.reports, qt.HasLen, 1)
 
 	members := []raft.Member{{Peer: raft.Peer{ID: "c1"}}, {Peer: learner}}
-	known := func() core.RulesVersion { return held.knownToAll(now, members[0].Peer, members) }
+	known := func() core.RulesVersion { return tracked.knownToAll(now, members[0].Peer, members) }
 	c.Assert(known(), qt.Equals, core.RulesVersion(0)) // else an instance that is away could not follow the rules later
 	report("c2", catchUpReport{Identity: "new"})
 	c.Assert(known(), qt.Equals, core.RulesVersion(0)) // from a program without this field
--- a/io/control/control.go
+++ b/io/control/control.go
@@ -23,7 +23,7 @@
 	"parsleyport/io/settings"
 )
 
-// handOverTimeout leaves room for three attempts; without a successor, as after the loss of a majority, the stop goes on.
+// handOverTimeout leaves room for three attempts. Without a successor, as after the loss of the quorum, the instance stops anyway.
 const handOverTimeout = 3 * raft.HandoverTimeout
 
 // process holds what the parts of one control instance share.
@@ -34,17 +34,17 @@
 	backfill *backfill
 	catchUp  *catchUp
 	replica  atomic.Pointer[raftpeer.Replica] // nil until it has started
-	ledSince time.Time                        // of the keeper: zero unless this instance leads
+	ledSince time.Time                        // zero unless this instance leads; used only by the task that maintains the voters
 	cleanups []func()
 }
 
-// Parts are what an interface beside the operators' API needs of a control instance.
+// Parts holds the parts of a control instance that an interface beside the operators' API needs.
 type Parts struct {
 	Replicator core.Replicator
 	Catalog    *catalog.Catalog
 	Source     *distribution.Source
-	// Meet introduces the instance to others that the settings name by now, if it is not a member.
-	Meet func([]settings.Member)
+	// IntroduceTo introduces the instance to the given ones, as after a change of the settings, if it is not a member.
+	IntroduceTo func([]settings.Member)
 }
 
 // Options configure a control instance beyond its settings.
@@ -85,10 +85,10 @@
 	}
 	if options.Serve != nil {
 		cleanup, err := options.Serve(Parts{
-			Replicator: replica,
-			Catalog:    do.MustInvoke[*catalog.Catalog](injector),
-			Source:     do.MustInvoke[*distribution.Source](injector),
-			Meet:       func(members []settings.Member) { replica.IntroduceTo(raftMembers(members)) },
+			Replicator:  replica,
+			Catalog:     do.MustInvoke[*catalog.Catalog](injector),
+			Source:      do.MustInvoke[*distribution.Source](injector),
+			IntroduceTo: func(members []settings.Member) { replica.IntroduceTo(raftMembers(members)) },
 		})
 		if err != nil {
 			return errors.Annotate(err, "interface")
@@ -98,12 +98,12 @@
 	if err := p.startAdmin(replica); err != nil {
 		return err
 	}
-	p.startMover(injector)
+	p.startMoveStepper(injector)
 	p.startBackfill(injector)
 	p.startCatchUp(injector)
-	p.startRules(injector)
-	p.startKeeper(injector)
-	p.startPeers(injector)
+	p.startRulesUpgrade(injector)
+	p.startVoterMaintenance(injector)
+	p.startPeerLinks(injector)
 	p.log.Info().Str("event", "started").Msg("control instance started")
 	select {
 	case <-ctx.Done():
@@ -115,8 +115,7 @@
 	}
 }
 
-// handOver gives the leadership away before anything else stops, so that the operators' requests which are under way go on
-// at the new leader.
+// handOver transfers the leadership before anything else stops, so that operators' requests under way continue at the new leader.
 func (p *process) handOver(replica *raftpeer.Replica) {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
@@ -196,7 +195,7 @@
 		ListenAddress:    p.settings.NodeAddress,
 		DataCentre:       p.settings.DataCentre,
 		DirectNodes:      p.settings.DirectNodes,
-		EvidenceInterval: p.settings.EvidenceEvery,
+		EvidenceInterval: p.settings.EvidenceInterval,
 		Peers: lo.Map(others, func(m settings.Member, _ int) distribution.Peer {
 			return distribution.Peer{
 				ID:      m.ID,
@@ -215,22 +214,22 @@
 	return source, nil
 }
 
-// startMover starts the duty that steps the open moves.
-func (p *process) startMover(injector do.Injector) {
-	m := &mover{
+// startMoveStepper starts the background task that steps the open moves.
+func (p *process) startMoveStepper(injector do.Injector) {
+	m := &moveStepper{
 		catalog:              do.MustInvoke[*catalog.Catalog](injector),
 		source:               do.MustInvoke[*distribution.Source](injector),
 		replicator:           do.MustInvoke[*raftpeer.Replica](injector),
 		maxShortMoveDuration: p.settings.MaxShortMoveDuration,
 		log:                  p.log,
 	}
-	p.startPeriodic(stepEvery, m.judgeAll)
+	p.startPeriodic(stepInterval, m.stepOpenMoves)
 }
 
-// startPeriodic runs a duty at each tick until the clean-up. Ticks that pass meanwhile are left out.
-func (p *process) startPeriodic(every time.Duration, run func(ctx context.Context, now time.Time)) {
-	p.startDuty(func(ctx context.Context) {
-		ticker := time.NewTicker(every)
+// startPeriodic calls a function at each tick until the clean-up. Ticks that pass during a call are dropped.
+func (p *process) startPeriodic(interval time.Duration, run func(ctx context.Context, now time.Time)) {
+	p.startTask(func(ctx context.Context) {
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -243,8 +242,8 @@
 	})
 }
 
-// startDuty runs a duty until the clean-up.
-func (p *process) startDuty(run func(context.Context)) {
+// startTask runs a background task until the clean-up.
+func (p *process) startTask(run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() {
@@ -266,13 +265,13 @@
 	p.backfill.receive(from, topic, payload)
 }
 
-// isMember reports whether an instance is a member, also as a learner; false until the replica has started.
+// isMember reports whether an instance is a voter or a learner; false until the replica has started.
 func (p *process) isMember(id core.ControlID) bool {
 	replica := p.replica.Load()
 	return replica != nil && lo.ContainsBy(replica.Members(), func(m raft.Member) bool { return m.Peer.ID == id })
 }
 
-// otherIDs names the other control instances: those of the settings and the members.
+// otherIDs returns the ids of the other control instances, from the settings and the membership.
 func (p *process) otherIDs(replica *raftpeer.Replica) []core.ControlID {
 	ids := lo.Map(p.settings.Members, func(m settings.Member, _ int) core.ControlID { return m.ID })
 	ids = append(ids, lo.Map(replica.Members(), func(m raft.Member, _ int) core.ControlID { return m.Peer.ID })...)
--- a/io/control/moves.go
+++ b/io/control/moves.go
@@ -15,64 +15,64 @@
 )
 
 const (
-	// stepEvery is how often open moves are judged.
-	stepEvery = 200 * time.Millisecond
-	// proposeTimeout bounds the wait for one step; the judge proposes an unanswered step again with the same number.
+	// stepInterval is how often open moves are checked for a due step.
+	stepInterval = 200 * time.Millisecond
+	// proposeTimeout bounds the wait for one step. The decider proposes an unconfirmed step again with the same number.
 	proposeTimeout = 2 * time.Second
-	// maxEvidenceText leaves room for the number of reporting nodes in the text of a step.
-	maxEvidenceText = 4000
+	// maxEvidenceBytes leaves room for the number of reporting nodes in the evidence text of a step.
+	maxEvidenceBytes = 4000
 )
 
-// mover steps the open moves while this control instance leads.
-type mover struct {
+// moveStepper decides and proposes the steps of open moves while this control instance leads.
+type moveStepper struct {
 	catalog    *catalog.Catalog
 	source     *distribution.Source
 	replicator core.Replicator
 	// maxShortMoveDuration is the longest duration of a move that a rollout.ShortMoveDecider decides, zero for no such moves.
 	maxShortMoveDuration time.Duration
 	log                  zerolog.Logger
-	judges               map[core.MoveID]judge
+	deciders             map[core.MoveID]moveDecider
 }
 
-// judge decides the steps of one move.
-type judge interface {
+// moveDecider decides the steps of one move; a rollout.SequentialDecider and a rollout.ShortMoveDecider implement it.
+type moveDecider interface {
 	ObserveEndpoints(now time.Time, endpoints []core.Endpoint)
 	ObserveLateness(late time.Duration)
 	Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool)
 }
 
-func (m *mover) judgeAll(ctx context.Context, now time.Time) {
+func (m *moveStepper) stepOpenMoves(ctx context.Context, now time.Time) {
 	status := m.replicator.Status()
 	if status.Leader != status.Self {
-		m.judges = make(map[core.MoveID]judge) // another leader judges; what was learned here goes stale
+		m.deciders = make(map[core.MoveID]moveDecider) // another leader decides, and what was observed here becomes outdated
 		return
 	}
-	open := make(map[core.MoveID]judge)
+	open := make(map[core.MoveID]moveDecider)
 	endpoints, evidence := m.endpoints(), m.source.Evidence()
 	for _, move := range m.catalog.Moves() {
 		if rollout.IsFinal(move.State) {
 			continue
 		}
-		judge := m.judge(move)
-		if judge == nil {
+		decider := m.deciderOf(move)
+		if decider == nil {
 			continue
 		}
-		open[move.MoveID] = judge
-		judge.ObserveEndpoints(now, endpoints)
-		judge.ObserveLateness(m.source.EvidenceLate(move.MoveID))
+		open[move.MoveID] = decider
+		decider.ObserveEndpoints(now, endpoints)
+		decider.ObserveLateness(m.source.EvidenceLate(move.MoveID))
 		counted := lo.Filter(evidence, func(count core.EvidenceCount, _ int) bool { return count.Move == move.MoveID })
-		if step, due := judge.Decide(now, move, counted); due {
+		if step, due := decider.Decide(now, move, counted); due {
 			step.Evidence = m.withReporting(step)
 			m.propose(ctx, step)
 		}
 	}
-	m.judges = open
+	m.deciders = open
 }
 
-// withReporting adds how many nodes the evidence comes from, so that missing nodes do not pass for nodes without failures.
-func (m *mover) withReporting(step core.MoveStep) string {
-	if step.Step == 1 || len(step.Evidence) > maxEvidenceText {
-		return step.Evidence // no node knows of the move before its first step
+// withReporting adds to the evidence how many nodes have reported, so that missing nodes do not pass for nodes without failures.
+func (m *moveStepper) withReporting(step core.MoveStep) string {
+	if step.Step == 1 || len(step.Evidence) > maxEvidenceBytes {
+		return step.Evidence // no node knows the move before its first step
 	}
 	text := fmt.Sprintf("%s; %d of %d nodes report", step.Evidence, m.source.Reporting(step.MoveID), m.source.Fleet().Nodes)
 	if late := m.source.EvidenceLate(step.MoveID); late > 0 {
@@ -81,17 +81,17 @@
 	return text
 }
 
-// endpoints returns those of all services, since any node may take the calls of the service that moves.
-func (m *mover) endpoints() []core.Endpoint {
+// endpoints returns the endpoints of all services, since any node may route calls to the service that moves.
+func (m *moveStepper) endpoints() []core.Endpoint {
 	return lo.FlatMap(m.catalog.Current().Services(), func(service core.ServiceName, _ int) []core.Endpoint {
 		return m.source.Endpoints(service)
 	})
 }
 
-// judge returns the judge of a move, or nil if the configuration does not know the move's upstreams.
-func (m *mover) judge(move core.Move) judge {
-	if judge, exists := m.judges[move.MoveID]; exists {
-		return judge
+// deciderOf returns the decider of a move, or nil if the configuration does not have the move's upstreams.
+func (m *moveStepper) deciderOf(move core.Move) moveDecider {
+	if decider, exists := m.deciders[move.MoveID]; exists {
+		return decider
 	}
 	configuration := m.catalog.Current()
 	from, fromExists := configuration.UpstreamOf(move.Request.Service, move.Request.From)
@@ -105,7 +105,7 @@
 	return rollout.NewSequentialDecider(move, from.Release, to.Release)
 }
 
-func (m *mover) propose(ctx context.Context, step core.MoveStep) {
+func (m *moveStepper) propose(ctx context.Context, step core.MoveStep) {
 	command, err := catalog.EncodeStep(step)
 	if err != nil {
 		m.log.Error().Err(err).Str("move", string(step.MoveID)).Msg("step of a move cannot be encoded")
--- a/io/control/operators.go
+++ b/io/control/operators.go
@@ -68,7 +68,7 @@
 	return server, nil
 }
 
-// tenantLimits gives no limits until all members know them.
+// tenantLimits returns a function that returns no limits until the rules in force know them.
 func (p *process) tenantLimits(records *catalog.Catalog) func() *catalog.Limits {
 	limits := &catalog.Limits{
 		Submissions:  p.settings.Limits.TenantSubmissions,
@@ -85,7 +85,7 @@
 	}
 }
 
-// operatorMembership completes changes with what the settings say of an instance.
+// operatorMembership adds the address and data centre of an instance, from the settings, to membership changes.
 type operatorMembership struct {
 	*raftpeer.Replica
 	members []settings.Member
@@ -98,8 +98,8 @@
 	if change.Kind == raft.ChangeAdd && !exists {
 		return errors.NotFoundf("instance %q in the settings of %q", change.Peer.ID, m.Self().ID)
 	}
-	if change.Kind == raft.ChangePromote && !m.votes(change.Peer) {
-		if err := m.catchUp.check(time.Now(), change.Peer, m.Status().Commit); err != nil {
+	if change.Kind == raft.ChangePromote && !m.isVoter(change.Peer) {
+		if err := m.catchUp.checkPromotion(time.Now(), change.Peer, m.Status().Commit); err != nil {
 			return err
 		}
 	}
@@ -107,12 +107,12 @@
 	return m.Replica.Change(ctx, change)
 }
 
-// votes reports whether a promotion of the instance is in force already, as when it is sent again.
-func (m operatorMembership) votes(peer raft.Peer) bool {
+// isVoter reports whether a peer has a vote already, as when its promotion is requested again.
+func (m operatorMembership) isVoter(peer raft.Peer) bool {
 	return lo.ContainsBy(m.Members(), func(member raft.Member) bool { return member.Voter && member.Peer == peer })
 }
 
-// fleet shows the attached nodes to the operators' API.
+// fleet gives the operators' API a view of the attached nodes.
 type fleet struct {
 	source  *distribution.Source
 	catalog *catalog.Catalog
--- a/io/control/rules.go
+++ b/io/control/rules.go
@@ -12,14 +12,14 @@
 	"parsleyport/io/raftpeer"
 )
 
-// rulesEvery is how often the leader asks whether newer rules can come into force. It is not urgent.
-const rulesEvery = time.Second
+// rulesInterval is how often the leader checks whether newer rules can come into force, which is not urgent.
+const rulesInterval = time.Second
 
-// startRules starts the duty that brings the newest rules for commands into force once each control instance knows them, so
-// that older and newer programs decide alike while an upgrade is under way.
-func (p *process) startRules(injector do.Injector) {
+// startRulesUpgrade starts the background task that brings the newest rules for commands into force once each control instance knows
+// them, so that older and newer programs decide alike during an upgrade.
+func (p *process) startRulesUpgrade(injector do.Injector) {
 	replica, records := do.MustInvoke[*raftpeer.Replica](injector), do.MustInvoke[*catalog.Catalog](injector)
-	p.startPeriodic(rulesEvery, func(ctx context.Context, now time.Time) {
+	p.startPeriodic(rulesInterval, func(ctx context.Context, now time.Time) {
 		if status := replica.Status(); status.Leader != status.Self {
 			return
 		}
@@ -53,7 +53,7 @@
 		if member.Peer == self {
 			continue
 		}
-		report, known := c.of(now, member.Peer)
+		report, known := c.fresh(now, member.Peer)
 		if !known {
 			return 0
 		}
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -11,30 +11,30 @@
 	"parsleyport/io/backendhttp"
 )
 
-// expireEvery is how often waiting calls are checked for deadlines that can no longer be met.
-const expireEvery = 10 * time.Millisecond
+// expireInterval is how often the deadlines of waiting calls are checked.
+const expireInterval = 10 * time.Millisecond
 
-// admission lets the calls at the local backend server wait for their turn in a limiter.Limiter.
+// admission queues calls to the local backend server in a limiter.Limiter until they may start.
 type admission struct {
-	mu      sync.Mutex // guards limiter and waiting
-	limiter *limiter.Limiter
-	waiting map[limiter.Ticket]chan *core.Refusal // receives nil to start
-	queued  *ring.Ring[struct{}]                  // wakes the goroutine that checks deadlines
+	mu           sync.Mutex // guards limiter and waiting
+	limiter      *limiter.Limiter
+	waiting      map[limiter.Ticket]chan *core.Refusal // receives nil to start
+	expiryNeeded *ring.Ring[struct{}]                  // wakes the goroutine that checks deadlines
 }
 
 var _ backendhttp.Admission = (*admission)(nil)
 
 func newAdmission(options limiter.Options) (*admission, func()) {
 	a := &admission{
-		limiter: limiter.NewWithOptions(1, options),
-		waiting: make(map[limiter.Ticket]chan *core.Refusal),
-		queued:  ring.New[struct{}](1),
+		limiter:      limiter.NewWithOptions(1, options),
+		waiting:      make(map[limiter.Ticket]chan *core.Refusal),
+		expiryNeeded: ring.New[struct{}](1),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		a.expireUntil(ctx)
+		a.expireLoop(ctx)
 	}()
 	return a, func() {
 		cancel()
@@ -42,14 +42,14 @@
 	}
 }
 
-// expireUntil checks deadlines while calls wait, and sleeps otherwise: a steady ticker took more processor time than all
-// other duties of a node without calls.
-func (a *admission) expireUntil(ctx context.Context) {
+// expireLoop checks deadlines only while calls wait: a permanent ticker took more processor time than everything else in an idle
+// node.
+func (a *admission) expireLoop(ctx context.Context) {
 	for {
-		if _, err := a.queued.Pop(ctx); err != nil {
+		if _, err := a.expiryNeeded.Pop(ctx); err != nil {
 			return
 		}
-		timer := time.NewTimer(expireEvery)
+		timer := time.NewTimer(expireInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -63,14 +63,14 @@
 func (a *admission) expire(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.follow(a.limiter.Expire(now))
-	a.watchQueue()
+	a.apply(a.limiter.Expire(now))
+	a.scheduleExpiry()
 }
 
-// watchQueue has the deadlines checked again if calls wait; the caller holds the lock.
-func (a *admission) watchQueue() {
+// scheduleExpiry makes expireLoop check the deadlines again if calls wait; the caller holds the lock.
+func (a *admission) scheduleExpiry() {
 	if a.limiter.Waiting() > 0 {
-		a.queued.TryPush(struct{}{})
+		a.expiryNeeded.TryPush(struct{}{})
 	}
 }
 
@@ -85,14 +85,14 @@
 func (a *admission) SetSlots(slots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.follow(a.limiter.Resize(time.Now(), slots))
+	a.apply(a.limiter.Resize(time.Now(), slots))
 }
 
 // Acquire implements backendhttp.Admission.
 func (a *admission) Acquire(ctx context.Context, call *core.Call) (func(backendhttp.Ending), *core.Refusal) {
-	ticket, turn := a.arrive(call)
+	ticket, decision := a.arrive(call)
 	select {
-	case refusal := <-turn:
+	case refusal := <-decision:
 		return a.admitted(ticket, refusal)
 	case <-ctx.Done():
 	}
@@ -101,13 +101,13 @@
 			Cause: core.CauseRevoked,
 		}
 	}
-	return a.admitted(ticket, <-turn) // the decision was made just before the context ended
+	return a.admitted(ticket, <-decision) // the decision was made just before the context ended
 }
 
 func (a *admission) arrive(call *core.Call) (limiter.Ticket, <-chan *core.Refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	turn := make(chan *core.Refusal, 1)
+	decision := make(chan *core.Refusal, 1)
 	ticket, change := a.limiter.Arrive(time.Now(), limiter.Request{
 		Tenant:       call.Tenant,
 		Priority:     call.Priority,
@@ -117,10 +117,10 @@
 		NoWait:       call.Hedge,
 		Class:        call.Route,
 	})
-	a.waiting[ticket] = turn
-	a.follow(change)
-	a.watchQueue()
-	return ticket, turn
+	a.waiting[ticket] = decision
+	a.apply(change)
+	a.scheduleExpiry()
+	return ticket, decision
 }
 
 func (a *admission) admitted(ticket limiter.Ticket, refusal *core.Refusal) (func(backendhttp.Ending), *core.Refusal) {
@@ -135,7 +135,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.follow(a.limiter.Finish(now, ticket, limiter.Result{
+	a.apply(a.limiter.Finish(now, ticket, limiter.Result{
 		Latency:    now.Sub(startedAt),
 		Overloaded: ending == backendhttp.EndingOverloaded,
 		Failed:     ending == backendhttp.EndingFailed,
@@ -152,8 +152,8 @@
 	return true
 }
 
-// follow wakes the calls that a change concerns; the caller holds the lock.
-func (a *admission) follow(change limiter.Change) {
+// apply wakes the calls that a change starts or sheds; the caller holds the lock.
+func (a *admission) apply(change limiter.Change) {
 	for _, ticket := range change.Start {
 		a.wake(ticket, nil)
 	}
--- a/io/node/admission_test.go
+++ b/io/node/admission_test.go
@@ -13,8 +13,8 @@
 	"parsleyport/io/backendhttp"
 )
 
-// Guards against a call that waits beyond its deadline because nothing wakes the queue, and against a call that is refused
-// although its turn has come.
+// Guards against a call that waits beyond its deadline because nothing wakes the queue, and against a call that is refused although
+// it may start.
 func TestWaitingCallsStartOrExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -33,7 +33,7 @@
 		began := time.Now()
 		_, refusal = a.Acquire(context.Background(), call(time.Second))
 		c.Assert(refusal.Cause, qt.Equals, core.CauseDeadline)
-		c.Assert(time.Since(began) < time.Second+2*expireEvery, qt.IsTrue)
+		c.Assert(time.Since(began) < time.Second+2*expireInterval, qt.IsTrue)
 
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(time.Second, cancel)
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -13,7 +13,7 @@
 	"parsleyport/io/distribution"
 )
 
-// dump is the state dump of a node.
+// dump is the state of a node for support.
 type dump struct {
 	Node         core.NodeID                          `json:"node"`
 	Incarnation  core.Incarnation                     `json:"incarnation"`
--- a/io/node/holders.go
+++ b/io/node/holders.go
@@ -7,8 +7,8 @@
 	"parsleyport/io/distribution"
 )
 
-// keyHolders gives the nodes that may hold idempotency keys of a service: its endpoints and those that left recently. A
-// node that started after a holder had left would otherwise take the next ones for holders, which have not heard of the key.
+// keyHolders gives the nodes that may hold idempotency keys of a service: its endpoints and the tombstones of those that left
+// recently. Without the tombstones, a node that started after a holder left would ask other nodes, which do not know the key.
 type keyHolders struct {
 	subscriber *distribution.Subscriber
 }
@@ -18,7 +18,7 @@
 	return withTombstones(k.subscriber.Endpoints(service), k.subscriber.Tombstones(service))
 }
 
-// withTombstones adds the endpoints that left, except those of nodes that are back.
+// withTombstones appends the tombstones of nodes that have no live endpoint.
 func withTombstones(live, left []core.Endpoint) []core.Endpoint {
 	gone := lo.Filter(left, func(l core.Endpoint, _ int) bool {
 		return !lo.ContainsBy(live, func(e core.Endpoint) bool { return e.Node == l.Node })
--- a/io/node/moves.go
+++ b/io/node/moves.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// evidenceEvery is how often a node reports its counts of services with an open move; a move reacts to a fault within a
-	// few of these periods.
-	evidenceEvery = time.Second
+	// defaultEvidenceInterval is how often a node reports its counts of services with an open move. A move reacts to a fault within
+	// a few intervals.
+	defaultEvidenceInterval = time.Second
 )
 
-// evidence counts the calls of this node and lets the guard see them.
-type evidence struct {
-	recorder *rollout.Recorder
-	guard    *rollout.CircuitBreaker
-	tripped  func(core.ServiceName, core.RouteName, core.Release)
+// evidenceRecorder counts the outcomes of this node's calls and passes them to the circuit breaker.
+type evidenceRecorder struct {
+	recorder       *rollout.Recorder
+	circuitBreaker *rollout.CircuitBreaker
+	onTrip         func(core.ServiceName, core.RouteName, core.Release)
 }
 
 // Record implements core.EvidenceRecorder.
-func (e *evidence) Record(service core.ServiceName, route core.RouteName, release core.Release, failed, crashed bool, latency time.Duration) {
+func (e *evidenceRecorder) Record(service core.ServiceName, route core.RouteName, release core.Release, failed, crashed bool, latency time.Duration) {
 	e.recorder.Record(service, route, release, failed, crashed, latency)
-	if e.guard.Observe(service, route, release, failed || crashed) {
-		e.tripped(service, route, release)
+	if e.circuitBreaker.Observe(service, route, release, failed || crashed) {
+		e.onTrip(service, route, release)
 	}
 }
 
-// RecordTurnedAway implements core.EvidenceRecorder.
-func (e *evidence) RecordRejected(service core.ServiceName, route core.RouteName, release core.Release) {
+// RecordRejected implements core.EvidenceRecorder.
+func (e *evidenceRecorder) RecordRejected(service core.ServiceName, route core.RouteName, release core.Release) {
 	e.recorder.RecordRejected(service, route, release)
 }
 
 // releaseAllowed reports whether this node still sends calls to a release.
-func (e *evidence) releaseAllowed(service core.ServiceName, release core.Release) bool {
-	return e.guard.Share(service, release, core.FullShare) > 0
+func (e *evidenceRecorder) releaseAllowed(service core.ServiceName, release core.Release) bool {
+	return e.circuitBreaker.Share(service, release, core.FullShare) > 0
 }
 
-// watchMoves keeps the guard up to date with the open moves of the configuration in force.
-func watchMoves(ctx context.Context, source record.Source, guard *rollout.CircuitBreaker) {
+// watchMoves keeps the circuit breaker up to date with the open moves of the configuration in force.
+func watchMoves(ctx context.Context, source record.Source, circuitBreaker *rollout.CircuitBreaker) {
 	watched := make(map[core.ServiceName]bool)
 	for {
 		changed := source.Changed()
@@ -53,12 +53,12 @@
 			}
 			from, _ := configuration.UpstreamOf(override.Service, override.From)
 			to, _ := configuration.UpstreamOf(override.Service, override.To)
-			guard.Watch(override.Service, from.Release, to.Release, configuration.Revision())
+			circuitBreaker.Watch(override.Service, from.Release, to.Release, configuration.Revision())
 			open[override.Service] = true
 		}
 		for service := range watched {
 			if !open[service] {
-				guard.Forget(service)
+				circuitBreaker.Forget(service)
 			}
 		}
 		watched = open
@@ -70,24 +70,24 @@
 	}
 }
 
-// reportEvidence passes what was counted during open moves towards the control instances, also once at the end.
-func reportEvidence(ctx context.Context, source record.Source, recorder *rollout.Recorder, every time.Duration, report func([]core.MoveID, []core.EvidenceCount)) {
-	during := &moveEvidence{}
-	ticker := time.NewTicker(every)
+// reportEvidence reports what was counted during open moves at each interval, and once more when the context ends.
+func reportEvidence(ctx context.Context, source record.Source, recorder *rollout.Recorder, interval time.Duration, report func([]core.MoveID, []core.EvidenceCount)) {
+	evidence := &moveEvidence{}
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			report(during.since(source.Current(), recorder.Counts()))
+			report(evidence.since(source.Current(), recorder.Counts()))
 			return
 		case <-ticker.C:
-			report(during.since(source.Current(), recorder.Counts()))
+			report(evidence.since(source.Current(), recorder.Counts()))
 		}
 	}
 }
 
-// moveEvidence separates what a node counts during each open move. Calls from before the node knew of the move are left
-// out here, so that no baseline has to travel and a late report cannot pass for calls of the move.
+// moveEvidence derives what a node has counted during each open move from its cumulative counts. It leaves out calls from before the
+// node knew of the move, so that reports need no baseline and late reports hold no calls from before the move.
 type moveEvidence struct {
 	last map[evidenceSeries]core.EvidenceCount
 	open map[core.ServiceName]core.MoveID
--- a/io/node/moves_test.go
+++ b/io/node/moves_test.go
@@ -27,9 +27,9 @@
 		c.Assert(err, qt.IsNil)
 		return configuration
 	}
-	during := &moveEvidence{}
+	evidence := &moveEvidence{}
 	added := func(configuration *record.Configuration, calls uint64) (sum uint64, moves []core.MoveID) {
-		moves, counts := during.since(configuration, []core.EvidenceCount{{Service: "s", Route: "r", Release: "v1", Calls: calls}})
+		moves, counts := evidence.since(configuration, []core.EvidenceCount{{Service: "s", Route: "r", Release: "v1", Calls: calls}})
 		for _, count := range counts {
 			c.Assert(count.Move, qt.Equals, moves[0])
 			sum += count.Calls
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -22,46 +22,46 @@
 	"parsleyport/io/settings"
 )
 
-// defaultDrainLimit bounds a planned stop; calls have deadlines, so that a longer wait would finish none of them.
+// defaultDrainLimit bounds a planned stop. Calls have deadlines, so a longer wait would not let more of them finish.
 const defaultDrainLimit = 30 * time.Second
 
-// Options configure a node beyond its settings; the zero value of each stands for the node's own interface.
+// Options configure a node beyond its settings; the zero value of each field selects its default.
 type Options struct {
-	Headers          core.HeaderNames
-	CallerNamesCalls bool // a caller's header is the call's id
-	NoHedges         bool
-	Policy           balancer.Policy     // by which endpoints are chosen, empty for the default
-	TrustSlots       bool                // see limiter.Options
-	AimFirst         bool                // see limiter.Options
-	RefusalTries     int                 // endpoints that a call is offered after a refusal for overload, at no cost; zero for the usual attempts
-	Budget           retry.BudgetOptions // of repeated attempts, for each service
-	RetryAfter       func(*core.Refusal) string
-	BackendLease     time.Duration // for which an announcement holds
-	AllowUnframed    bool          // see backendhttp.Options
-	QueueLimit       time.Duration // for which a call may wait for a slot, zero for its whole time
-	DrainLinger      time.Duration // for which a planned stop goes on taking callers who have not noticed it
-	RefusingLinger   time.Duration // after that, in which new calls are refused
-	DrainLimit       time.Duration // of a whole planned stop
-	EvidenceEvery    time.Duration // between two reports of evidence about open moves
+	Headers           core.HeaderNames
+	CallerNamesCalls  bool // the call id comes from a header of the caller
+	NoHedges          bool
+	Policy            balancer.Policy     // for choosing endpoints
+	TrustSlots        bool                // see limiter.Options
+	SoftDeadlineFirst bool                // see limiter.Options
+	RefusalTries      int                 // endpoints tried after refusals for overload, outside the retry budget; zero for the usual attempts
+	Budget            retry.BudgetOptions // for retries, of each service
+	RetryAfter        func(*core.Refusal) string
+	BackendLease      time.Duration // how long an announcement of the backend server is valid
+	AllowUnframed     bool          // see backendhttp.Options
+	QueueLimit        time.Duration // how long a call may wait for a slot, zero for the whole time until its deadline
+	DrainLinger       time.Duration // how long a planned stop still accepts calls of callers that have not noticed it
+	RefusingLinger    time.Duration // how long new calls are refused after DrainLinger
+	DrainLimit        time.Duration // how long a planned stop may take
+	EvidenceInterval  time.Duration // between two reports of evidence about open moves
 }
 
 // process holds what the parts of one node share.
 type process struct {
-	settings    settings.Node
-	options     Options
-	incarnation core.Incarnation
-	log         zerolog.Logger
-	metrics     *metrics.Set
-	guard       *rollout.CircuitBreaker
-	recorder    *rollout.Recorder
-	suspects    *suspects
-	peerServer  atomic.Pointer[nodepeer.Server]
-	service     atomic.Value // core.ServiceName of the local backend server
-	serving     atomic.Bool  // takes callers
-	cleanups    cleanups
-	// drainCallers does nothing until the node takes callers.
+	settings       settings.Node
+	options        Options
+	incarnation    core.Incarnation
+	log            zerolog.Logger
+	metrics        *metrics.Set
+	circuitBreaker *rollout.CircuitBreaker
+	recorder       *rollout.Recorder
+	suspects       *suspects
+	peerServer     atomic.Pointer[nodepeer.Server]
+	service        atomic.Value // core.ServiceName of the local backend server
+	serving        atomic.Bool  // whether the node accepts callers
+	cleanups       cleanups
+	// drainCallers does nothing until the node accepts callers.
 	drainCallers func(context.Context) error
-	// handOver does nothing until the node claims keys.
+	// handOver does nothing until the node claims idempotency keys.
 	handOver func(context.Context) error
 }
 
@@ -83,10 +83,10 @@
 	return n.Serve(ctx)
 }
 
-// New starts all parts of a node but that which takes callers; it returns an error if an address cannot be used.
+// New starts all parts of a node except the server for callers; it returns an error if an address cannot be used.
 func New(s settings.Node, options Options, log zerolog.Logger) (*Node, func(), error) {
-	if options.EvidenceEvery == 0 {
-		options.EvidenceEvery = evidenceEvery
+	if options.EvidenceInterval == 0 {
+		options.EvidenceInterval = defaultEvidenceInterval
 	}
 	if options.DrainLimit == 0 {
 		options.DrainLimit = defaultDrainLimit
@@ -96,14 +96,14 @@
 	}
 	incarnation := core.Incarnation(time.Now().UnixNano())
 	p := &process{
-		settings:    s,
-		options:     options,
-		incarnation: incarnation,
-		log:         log.With().Str("node", string(s.ID)).Logger(),
-		metrics:     metrics.NewSet(),
-		guard:       rollout.NewCircuitBreaker(),
-		recorder:    rollout.NewRecorder(s.ID, incarnation),
-		suspects:    newSuspects(),
+		settings:       s,
+		options:        options,
+		incarnation:    incarnation,
+		log:            log.With().Str("node", string(s.ID)).Logger(),
+		metrics:        metrics.NewSet(),
+		circuitBreaker: rollout.NewCircuitBreaker(),
+		recorder:       rollout.NewRecorder(s.ID, incarnation),
+		suspects:       newSuspects(),
 
 		drainCallers: func(context.Context) error { return nil },
 		handOver:     func(context.Context) error { return nil },
@@ -121,7 +121,7 @@
 	return n, p.cleanups.run, nil
 }
 
-// Serve takes callers once the configuration is confirmed. When the context ends, it finishes the calls that have begun.
+// Serve accepts callers once the configuration is confirmed. When the context ends, it finishes the calls that have begun.
 func (n *Node) Serve(ctx context.Context) error {
 	p := n.process
 	if err := p.openForCallers(ctx, n.injector); err != nil {
@@ -135,24 +135,23 @@
 	return nil
 }
 
-// Announce takes what the local backend server says of itself; it returns what is wrong with it.
+// Announce handles an announcement of the local backend server; it returns an error if the announcement is invalid.
 func (n *Node) Announce(a backendhttp.Announcement) error {
 	return n.backend.Announce(a)
 }
 
-// SetControlAddresses replaces the addresses where the node looks for control instances when it loses the one it is attached
-// to.
+// SetControlAddresses replaces the addresses at which the node looks for a control instance when it loses the one it is attached to.
 func (n *Node) SetControlAddresses(addresses []string) {
 	do.MustInvoke[*distribution.Subscriber](n.injector).SetControlAddresses(addresses)
 }
 
-// Serving reports whether the node takes callers.
+// Serving reports whether the node accepts callers.
 func (n *Node) Serving() bool {
 	return n.process.serving.Load()
 }
 
-// openForCallers waits until the configuration is confirmed and the endpoints are known. A caller that cannot connect
-// tries another node at once, while one that gets a refusal here may not.
+// openForCallers waits until the configuration is confirmed and the endpoints are known. A caller that cannot connect tries another
+// node at once, while a caller that gets a refusal here may not.
 func (p *process) openForCallers(ctx context.Context, injector do.Injector) error {
 	subscriber := do.MustInvoke[*distribution.Subscriber](injector)
 	for _, signal := range []<-chan struct{}{subscriber.ConfirmedSignal(), subscriber.EndpointsSignal()} {
@@ -168,11 +167,11 @@
 	}
 	p.drainCallers = callers.Drain
 	p.serving.Store(true)
-	p.log.Info().Str("event", "serving").Msg("node takes callers")
+	p.log.Info().Str("event", "serving").Msg("node accepts callers")
 	return nil
 }
 
-// injector registers how each part is made; parts are made when they are first asked for.
+// injector registers the constructors of all parts; each runs when its part is first needed.
 func (p *process) injector() do.Injector {
 	injector := do.New()
 	do.Provide(injector, p.newSubscriber)
@@ -196,26 +195,26 @@
 	if err := p.startAdmin(injector, subscriber); err != nil {
 		return err
 	}
-	p.startDuties(subscriber)
+	p.startTasks(subscriber)
 	return nil
 }
 
-// startDuties starts a goroutine for each duty that no other part has.
-func (p *process) startDuties(subscriber *distribution.Subscriber) {
+// startTasks starts the background tasks that belong to no other part.
+func (p *process) startTasks(subscriber *distribution.Subscriber) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() { watchMoves(ctx, subscriber, p.guard) })
-	duties.Go(func() {
-		reportEvidence(ctx, subscriber, p.recorder, p.options.EvidenceEvery, subscriber.ReportEvidence)
+	var tasks sync.WaitGroup
+	tasks.Go(func() { watchMoves(ctx, subscriber, p.circuitBreaker) })
+	tasks.Go(func() {
+		reportEvidence(ctx, subscriber, p.recorder, p.options.EvidenceInterval, subscriber.ReportEvidence)
 	})
 	p.cleanups.add(func() {
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 	})
 }
 
-// drain ends a node without cutting off a call: the fleet learns that it is leaving, and callers and other nodes finish what
-// they have begun here, at the same time.
+// drain stops a node without cutting off calls: the fleet learns that it is leaving, while callers and other nodes finish the calls
+// that they have begun here.
 func (p *process) drain(injector do.Injector) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.DrainLimit)
 	defer cancel()
@@ -227,12 +226,12 @@
 	} {
 		drains.Go(func() {
 			if err := drain(ctx); err != nil {
-				p.log.Warn().Err(err).Str("event", "drain-incomplete").Str("part", name).Msg("calls were cut off")
+				p.log.Warn().Err(err).Str("event", "drain-incomplete").Str("part", name).Msg("calls cut off because the node was not drained in time")
 			}
 		})
 	}
 	drains.Wait()
 	if err := p.handOver(ctx); err != nil {
-		p.log.Warn().Err(err).Str("event", "keys-not-handed-over").Msg("idempotency keys are forgotten")
+		p.log.Warn().Err(err).Str("event", "keys-not-handed-over").Msg("idempotency keys not handed over and lost")
 	}
 }
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -15,8 +15,8 @@
 	"parsleyport/io/nodepeer"
 )
 
-// keep registers the clean-up function of a part that could be made.
-func keep[T any](p *process, part T, cleanup func(), err error) (T, error) {
+// registerCleanup registers the clean-up function of a part that was made without an error.
+func registerCleanup[T any](p *process, part T, cleanup func(), err error) (T, error) {
 	if err == nil {
 		p.cleanups.add(cleanup)
 	}
@@ -30,13 +30,13 @@
 		DataCentre:        p.settings.DataCentre,
 		RelayAddress:      p.settings.RelayAddress,
 		ControlAddresses:  p.settings.ControlAddresses,
-		OnCrash:           p.suspects.crashed,
+		OnCrash:           p.suspects.recordCrash,
 		OnDemandEndpoints: true,
-		EvidenceInterval:  p.options.EvidenceEvery,
+		EvidenceInterval:  p.options.EvidenceInterval,
 		Logger:            p.log,
 		Metrics:           p.metrics,
 	})
-	return keep(p, subscriber, cleanup, err)
+	return registerCleanup(p, subscriber, cleanup, err)
 }
 
 func (p *process) newBackend(injector do.Injector) (*backendhttp.Server, error) {
@@ -46,7 +46,7 @@
 	}
 	admission, stopAdmission := newAdmission(limiter.Options{
 		TrustSlots:        p.options.TrustSlots,
-		SoftDeadlineFirst: p.options.AimFirst,
+		SoftDeadlineFirst: p.options.SoftDeadlineFirst,
 	})
 	p.cleanups.add(stopAdmission)
 	server, cleanup, err := backendhttp.New(backendhttp.Options{
@@ -60,11 +60,11 @@
 		Logger:        p.log,
 		Metrics:       p.metrics,
 	})
-	return keep(p, server, cleanup, err)
+	return registerCleanup(p, server, cleanup, err)
 }
 
-// announce tells the fleet of the local backend server, and the memory of idempotency keys since when this node is one of
-// the service's nodes.
+// announce tells the fleet about the local backend server. It also tells the peer server, since a holder of idempotency keys needs to
+// know since when this node is one of the service's nodes.
 func (p *process) announce(subscriber *distribution.Subscriber, a backendhttp.Announcement) {
 	p.service.Store(a.Service)
 	subscriber.Announce(core.Endpoint{
@@ -125,7 +125,7 @@
 	}
 	p.cleanups.add(cleanup)
 	p.peerServer.Store(server)
-	if announced, exists := backend.Current(); exists { // before the server could be told
+	if announced, exists := backend.Current(); exists { // it was announced before the peer server existed
 		server.Announced(announced.Service, announced.State != core.EndpointLeaving)
 	}
 	return server, nil
@@ -148,7 +148,7 @@
 		Logger:     p.log,
 		Metrics:    p.metrics,
 	})
-	return keep(p, dialer, cleanup, err)
+	return registerCleanup(p, dialer, cleanup, err)
 }
 
 func (p *process) newBalancer(do.Injector) (*balancer.Balancer, error) {
@@ -169,10 +169,10 @@
 	if err != nil {
 		return nil, err
 	}
-	counts := &evidence{
-		recorder: p.recorder,
-		guard:    p.guard,
-		tripped:  p.logTripped,
+	evidence := &evidenceRecorder{
+		recorder:       p.recorder,
+		circuitBreaker: p.circuitBreaker,
+		onTrip:         p.logTripped,
 	}
 	server, cleanup, err := callerhttp.New(callerhttp.Options{
 		Address:          p.settings.CallerAddress,
@@ -184,9 +184,9 @@
 		EndpointsKnown:   subscriber.EndpointsKnown,
 		Picker:           do.MustInvoke[*balancer.Balancer](injector),
 		Forwarder:        dialer,
-		Evidence:         counts,
-		ReleaseAllowed:   counts.releaseAllowed,
-		Suspected:        p.suspects.suspected,
+		Evidence:         evidence,
+		ReleaseAllowed:   evidence.releaseAllowed,
+		Suspected:        p.suspects.isSuspected,
 		Keys:             keys,
 		Headers:          p.headers(),
 		CallerNamesCalls: p.options.CallerNamesCalls,
@@ -201,10 +201,10 @@
 		Logger:           p.log,
 		Metrics:          p.metrics,
 	})
-	return keep(p, server, cleanup, err)
+	return registerCleanup(p, server, cleanup, err)
 }
 
-// newKeys returns nil if callers have no header for idempotency keys: no node then asks another one about them.
+// newKeys returns nil if callers have no header for idempotency keys, so that no node asks another one about keys.
 func (p *process) newKeys(injector do.Injector, dialer *nodepeer.Dialer) (callerhttp.KeyClaimer, error) {
 	if p.headers().IdempotencyKey == "" {
 		return nil, nil
@@ -228,7 +228,7 @@
 	return keys, nil
 }
 
-// localService is the service of the local backend server, or that of the settings before it has announced itself.
+// localService returns the service of the local backend server, or the one in the settings if none has announced itself yet.
 func (p *process) localService() core.ServiceName {
 	if service, known := p.service.Load().(core.ServiceName); known {
 		return service
--- a/io/node/parts_test.go
+++ b/io/node/parts_test.go
@@ -8,7 +8,7 @@
 	"parsleyport/core"
 )
 
-// Guards against questions about idempotency keys to other nodes where callers have no header to send one.
+// Guards against requests to other nodes about idempotency keys when callers have no header to send a key.
 func TestNodesWithoutAHeaderForKeysClaimNone(t *testing.T) {
 	c := qt.New(t)
 	p := &process{
--- a/io/node/suspects.go
+++ b/io/node/suspects.go
@@ -9,38 +9,38 @@
 	"parsleyport/core/record"
 )
 
-// clockMargin is the greatest difference between the clocks of two instances that is allowed for.
+// clockMargin is the greatest difference between the clocks of two instances that serviceSince allows for.
 const clockMargin = time.Second
 
-// suspects lets the goroutines of a node share an idempotency.Suspects.
+// suspects makes an idempotency.Suspects safe for concurrent use.
 type suspects struct {
-	mu     sync.Mutex // guards memory
-	memory *idempotency.Suspects
+	mu       sync.Mutex // guards detector
+	detector *idempotency.Suspects
 }
 
 func newSuspects() *suspects {
 	return &suspects{
-		memory: idempotency.NewSuspects(),
+		detector: idempotency.NewSuspects(),
 	}
 }
 
-func (s *suspects) crashed(at time.Time, report core.CrashReport) {
+func (s *suspects) recordCrash(at time.Time, report core.CrashReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.memory.RecordCrash(at, idempotency.CrashID{
+	s.detector.RecordCrash(at, idempotency.CrashID{
 		Node: report.Node,
 		Run:  report.Run,
 	}, idempotency.Fingerprint(report.Fingerprint))
 }
 
-func (s *suspects) suspected(fingerprint idempotency.Fingerprint) bool {
+func (s *suspects) isSuspected(fingerprint idempotency.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.memory.Suspected(time.Now(), fingerprint)
+	return s.detector.Suspected(time.Now(), fingerprint)
 }
 
-// serviceSince returns a time before which no call of the service can have been made: that of the first acceptance of
-// its record, without which no route can lead to it.
+// serviceSince returns a time before which no call of the service can have been made: the time at which its record was first
+// accepted, since no route can lead to the service without the record.
 func serviceSince(configuration *record.Configuration, service core.ServiceName) (time.Time, bool) {
 	for schema := record.NewestSchema; schema >= 1; schema-- {
 		held, exists := configuration.Record(core.RecordKey{
--- a/io/settings/control.go
+++ b/io/settings/control.go
@@ -42,7 +42,7 @@
 	// MaxShortMoveDuration is the longest duration of a move that risks more calls in order to end in time, zero for no such moves.
 	MaxShortMoveDuration time.Duration
 	DirectNodes          int           // of one data centre that attach to this instance, zero for the default
-	EvidenceEvery        time.Duration // between two reports of evidence to the other instances, zero for the default
+	EvidenceInterval     time.Duration // between two reports of evidence to the other instances, zero for the default
 	LogLevel             zerolog.Level
 }
 
