--- a/io/adminhttp/doc.go
+++ b/io/adminhttp/doc.go
@@ -1,2 +1,2 @@
-// Package adminhttp serves a node's metrics, readiness and state dump to monitoring and support.
+// Package adminhttp serves the metrics, readiness and state dump of a process for monitoring and support.
 package adminhttp
--- a/io/adminhttp/server.go
+++ b/io/adminhttp/server.go
@@ -18,7 +18,7 @@
 	stopTimeout   = time.Second
 )
 
-// Options configure a Server. State is encoded as JSON for the state dump and must hold no secrets.
+// Options configure the server. State is encoded as JSON for the state dump and must hold no secrets.
 type Options struct {
 	Address string
 	Ready   func() bool
--- a/io/adminhttp/server_test.go
+++ b/io/adminhttp/server_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Guards against a node that reports itself ready before it is, and against an empty state dump or metrics page.
+// Guards against a process that reports itself ready before it is, and against an empty state dump or metrics page.
 func TestHandlerServesReadinessStateAndMetrics(t *testing.T) {
 	c := qt.New(t)
 	ready := false
--- a/io/operatorhttp/api.go
+++ b/io/operatorhttp/api.go
@@ -9,34 +9,34 @@
 
 // Limits of the API.
 const (
-	proposeTimeout    = 4 * time.Second         // below the client's attempt, so that the client reads the reason
-	recordTimeout     = 1500 * time.Millisecond // of an entry about a membership change, beside proposeTimeout
+	proposeTimeout    = 4 * time.Second         // shorter than the client's attemptTimeout, so that the client receives the reason
+	recordTimeout     = 1500 * time.Millisecond // of an audit entry about a membership change; the result is recorded after proposeTimeout
 	confirmTimeout    = 4 * time.Second
-	statusTimeout     = time.Second // status is also for times without a leader
+	statusTimeout     = time.Second // short, because status is also asked for without a leader
 	headerTimeout     = 5 * time.Second
 	bodyTimeout       = 30 * time.Second
-	answerTimeout     = time.Minute // from the end of the header
+	answerTimeout     = time.Minute // from the end of the request header
 	idleTimeout       = time.Minute
 	stopTimeout       = 5 * time.Second
 	attemptTimeout    = 6 * time.Second
 	dialTimeout       = 2 * time.Second
-	pauseBetween      = 200 * time.Millisecond // after all servers have failed once
-	maxRequests       = 64                     // handled at the same time; further ones get status 503
+	retryPause        = 200 * time.Millisecond // after an attempt at each server has failed
+	maxRequests       = 64                     // handled concurrently; further ones get status 503
 	maxAnswerBytes    = 64 << 20
 	maxTokenFileBytes = 4 << 10
 	maxHeaderBytes    = 64 << 10
 )
 
-// Limits that keep one tenant from using up what the others need.
+// Costs of requests against the rate limits, in requests. They keep one tenant from using up the capacity of the others.
 const (
-	countedBytes = 256 << 10 // of a body count as one more request
-	// AuditCount is what a query of the audit trail counts for the rate of queries.
-	AuditCount = 10
-	// MaxCount is the most that a request counts for.
-	MaxCount = 1 + catalog.MaxCommandBytes/countedBytes
+	bytesPerCost = 256 << 10 // of a body cost as much as one more request
+	// AuditCost is the cost of a query of the audit trail.
+	AuditCost = 10
+	// MaxCost is the highest cost of a request.
+	MaxCost = 1 + catalog.MaxCommandBytes/bytesPerCost
 )
 
-// DefaultAuditLimit is the number of entries that a query of the audit trail finds if it names none.
+// DefaultAuditLimit is the number of entries that a query of the audit trail returns if it names no limit.
 const DefaultAuditLimit = 100
 
 // Paths of the API.
@@ -72,25 +72,25 @@
 	LastReport time.Time          `json:"last-report"` // on this control instance's clock
 }
 
-// FleetView gives the state of the fleet as this control instance knows it; it may be called from any goroutine.
+// FleetView describes the fleet as this control instance knows it; it is safe for concurrent use.
 type FleetView interface {
 	// Nodes returns the newest report of each node, sorted by name.
 	Nodes() []NodeStatus
 	// Endpoints returns the endpoints of a service; the slice must not be changed.
 	Endpoints(service core.ServiceName) []core.Endpoint
-	// Fleet returns the state of the fleet now.
+	// Fleet returns the current state of the fleet.
 	Fleet() FleetStatus
 }
 
 // Status is the answer of the status operation.
 type Status struct {
-	Tenants   []core.TenantID       `json:"tenants,omitempty"` // if the token is limited to them, and so is the rest
-	Current   bool                  `json:"current"`           // false if no leader confirmed that the rest is up to date
+	Tenants   []core.TenantID       `json:"tenants,omitempty"` // set if the token is limited to them, as the other fields then are
+	Current   bool                  `json:"current"`           // false if no leader confirmed that the other fields are up to date
 	Revision  core.Revision         `json:"revision"`
 	Hash      string                `json:"hash"`
 	OpenMoves []core.MoveID         `json:"open-moves"`
 	Fleet     FleetStatus           `json:"fleet"`
-	Nodes     []NodeStatus          `json:"nodes,omitempty"` // only if asked for
+	Nodes     []NodeStatus          `json:"nodes,omitempty"` // only if requested
 	Replica   core.ReplicatorStatus `json:"replica"`
-	Rules     core.RulesVersion     `json:"rules"` // for deciding commands, in force
+	Rules     core.RulesVersion     `json:"rules"` // in force for deciding commands
 }
--- a/io/operatorhttp/bucket_test.go
+++ b/io/operatorhttp/bucket_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a rate that lets more through than it names, never refills, or names too short a wait.
-func TestBucketKeepsItsRate(t *testing.T) {
-	b, now, admitted := newBucket(Rate{PerSecond: 5, Burst: 20}), time.Unix(1_800_000_000, 0), 0
+// Guards against a token bucket that admits more than its rate, never refills, or returns too short a wait.
+func TestTokenBucketKeepsItsRate(t *testing.T) {
+	b, now, admitted := newTokenBucket(Rate{PerSecond: 5, Burst: 20}), time.Unix(1_800_000_000, 0), 0
 	for range 100 { // 10 s
 		for range 3 {
 			if b.take(now, 1) == 0 {
@@ -24,6 +24,6 @@
 	wait := b.take(now, 20)
 	qt.Assert(t, b.take(now.Add(wait-time.Millisecond), 20) > 0, qt.IsTrue)
 	qt.Assert(t, b.take(now.Add(wait+time.Microsecond), 20), qt.Equals, time.Duration(0))
-	counted := countOf(&http.Request{Method: http.MethodPost, URL: &url.URL{Path: submissionsPath}, ContentLength: -1})
-	qt.Assert(t, counted, qt.Equals, float64(MaxCount)) // long refused commands would keep the leader's disk busy
+	counted := costOf(&http.Request{Method: http.MethodPost, URL: &url.URL{Path: submissionsPath}, ContentLength: -1})
+	qt.Assert(t, counted, qt.Equals, float64(MaxCost)) // long refused commands would keep the leader's disk busy
 }
--- a/io/operatorhttp/client.go
+++ b/io/operatorhttp/client.go
@@ -24,18 +24,17 @@
 	ErrUnreachable = errors.ConstError("no control instance took the request")
 	// ErrRejected means that a server refused the request as malformed, unauthorized or about something that does not exist.
 	ErrRejected = errors.ConstError("rejected")
-	// ErrLimited means that the servers answered that too many requests came with the token until the deadline, so nothing has
-	// changed.
+	// ErrLimited means that a rate limit rejected the request up to the deadline, so nothing has changed.
 	ErrLimited = errors.ConstError("rate limit")
 )
 
-// ClientOptions are what a Client works with; Servers are operator addresses, Token may be empty.
+// ClientOptions configure a Client. Servers are operator addresses, Token may be empty.
 type ClientOptions struct {
 	Servers []string
 	Token   string
 }
 
-// Client sends operators' requests; it resends until the context ends, which must have a deadline.
+// Client sends operators' requests. It resends each request until it is answered or the context, which must have a deadline, ends.
 type Client struct {
 	options ClientOptions
 	http    *http.Client
@@ -50,7 +49,7 @@
 		options: options,
 		http: &http.Client{
 			Transport: &http.Transport{
-				DialContext: dialer.DialContext, // no proxy: control instances are reached by IP number
+				DialContext: dialer.DialContext, // without a proxy, since control instances are dialled by IP address
 			},
 			Timeout: attemptTimeout,
 		},
@@ -65,18 +64,18 @@
 // Submit sends a submission until it has a verdict; it returns core.ErrOutcomeUnknown, ErrUnreachable, ErrLimited
 // or ErrRejected.
 func (c *Client) Submit(ctx context.Context, submission core.Submission) (catalog.Verdict, error) {
-	return command[catalog.Verdict](ctx, c, submissionsPath, submission)
+	return post[catalog.Verdict](ctx, c, submissionsPath, submission)
 }
 
 // Move requests a move; its errors are those of Submit.
 func (c *Client) Move(ctx context.Context, request core.MoveRequest) (catalog.Verdict, error) {
-	return command[catalog.Verdict](ctx, c, movesPath, request)
+	return post[catalog.Verdict](ctx, c, movesPath, request)
 }
 
-// Abort takes a move back; its errors are those of Submit.
+// Abort requests that a move is taken back; its errors are those of Submit.
 func (c *Client) Abort(ctx context.Context, abort catalog.Abort) (catalog.Verdict, error) {
 	path := strings.Replace(abortPath, "{id}", url.PathEscape(string(abort.MoveID)), 1)
-	return command[catalog.Verdict](ctx, c, path, abortBody{
+	return post[catalog.Verdict](ctx, c, path, abortBody{
 		ID:       abort.ID,
 		Operator: abort.Operator,
 	})
@@ -84,22 +83,22 @@
 
 // Moves lists the moves; it returns ErrUnreachable, ErrLimited or ErrRejected.
 func (c *Client) Moves(ctx context.Context) ([]core.Move, error) {
-	return read[[]core.Move](ctx, c, movesPath)
+	return get[[]core.Move](ctx, c, movesPath)
 }
 
 // ShowMove returns one move; its errors are those of Moves.
 func (c *Client) ShowMove(ctx context.Context, id core.MoveID) (core.Move, error) {
-	return read[core.Move](ctx, c, strings.Replace(movePath, "{id}", url.PathEscape(string(id)), 1))
+	return get[core.Move](ctx, c, strings.Replace(movePath, "{id}", url.PathEscape(string(id)), 1))
 }
 
 // Status describes the fleet as the first reachable control instance knows it; its errors are those of Moves.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	return read[Status](ctx, c, statusPath)
+	return get[Status](ctx, c, statusPath)
 }
 
 // StatusWithNodes adds the newest report of each node; its errors are those of Moves.
 func (c *Client) StatusWithNodes(ctx context.Context) (Status, error) {
-	return read[Status](ctx, c, statusPath+"?nodes=true")
+	return get[Status](ctx, c, statusPath+"?nodes=true")
 }
 
 // Records returns the accepted records that match a filter; its errors are those of Moves.
@@ -109,17 +108,17 @@
 		"service": {string(filter.Service)},
 		"name":    {filter.Name},
 	}
-	return read[Records](ctx, c, recordsPath+"?"+query.Encode())
+	return get[Records](ctx, c, recordsPath+"?"+query.Encode())
 }
 
-// Audit returns the latest matching entries of the audit trail up to the filter's limit, oldest first, and asks for as many
-// pages as that takes; its errors are those of Moves.
+// Audit returns the latest matching entries of the audit trail up to the filter's limit, oldest first, from as many pages as needed;
+// its errors are those of Moves.
 func (c *Client) Audit(ctx context.Context, filter catalog.AuditFilter) ([]catalog.AuditEntry, error) {
 	page, err := c.AuditPages(filter, func(filter catalog.AuditFilter) (catalog.AuditPage, error) { return c.AuditPage(ctx, filter) })
 	return page.Entries, err
 }
 
-// AuditPages puts pages together until the filter's limit is reached or there are no more; Next goes on from there.
+// AuditPages joins pages until the filter's limit is reached or no page is left; Next of the result continues from there.
 func (c *Client) AuditPages(filter catalog.AuditFilter, ask func(catalog.AuditFilter) (catalog.AuditPage, error)) (catalog.AuditPage, error) {
 	limit := filter.Limit
 	if limit == 0 {
@@ -140,7 +139,7 @@
 	}
 }
 
-// AuditPage asks for one page; its errors are those of Moves.
+// AuditPage returns one page of the audit trail; its errors are those of Moves.
 func (c *Client) AuditPage(ctx context.Context, filter catalog.AuditFilter) (catalog.AuditPage, error) {
 	query := url.Values{}
 	for key, value := range map[string]string{
@@ -161,46 +160,46 @@
 	if filter.Before > 0 {
 		query.Set("before", strconv.FormatUint(filter.Before, 10))
 	}
-	return read[catalog.AuditPage](ctx, c, auditPath+"?"+query.Encode())
+	return get[catalog.AuditPage](ctx, c, auditPath+"?"+query.Encode())
 }
 
 // Members describes the membership as the first reachable member knows it; its errors are those of Moves.
 func (c *Client) Members(ctx context.Context) (Members, error) {
-	return read[Members](ctx, c, membersPath)
+	return get[Members](ctx, c, membersPath)
 }
 
-// ChangeMembers asks the leader for a membership change, whose address and data centre it knows itself; a promotion
-// waits until the learner has caught up. Its errors are those of Submit.
+// ChangeMembers requests a membership change from the leader, which adds the address and the data centre from its settings. A
+// promotion waits until the learner has caught up. Its errors are those of Submit.
 func (c *Client) ChangeMembers(ctx context.Context, change MemberChange) (Members, error) {
 	path := strings.NewReplacer("{id}", url.PathEscape(string(change.Peer.ID)), "{change}", string(change.Kind)).Replace(changePath)
-	return command[Members](ctx, c, path, changeBody{
+	return post[Members](ctx, c, path, changeBody{
 		Submission: change.ID,
 		Operator:   change.Operator,
 		Identity:   change.Peer.Identity,
 	})
 }
 
-func command[T any](ctx context.Context, c *Client, path string, body any) (T, error) {
+func post[T any](ctx context.Context, c *Client, path string, body any) (T, error) {
 	var answer, none T
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return none, errors.Trace(err)
 	}
-	mayHaveRun, err := c.persist(ctx, http.MethodPost, path, encoded, &answer)
-	if err != nil && mayHaveRun { // a rejection by one server does not undo what another one may have proposed
+	mayHaveRun, err := c.tryServers(ctx, http.MethodPost, path, encoded, &answer)
+	if err != nil && mayHaveRun { // another server may have proposed the command before this one rejected it
 		return none, errors.Annotatef(core.ErrOutcomeUnknown, "%v", err)
 	}
 	return answer, err
 }
 
-func read[T any](ctx context.Context, c *Client, path string) (T, error) {
+func get[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var answer T
-	_, err := c.persist(ctx, http.MethodGet, path, nil, &answer)
+	_, err := c.tryServers(ctx, http.MethodGet, path, nil, &answer)
 	return answer, err
 }
 
-// persist tries the servers in turn until one answers. It reports whether an attempt may have been proposed.
-func (c *Client) persist(ctx context.Context, method, path string, body []byte, answer any) (mayHaveRun bool, err error) {
+// tryServers sends a request to the servers in turn until one answers. It reports whether an attempt may have been proposed.
+func (c *Client) tryServers(ctx context.Context, method, path string, body []byte, answer any) (mayHaveRun bool, err error) {
 	if len(c.options.Servers) == 0 {
 		return false, errors.Annotate(ErrUnreachable, "no server is given")
 	}
@@ -212,7 +211,7 @@
 			if err == nil || errors.Is(err, ErrRejected) {
 				return mayHaveRun, err
 			}
-			if limit, is := errors.AsType[*limitError](err); is {
+			if limit, is := errors.AsType[*rateLimitError](err); is {
 				if !pause(ctx, limit.wait) {
 					return mayHaveRun, errors.WithType(err, ErrLimited)
 				}
@@ -222,13 +221,13 @@
 				return mayHaveRun, errors.WithType(err, ErrUnreachable)
 			}
 		}
-		if !pause(ctx, pauseBetween) {
+		if !pause(ctx, retryPause) {
 			return mayHaveRun, errors.WithType(err, ErrUnreachable)
 		}
 	}
 }
 
-// pause reports whether the time has passed; it does not begin to wait if the context ends before.
+// pause waits and reports whether the whole time has passed. It does not wait at all if the context would end first.
 func pause(ctx context.Context, wait time.Duration) bool {
 	if deadline, exists := ctx.Deadline(); exists && time.Until(deadline) <= wait {
 		return false
@@ -241,14 +240,14 @@
 	}
 }
 
-// limitError is the answer to a request above a rate limit.
-type limitError struct {
+// rateLimitError means that a request was rejected because of a rate limit; wait is the time until the next attempt.
+type rateLimitError struct {
 	text string
 	wait time.Duration
 }
 
 // Error implements error.
-func (l *limitError) Error() string {
+func (l *rateLimitError) Error() string {
 	return l.text
 }
 
@@ -274,28 +273,28 @@
 	}
 	if response.StatusCode == http.StatusTooManyRequests {
 		seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
-		return false, &limitError{
-			text: server + ": " + problem(content),
-			wait: max(time.Duration(seconds)*time.Second, pauseBetween),
+		return false, &rateLimitError{
+			text: server + ": " + problemText(content),
+			wait: max(time.Duration(seconds)*time.Second, retryPause),
 		}
 	}
-	return evaluate(server, response.StatusCode, content, answer)
+	return decodeAnswer(server, response.StatusCode, content, answer)
 }
 
-func evaluate(server string, status int, content []byte, answer any) (reached bool, err error) {
+func decodeAnswer(server string, status int, content []byte, answer any) (reached bool, err error) {
 	switch {
 	case status == http.StatusOK || status == http.StatusConflict:
 		return true, errors.Annotate(json.Unmarshal(content, answer), server)
 	case status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout:
-		return false, errors.Errorf("%s: %s", server, problem(content))
+		return false, errors.Errorf("%s: %s", server, problemText(content))
 	case status < http.StatusInternalServerError:
-		return false, errors.WithType(errors.Errorf("%s: %s", server, problem(content)), ErrRejected)
+		return false, errors.WithType(errors.Errorf("%s: %s", server, problemText(content)), ErrRejected)
 	}
-	return true, errors.Errorf("%s: status %d: %s", server, status, problem(content))
+	return true, errors.Errorf("%s: status %d: %s", server, status, problemText(content))
 }
 
-// problem returns the detail of an error answer, or the answer itself if it has another format.
-func problem(content []byte) string {
+// problemText returns the detail of an error answer, or the answer itself if it has another format.
+func problemText(content []byte) string {
 	var described struct {
 		Detail string `json:"detail"`
 		Errors []struct {
--- a/io/operatorhttp/dump.go
+++ b/io/operatorhttp/dump.go
@@ -12,7 +12,7 @@
 	"parsleyport/core/raft"
 )
 
-// dump is the state of a control instance for support. It has no secrets.
+// dump is the state of a control instance for support. It holds no secrets.
 type dump struct {
 	Replica    core.ReplicatorStatus                `json:"replica"`
 	Members    []raft.Member                        `json:"members"`
@@ -26,7 +26,8 @@
 	Records    []core.Record                        `json:"records"`
 }
 
-// metrics are read under overload too. They are of all tenants together, so they need a token once tokens are limited.
+// metrics returns the metrics handler, which also works under overload. The metrics cover all tenants, so they need a token with all
+// rights if any token is limited.
 func (s *Server) metrics() http.Handler {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
@@ -34,13 +35,13 @@
 		metrics.WriteProcessMetrics(w)
 		metrics.WriteFDMetrics(w)
 	})
-	if s.guard.hasLimited() {
-		return s.unlimited(handler)
+	if s.authenticator.hasLimitedTokens() {
+		return s.requireAllRights(handler)
 	}
 	return handler
 }
 
-// ready says whether operators' reads and commands are answered here: a leader confirms that this instance is up to date.
+// ready answers with 200 if a leader confirms that this instance is up to date, so that it can answer operators' requests.
 func (s *Server) ready(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
--- a/io/operatorhttp/dump_test.go
+++ b/io/operatorhttp/dump_test.go
@@ -19,7 +19,7 @@
 	f := start(c, "", replicator)
 	status, _ := get(c, f.address+"/ready", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
-	replicator.unread = core.ErrNoLeader
+	replicator.readError = core.ErrNoLeader
 	status, _ = get(c, f.address+"/ready", "")
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 
--- a/io/operatorhttp/members.go
+++ b/io/operatorhttp/members.go
@@ -21,15 +21,15 @@
 	Members() []raft.Member
 	// NonMembers returns the instances that have introduced themselves and are not members.
 	NonMembers() []raft.Peer
-	// CatchUp returns what each learner holds.
+	// CatchUp returns the progress of each learner.
 	CatchUp() []CatchUp
-	// Change commits a change, or returns core.ErrNoLeader, raft.ErrTransient, core.ErrOutcomeUnknown or why it was refused.
+	// Change commits a change, or returns core.ErrNoLeader, raft.ErrTransient, core.ErrOutcomeUnknown or the reason of its refusal.
 	Change(ctx context.Context, change raft.Change) error
 }
 
 // Members is the answer of the operations on the membership.
 type Members struct {
-	Current           bool            `json:"current"` // false if no leader confirmed that the rest is up to date
+	Current           bool            `json:"current"` // false if no leader confirmed that the other fields are up to date
 	Leader            core.ControlID  `json:"leader"`
 	Members           []raft.Member   `json:"members"`
 	NonMembers        []raft.Peer     `json:"non-members"` // introduced, but not members
@@ -38,13 +38,13 @@
 	CatchUp           []CatchUp       `json:"catch-up"` // of each learner
 }
 
-// CatchUp says how far a learner is; Known is false if it has not reported within the last seconds.
+// CatchUp describes the progress of a learner. Known is false if it has not reported within the last seconds.
 type CatchUp struct {
 	ID           core.ControlID `json:"id"`
 	Known        bool           `json:"known"`
 	Applied      core.LogIndex  `json:"applied"`
-	Committed    core.LogIndex  `json:"committed"`     // by the leader, as the answering instance knows it
-	MissingAudit uint64         `json:"missing-audit"` // entries of the audit trail that only others hold
+	Committed    core.LogIndex  `json:"committed"`     // by the leader, as far as the answering instance knows
+	MissingAudit uint64         `json:"missing-audit"` // entries of the audit trail that the learner lacks
 }
 
 func (c CatchUp) text() string {
@@ -58,15 +58,15 @@
 	return text
 }
 
-// MissingChange is a change that an operator has still to ask for, unless the instance is meant to stay as it is.
+// MissingChange is a change that an operator still has to request, unless the instance is meant to stay as it is.
 type MissingChange struct {
 	ID     core.ControlID  `json:"id"`
 	Change raft.ChangeKind `json:"change"`
 	Reason string          `json:"reason"`
 }
 
-// MemberChange asks for a membership change; the identity of the peer makes a resend harmless, and the id keeps it to one
-// request in the audit trail.
+// MemberChange requests a membership change. The identity of the peer makes a resend harmless, and because of the id all resends are
+// one request in the audit trail.
 type MemberChange struct {
 	ID       core.SubmissionID
 	Operator core.Operator
@@ -96,8 +96,8 @@
 	}
 }
 
-// missing lists what separates the membership from one in which every known instance votes.
-func missing(members []raft.Member, nonMembers []raft.Peer, catchUp []CatchUp) []MissingChange {
+// missingChanges returns the changes after which every known instance would be a voter.
+func missingChanges(members []raft.Member, nonMembers []raft.Peer, catchUp []CatchUp) []MissingChange {
 	changes := []MissingChange{}
 	for _, nonMember := range nonMembers {
 		change := MissingChange{
@@ -144,15 +144,15 @@
 			Members:           members,
 			NonMembers:        append([]raft.Peer{}, nonMembers...), // never null in JSON
 			ToleratedFailures: max(voters-1, 0) / 2,
-			Missing:           missing(members, nonMembers, catchUp),
+			Missing:           missingChanges(members, nonMembers, catchUp),
 			CatchUp:           catchUp,
 		},
 	}
 }
 
-// listMembers is also for times without a leader. An instance outside the membership knows none or an old one.
+// listMembers also works without a leader. An instance that is not a member is refused, because it knows no membership or an old one.
 func (s *Server) listMembers(ctx context.Context, _ *struct{}) (*output[Members], error) {
-	if err := s.wholeDeployment(ctx); err != nil {
+	if err := s.checkAllRights(ctx); err != nil {
 		return nil, err
 	}
 	self := s.options.Replicator.Status().Self
@@ -164,7 +164,7 @@
 }
 
 func (s *Server) changeMembers(ctx context.Context, input *changeInput) (*output[Members], error) {
-	if err := s.wholeDeployment(ctx); err != nil {
+	if err := s.checkAllRights(ctx); err != nil {
 		return nil, err
 	}
 	if err := s.checkLeader(); err != nil {
@@ -172,7 +172,7 @@
 	}
 	proposing, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	if earlier, err := s.requestMembership(proposing, input); err != nil || earlier != nil {
+	if earlier, err := s.recordRequest(proposing, input); err != nil || earlier != nil {
 		return earlier, err
 	}
 	term := s.options.Replicator.Status().Term
@@ -183,7 +183,7 @@
 		return nil, huma.Error503ServiceUnavailable(err.Error())
 	case errors.Is(err, core.ErrNoLeader) || errors.Is(err, core.ErrOutcomeUnknown):
 		return nil, s.unavailable(err)
-	case err != nil && !(isInForce(change, s.options.Membership.Members()) && s.leadsSince(term)):
+	case err != nil && !(isInForce(change, s.options.Membership.Members()) && s.isStillLeader(term)):
 		s.countError("membership-refused")
 		if err := s.recordResult(ctx, input, catalog.Refused, err.Error()); err != nil {
 			return nil, err
@@ -198,9 +198,9 @@
 	return s.describeMembers(ctx), nil
 }
 
-// requestMembership enters the request into the audit trail before anything is changed. It returns an answer if the
-// submission has a result already.
-func (s *Server) requestMembership(ctx context.Context, input *changeInput) (*output[Members], error) {
+// recordRequest records the request in the audit trail before anything is changed. It returns an answer if the submission already
+// has a result.
+func (s *Server) recordRequest(ctx context.Context, input *changeInput) (*output[Members], error) {
 	verdict, err := s.recordMembership(ctx, input, catalog.Requested, "")
 	if err != nil {
 		return nil, err
@@ -217,7 +217,7 @@
 	return nil, nil
 }
 
-// recordResult fails if the result is not in the audit trail for sure; the client then sends the change again.
+// recordResult returns an error if the audit trail may lack the result, so that the client sends the change again.
 func (s *Server) recordResult(ctx context.Context, input *changeInput, result catalog.Result, detail string) error {
 	if _, err := s.recordMembership(ctx, input, result, detail); err != nil {
 		s.countError("membership-not-recorded")
@@ -237,7 +237,7 @@
 		Detail:   detail,
 	})
 	if err == nil {
-		command, err = catalog.WithPrincipal(command, s.sender(ctx))
+		command, err = catalog.WithPrincipal(command, s.commandPrincipal(ctx))
 	}
 	if err != nil {
 		s.countError("malformed")
@@ -256,7 +256,7 @@
 	return verdict, nil
 }
 
-// checkLeader keeps membership changes at the leader, which alone knows whether a learner has caught up.
+// checkLeader returns an error unless this instance leads, since only the leader knows whether a learner has caught up.
 func (s *Server) checkLeader() error {
 	status := s.options.Replicator.Status()
 	if status.Leader == status.Self && status.Self != "" {
@@ -269,14 +269,15 @@
 	return huma.Error503ServiceUnavailable(fmt.Sprintf("%s is not the leader; the leader is %s", status.Self, status.Leader))
 }
 
-// leadsSince reports whether the membership that was read last is that of the leader which refused a change.
-func (s *Server) leadsSince(term core.Term) bool {
+// isStillLeader reports whether this instance still leads in the given term, so that the membership it reads is that of the leader
+// that refused a change.
+func (s *Server) isStillLeader(term core.Term) bool {
 	status := s.options.Replicator.Status()
 	return status.Leader == status.Self && status.Term == term
 }
 
-// isInForce reports whether a refused change has been made before, as when the client did not get the first answer. A
-// leader refuses a change for its content only if its newest membership is committed.
+// isInForce reports whether a refused change was made earlier, as when the client did not receive the first answer. A leader refuses a
+// change for its content only if its newest membership is committed.
 func isInForce(change raft.Change, members []raft.Member) bool {
 	member, exists := lo.Find(members, func(m raft.Member) bool { return m.Peer == change.Peer })
 	switch change.Kind {
--- a/io/operatorhttp/members_test.go
+++ b/io/operatorhttp/members_test.go
@@ -14,7 +14,7 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// fakeMembership returns the next of the errors for each change.
+// fakeMembership returns the next one of its errors for each change.
 type fakeMembership struct {
 	members []raft.Member
 	errors  []error
@@ -49,28 +49,28 @@
 	return operatorhttp.MemberChange{ID: core.SubmissionID(kind) + core.SubmissionID(peer.Identity), Operator: "amina", Kind: kind, Peer: peer}
 }
 
-// Guards against a change that a follower takes, and against a client that gives up there.
+// Guards against a follower that makes a change, and against a client that gives up when a follower rejects one.
 func TestMembershipChangesGoToTheLeader(t *testing.T) {
 	c := qt.New(t)
 	follower := &fakeReplicator{leader: "c2"}
-	rejecting := &fakeMembership{members: []raft.Member{voter("c1")}}
-	follower.membership = rejecting
+	followerMembership := &fakeMembership{members: []raft.Member{voter("c1")}}
+	follower.membership = followerMembership
 	first := start(c, "", follower)
-	_, err := first.client.ChangeMembers(within(c, 300*time.Millisecond), change(raft.ChangePromote, raft.Peer{ID: "c2", Identity: "b"}))
+	_, err := first.client.ChangeMembers(withTimeout(c, 300*time.Millisecond), change(raft.ChangePromote, raft.Peer{ID: "c2", Identity: "b"}))
 	c.Assert(errors.Is(err, operatorhttp.ErrUnreachable), qt.IsTrue)
 	c.Assert(err, qt.ErrorMatches, ".*c1 is not the leader; the leader is c2")
 
-	taken := &fakeMembership{members: []raft.Member{voter("c1")}, errors: []error{nil}}
-	second := start(c, "", &fakeReplicator{leader: "c1", membership: taken}, first.address)
-	members, err := second.client.ChangeMembers(within(c, 5*time.Second), change(raft.ChangeAdd, raft.Peer{ID: "c4", Identity: "d"}))
+	leaderMembership := &fakeMembership{members: []raft.Member{voter("c1")}, errors: []error{nil}}
+	second := start(c, "", &fakeReplicator{leader: "c1", membership: leaderMembership}, first.address)
+	members, err := second.client.ChangeMembers(withTimeout(c, 5*time.Second), change(raft.ChangeAdd, raft.Peer{ID: "c4", Identity: "d"}))
 	c.Assert(err, qt.IsNil)
 	c.Assert(members.Missing, qt.HasLen, 1)
-	c.Assert(rejecting.changes, qt.HasLen, 0)
-	c.Assert(taken.changes, qt.HasLen, 1)
+	c.Assert(followerMembership.changes, qt.HasLen, 0)
+	c.Assert(leaderMembership.changes, qt.HasLen, 1)
 }
 
-// Guards against a resend that reports a refusal of a change that was made, and against a real refusal that passes for
-// the repetition of a change.
+// Guards against a resend that reports a refusal of a change that was made, and against a refusal that is taken for the resend of a
+// change in force.
 func TestMembershipChangeIsResent(t *testing.T) {
 	c := qt.New(t)
 	membership := &fakeMembership{
@@ -83,31 +83,30 @@
 		},
 	}
 	f := start(c, "", &fakeReplicator{leader: "c1", membership: membership})
-	_, err := f.client.ChangeMembers(within(c, 5*time.Second), change(raft.ChangePromote, voter("c2").Peer))
+	_, err := f.client.ChangeMembers(withTimeout(c, 5*time.Second), change(raft.ChangePromote, voter("c2").Peer))
 	c.Assert(err, qt.IsNil)
 	c.Assert(membership.changes, qt.HasLen, 3)
-	_, err = f.client.ChangeMembers(within(c, 5*time.Second), change(raft.ChangePromote, raft.Peer{ID: "c2", Identity: "other"}))
+	_, err = f.client.ChangeMembers(withTimeout(c, 5*time.Second), change(raft.ChangePromote, raft.Peer{ID: "c2", Identity: "other"}))
 	c.Assert(errors.Is(err, operatorhttp.ErrRejected), qt.IsTrue)
 }
 
-// Guards against a list from an instance without its disk, which knows of no member, and against a list that hides a
-// missing leader.
+// Guards against a list from an instance that lost its disk and knows no members, and against a list that hides a missing leader.
 func TestMembersAreListedByAMember(t *testing.T) {
 	c := qt.New(t)
-	wiped := start(c, "", &fakeReplicator{membership: &fakeMembership{}})
-	_, err := wiped.client.Members(within(c, 300*time.Millisecond))
+	nonMember := start(c, "", &fakeReplicator{membership: &fakeMembership{}})
+	_, err := nonMember.client.Members(withTimeout(c, 300*time.Millisecond))
 	c.Assert(err, qt.ErrorMatches, ".*c1 is not a member")
 	member := start(c, "", &fakeReplicator{
-		unread:     core.ErrNoLeader,
+		readError:  core.ErrNoLeader,
 		membership: &fakeMembership{members: []raft.Member{voter("c1"), voter("c2"), voter("c3")}},
-	}, wiped.address)
-	members, err := member.client.Members(within(c, 5*time.Second))
+	}, nonMember.address)
+	members, err := member.client.Members(withTimeout(c, 5*time.Second))
 	c.Assert(err, qt.IsNil)
 	c.Assert(members.Current, qt.IsFalse)
 	c.Assert(members.ToleratedFailures, qt.Equals, 1)
 }
 
-// Guards against a membership change that leaves no trace in the audit trail, or several for one request.
+// Guards against a membership change without an entry in the audit trail, or with several entries for one request.
 func TestMembershipChangesAreInTheAuditTrail(t *testing.T) {
 	c := qt.New(t)
 	membership := &fakeMembership{
@@ -127,7 +126,7 @@
 		return nil
 	}
 	f := start(c, "", replicator)
-	ctx := within(c, 10*time.Second)
+	ctx := withTimeout(c, 10*time.Second)
 	_, err := f.client.ChangeMembers(ctx, change(raft.ChangePromote, voter("c2").Peer))
 	c.Assert(err, qt.IsNil)
 	refused := change(raft.ChangeRemove, voter("c1").Peer)
@@ -159,7 +158,7 @@
 		members: []raft.Member{voter("c1"), learner},
 		catchUp: []operatorhttp.CatchUp{{ID: "c2", Known: true, Applied: 812, Committed: 4031, MissingAudit: 1200}},
 	}})
-	members, err := f.client.Members(within(c, 5*time.Second))
+	members, err := f.client.Members(withTimeout(c, 5*time.Second))
 	c.Assert(err, qt.IsNil)
 	c.Assert(members.CatchUp[0].Applied, qt.Equals, core.LogIndex(812))
 	c.Assert(members.Missing[1].Reason, qt.Equals, "is a learner and has no vote; it holds entry 812 of 4031 and lacks 1200 entries of the audit trail")
--- a/io/operatorhttp/operations.go
+++ b/io/operatorhttp/operations.go
@@ -99,10 +99,10 @@
 	return s.propose(ctx, catalog.ActionAbort, input.Body.Operator, command, err)
 }
 
-// propose takes the command and the error of its encoder; nothing malformed is proposed.
+// propose proposes a command, or returns the error of its encoder as a malformed request.
 func (s *Server) propose(ctx context.Context, action catalog.Action, operator core.Operator, command []byte, err error) (*verdictOutput, error) {
 	if err == nil {
-		command, err = catalog.WithPrincipal(command, s.sender(ctx))
+		command, err = catalog.WithPrincipal(command, s.commandPrincipal(ctx))
 	}
 	if err != nil {
 		s.countError("malformed")
@@ -110,7 +110,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	verdict, err := s.decide(ctx, command)
+	verdict, err := s.proposeWithinLimits(ctx, command)
 	if err != nil {
 		return nil, err
 	}
@@ -129,8 +129,8 @@
 	}, nil
 }
 
-// decide proposes a command, unless its tenants have submitted too much: such commands would keep the leader's disk busy.
-func (s *Server) decide(ctx context.Context, command []byte) (catalog.Verdict, error) {
+// proposeWithinLimits proposes a command unless its tenants have submitted too much: such commands would keep the leader's disk busy.
+func (s *Server) proposeWithinLimits(ctx context.Context, command []byte) (catalog.Verdict, error) {
 	if _, over := s.options.Catalog.OverLimit(command); over && s.options.Replicator.ConfirmRead(ctx) == nil {
 		if refusal, over := s.options.Catalog.OverLimit(command); over {
 			return refusal, nil
@@ -147,7 +147,7 @@
 	return verdict, nil
 }
 
-// unavailable tells a command that was certainly not proposed (503) from one that may be committed later (504).
+// unavailable returns status 503 for a command that was certainly not proposed, and 504 for one that may be committed later.
 func (s *Server) unavailable(err error) error {
 	if errors.Is(err, core.ErrNoLeader) {
 		s.countError("no-leader")
@@ -157,8 +157,8 @@
 	return huma.Error504GatewayTimeout(err.Error())
 }
 
-// confirm returns once everything that was committed before the request is applied here.
-func (s *Server) confirm(ctx context.Context) error {
+// confirmRead returns once everything that was committed before the request is applied here.
+func (s *Server) confirmRead(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if err := s.options.Replicator.ConfirmRead(ctx); err != nil {
@@ -169,7 +169,7 @@
 }
 
 func (s *Server) listMoves(ctx context.Context, _ *struct{}) (*output[[]core.Move], error) {
-	if err := s.confirm(ctx); err != nil {
+	if err := s.confirmRead(ctx); err != nil {
 		return nil, err
 	}
 	return &output[[]core.Move]{
@@ -178,7 +178,7 @@
 }
 
 func (s *Server) showMove(ctx context.Context, input *showInput) (*output[core.Move], error) {
-	if err := s.confirm(ctx); err != nil {
+	if err := s.confirmRead(ctx); err != nil {
 		return nil, err
 	}
 	move, exists := s.options.Catalog.Move(core.MoveID(input.MoveID))
@@ -193,7 +193,7 @@
 func (s *Server) status(ctx context.Context, input *statusInput) (*output[Status], error) {
 	by := principalOf(ctx)
 	if input.Nodes {
-		if err := s.wholeDeployment(ctx); err != nil {
+		if err := s.checkAllRights(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -214,12 +214,12 @@
 		status.Nodes = s.options.Fleet.Nodes()
 	}
 	return &output[Status]{
-		Body: status.visible(by, s.tenant),
+		Body: status.restrictedTo(by, s.tenant),
 	}, nil
 }
 
 func (s *Server) audit(ctx context.Context, input *auditInput) (*output[catalog.AuditPage], error) {
-	if err := s.confirm(ctx); err != nil {
+	if err := s.confirmRead(ctx); err != nil {
 		return nil, err
 	}
 	page, err := s.options.Catalog.AuditPage(catalog.AuditFilter{
@@ -231,7 +231,7 @@
 		Viewer:     principalOf(ctx),
 		Before:     input.Before,
 	})
-	if err != nil { // another instance may hold them
+	if err != nil { // another instance may hold the entries
 		s.countError("audit-incomplete")
 		return nil, huma.Error503ServiceUnavailable(err.Error())
 	}
--- a/io/operatorhttp/operatorhttp_test.go
+++ b/io/operatorhttp/operatorhttp_test.go
@@ -23,7 +23,7 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// fakeReplicator applies proposals at once; fail decides by the number of the proposal whether and how it fails.
+// fakeReplicator applies proposals at once, unless fail returns an error for the number of the proposal.
 type fakeReplicator struct {
 	mu        sync.Mutex
 	catalog   *catalog.Catalog
@@ -31,7 +31,7 @@
 	confirms  int
 	applied   core.LogIndex
 	fail      func(proposal int, apply func()) error
-	unread    error
+	readError error
 	leader    core.ControlID
 
 	membership *fakeMembership
@@ -59,7 +59,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.confirms++
-	return f.unread
+	return f.readError
 }
 
 func (f *fakeReplicator) Status() core.ReplicatorStatus {
@@ -125,7 +125,7 @@
 	}
 }
 
-func within(c *qt.C, limit time.Duration) context.Context {
+func withTimeout(c *qt.C, limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	c.Cleanup(cancel)
 	return ctx
@@ -145,11 +145,11 @@
 	}
 }
 
-// unusedAddress refuses connections. A port that the system gave out and took back may be given to another test.
+// unusedAddress refuses connections. A port that was assigned by the system and closed again could be assigned to another test.
 const unusedAddress = "127.0.0.1:1"
 
 // Guards against a submission that runs twice, or gets another verdict, when its answer is lost and the client resends.
-func TestLostAnswerIsResentToTheSameVerdict(t *testing.T) {
+func TestResendAfterLostAnswerGetsTheSameVerdict(t *testing.T) {
 	c := qt.New(t)
 	for name, lose := range map[string]func() error{
 		"outcome unknown": func() error { return core.ErrOutcomeUnknown },
@@ -164,7 +164,7 @@
 				return lose()
 			},
 		}, unusedAddress)
-		verdict, err := f.client.Submit(within(c, 20*time.Second), serviceSubmission("one", 1, "a"))
+		verdict, err := f.client.Submit(withTimeout(c, 20*time.Second), serviceSubmission("one", 1, "a"))
 		c.Assert(err, qt.IsNil, qt.Commentf("%s", name))
 		c.Assert(verdict.Result, qt.Equals, catalog.Accepted)
 		c.Assert(verdict.Unchanged, qt.IsFalse)
@@ -184,29 +184,29 @@
 		f := start(c, "", &fakeReplicator{
 			fail: func(int, func()) error { return fail },
 		})
-		_, err := f.client.Submit(within(c, 300*time.Millisecond), serviceSubmission("one", 1, "a"))
+		_, err := f.client.Submit(withTimeout(c, 300*time.Millisecond), serviceSubmission("one", 1, "a"))
 		c.Assert(errors.Is(err, want), qt.IsTrue, qt.Commentf("%v: %v", fail, err))
 	}
 	client := operatorhttp.NewClient(operatorhttp.ClientOptions{
 		Servers: []string{unusedAddress},
 	})
-	_, err := client.Submit(within(c, 300*time.Millisecond), serviceSubmission("one", 1, "a"))
+	_, err := client.Submit(withTimeout(c, 300*time.Millisecond), serviceSubmission("one", 1, "a"))
 	c.Assert(errors.Is(err, operatorhttp.ErrUnreachable), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// Guards against a refusal whose reason or winner is lost on the way to the operator.
+// Guards against a refusal that reaches the operator without its cause or the winning submission.
 func TestRefusedVerdictNamesTheWinner(t *testing.T) {
 	c := qt.New(t)
 	f := start(c, "", &fakeReplicator{})
-	_, err := f.client.Submit(within(c, 20*time.Second), serviceSubmission("one", 1, "a"))
+	_, err := f.client.Submit(withTimeout(c, 20*time.Second), serviceSubmission("one", 1, "a"))
 	c.Assert(err, qt.IsNil)
-	verdict, err := f.client.Submit(within(c, 20*time.Second), serviceSubmission("two", 1, "b"))
+	verdict, err := f.client.Submit(withTimeout(c, 20*time.Second), serviceSubmission("two", 1, "b"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(verdict.Cause, qt.Equals, catalog.CauseEqualVersion)
 	c.Assert(verdict.Winner.Submission, qt.Equals, core.SubmissionID("one"))
 }
 
-// Guards against a malformed or cut request that reaches the log.
+// Guards against a malformed or truncated request that reaches the log.
 func TestBadRequestsChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	f := start(c, "", &fakeReplicator{})
@@ -215,7 +215,7 @@
 		serviceSubmission("", 1, "a"),
 		serviceSubmission("one", 1, ""),
 	} {
-		_, err := f.client.Submit(within(c, 20*time.Second), s)
+		_, err := f.client.Submit(withTimeout(c, 20*time.Second), s)
 		c.Assert(errors.Is(err, operatorhttp.ErrRejected), qt.IsTrue, qt.Commentf("%v", err))
 	}
 	for _, body := range []string{``, `[]`, `{"records": 1}`, `{"records": [], "colour": 1}`, `{"records": [{"kind": "service"`, strings.Repeat("x", 5<<20)} {
@@ -245,7 +245,7 @@
 func TestReadsAreConfirmed(t *testing.T) {
 	c := qt.New(t)
 	f := start(c, "", &fakeReplicator{})
-	ctx := within(c, 20*time.Second)
+	ctx := withTimeout(c, 20*time.Second)
 	_, err := f.client.Moves(ctx)
 	c.Assert(err, qt.IsNil)
 	_, err = f.client.ShowMove(ctx, "m1")
@@ -258,7 +258,7 @@
 	c.Assert(status.Fleet.Nodes, qt.Equals, 3)
 	c.Assert(f.replicator.confirms, qt.Equals, 4)
 
-	f.replicator.unread = core.ErrNoLeader
+	f.replicator.readError = core.ErrNoLeader
 	for _, read := range []func(context.Context) error{
 		func(ctx context.Context) error { _, err := f.client.Moves(ctx); return err },
 		func(ctx context.Context) error { _, err := f.client.ShowMove(ctx, "m1"); return err },
@@ -267,18 +267,18 @@
 			return err
 		},
 	} {
-		c.Assert(errors.Is(read(within(c, 200*time.Millisecond)), operatorhttp.ErrUnreachable), qt.IsTrue)
+		c.Assert(errors.Is(read(withTimeout(c, 200*time.Millisecond)), operatorhttp.ErrUnreachable), qt.IsTrue)
 	}
 	status, err = f.client.Status(ctx)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status.Current, qt.IsFalse)
 }
 
-// Guards against moves and audit filters that change their meaning on the way.
+// Guards against moves and audit filters that are encoded or decoded wrongly.
 func TestMovesAndAudit(t *testing.T) {
 	c := qt.New(t)
 	f := start(c, "", &fakeReplicator{})
-	ctx := within(c, 20*time.Second)
+	ctx := withTimeout(c, 20*time.Second)
 	submission := serviceSubmission("one", 1, "a")
 	for name, body := range map[string]string{
 		"v1": `{"service": "orders", "release": "r1", "slots": 1}`,
@@ -307,7 +307,7 @@
 	c.Assert(entries[0].Submission, qt.Equals, core.SubmissionID("three"))
 }
 
-// Guards against operators without the token, and against metrics that need one.
+// Guards against requests without the token that are accepted, and against metrics that need a token although no token is limited.
 func TestToken(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "token")
@@ -315,14 +315,14 @@
 	token, err := operatorhttp.ReadToken(path)
 	c.Assert(err, qt.IsNil)
 	f := start(c, token, &fakeReplicator{})
-	_, err = f.client.Submit(within(c, 20*time.Second), serviceSubmission("one", 1, "a"))
+	_, err = f.client.Submit(withTimeout(c, 20*time.Second), serviceSubmission("one", 1, "a"))
 	c.Assert(err, qt.IsNil)
 	for _, wrong := range []string{"", "secre", "secrets"} {
 		client := operatorhttp.NewClient(operatorhttp.ClientOptions{
 			Servers: []string{f.address},
 			Token:   wrong,
 		})
-		_, err = client.Submit(within(c, 20*time.Second), serviceSubmission("two", 2, "a"))
+		_, err = client.Submit(withTimeout(c, 20*time.Second), serviceSubmission("two", 2, "a"))
 		c.Assert(errors.Is(err, operatorhttp.ErrRejected), qt.IsTrue)
 	}
 	c.Assert(f.replicator.proposals, qt.Equals, 1)
@@ -336,7 +336,7 @@
 	c.Assert(string(text), qt.Contains, "parsleyport_revision 1\n")
 }
 
-// Guards against clients that exhaust the control instance with requests at the same time.
+// Guards against clients that exhaust a control instance with concurrent requests.
 func TestRequestsAtTheSameTimeAreBounded(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -359,7 +359,7 @@
 	first := 0
 	select {
 	case first = <-statuses: // the other requests wait for the release
-	case <-within(c, 10*time.Second).Done():
+	case <-withTimeout(c, 10*time.Second).Done():
 	}
 	response, err := http.Get("http://" + f.address + "/metrics")
 	close(release)
--- a/io/operatorhttp/rate.go
+++ b/io/operatorhttp/rate.go
@@ -13,110 +13,110 @@
 	"parsleyport/core/catalog"
 )
 
-// Rate bounds requests over time; PerSecond zero means no bound.
+// Rate limits requests; PerSecond zero means no limit.
 type Rate struct {
 	PerSecond float64
-	Burst     int // at once, after a pause; at least MaxCount, or longer requests are never admitted
+	Burst     int // requests at once after a pause; requests of a cost above Burst are never admitted, so it must be at least MaxCost
 }
 
-// bucket is a token bucket.
-type bucket struct {
-	rate  Rate
-	mu    sync.Mutex
-	level float64 // requests that may come now
-	at    time.Time
+// tokenBucket limits the rate of requests.
+type tokenBucket struct {
+	rate      Rate
+	mu        sync.Mutex
+	tokens    float64 // cost of the requests that are admitted now
+	updatedAt time.Time
 }
 
-func newBucket(rate Rate) *bucket {
-	return &bucket{
-		rate:  rate,
-		level: float64(rate.Burst),
+func newTokenBucket(rate Rate) *tokenBucket {
+	return &tokenBucket{
+		rate:   rate,
+		tokens: float64(rate.Burst),
 	}
 }
 
-// take admits a request that counts as several, or returns the time after which it would be admitted.
-func (b *bucket) take(now time.Time, count float64) (wait time.Duration) {
+// take admits a request of the given cost and returns zero, or returns the time after which it would be admitted.
+func (b *tokenBucket) take(now time.Time, cost float64) (wait time.Duration) {
 	if b.rate.PerSecond == 0 {
 		return 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.at.IsZero() {
-		b.level = min(float64(b.rate.Burst), b.level+max(now.Sub(b.at).Seconds(), 0)*b.rate.PerSecond)
+	if !b.updatedAt.IsZero() {
+		b.tokens = min(float64(b.rate.Burst), b.tokens+max(now.Sub(b.updatedAt).Seconds(), 0)*b.rate.PerSecond)
 	}
-	b.at = now
-	if b.level < count {
-		return time.Duration((count - b.level) / b.rate.PerSecond * float64(time.Second))
+	b.updatedAt = now
+	if b.tokens < cost {
+		return time.Duration((cost - b.tokens) / b.rate.PerSecond * float64(time.Second))
 	}
-	b.level -= count
+	b.tokens -= cost
 	return 0
 }
 
-// share is what one set of tenants, or one token with all rights, may ask for.
-type share struct {
-	submissions *bucket
-	queries     *bucket
-	atOnce      chan struct{} // one item for each request under way; nil for no bound
+// quota holds the limits of one set of tenants, or of one token with all rights.
+type quota struct {
+	submissions *tokenBucket
+	queries     *tokenBucket
+	concurrent  chan struct{} // holds one item for each request under way; nil for no limit
 }
 
-// newShares makes them all at the start, so that their number is that of the tokens.
-func newShares(o Options) map[string]*share {
-	shares, places := make(map[string]*share, len(o.Tokens)), placesOfTenants(o.Tokens)
+// newQuotas returns all quotas by key. They are made at the start, so that there are no more quotas than tokens.
+func newQuotas(o Options) map[string]*quota {
+	quotas, maxConcurrent := make(map[string]*quota, len(o.Tokens)), maxConcurrentPerQuota(o.Tokens)
 	add := func(by catalog.Principal) {
-		s := &share{
-			submissions: newBucket(o.Submissions),
-			queries:     newBucket(o.Queries),
+		q := &quota{
+			submissions: newTokenBucket(o.Submissions),
+			queries:     newTokenBucket(o.Queries),
 		}
 		if by.IsLimited() {
-			s.atOnce = make(chan struct{}, places)
+			q.concurrent = make(chan struct{}, maxConcurrent)
 		}
-		shares[shareKey(by)] = s
+		quotas[quotaKey(by)] = q
 	}
 	for _, token := range o.Tokens {
 		add(token.Principal)
 	}
-	if len(o.Tokens) == 0 { // a common rate would let one client hold up all others
+	if len(o.Tokens) == 0 { // with a common limit, one client could block all others
 		o.Submissions, o.Queries = Rate{}, Rate{}
 		add(catalog.Principal{})
 	}
-	return shares
+	return quotas
 }
 
-// placesOfTenants shares the requests under way out to the sets of tenants, and keeps one share for tokens with all rights:
-// bodies that are sent slowly would fill all places at any rate.
-func placesOfTenants(tokens []Token) int {
+// maxConcurrentPerQuota divides the concurrent requests equally among the sets of tenants, with one part left for tokens with all
+// rights. A rate limit alone would not do: requests whose bodies are sent slowly would occupy the whole server at any rate.
+func maxConcurrentPerQuota(tokens []Token) int {
 	limited := lo.Filter(tokens, func(t Token, _ int) bool { return t.IsLimited() })
 	sets := len(lo.UniqBy(limited, func(t Token) string { return t.Scope() }))
 	return max(maxRequests/(sets+1), 1)
 }
 
-// shareKey gives tokens of the same tenants one share, so that a second token does not double it.
-func shareKey(by catalog.Principal) string {
+// quotaKey returns the same key for all tokens of the same tenants, so that a second token does not double their quota.
+func quotaKey(by catalog.Principal) string {
 	if by.IsLimited() {
 		return "tenants " + by.Scope()
 	}
 	return "token " + by.Token
 }
 
-// limited comes before the body is read, so that a refused request costs little.
-func (s *Server) limited(next http.Handler) http.Handler {
+// limitRate rejects requests above the quota before their bodies are read, so that a rejected request costs little.
+func (s *Server) limitRate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		by := principalOf(r.Context())
-		own := s.shares[shareKey(by)]
+		own := s.quotas[quotaKey(by)]
 		kind, requests := "submissions", own.submissions
 		if r.Method == http.MethodGet || r.Method == http.MethodHead {
 			kind, requests = "queries", own.queries
 		}
-		if own.atOnce != nil {
+		if own.concurrent != nil {
 			select {
-			case own.atOnce <- struct{}{}:
-				defer func() { <-own.atOnce }()
+			case own.concurrent <- struct{}{}:
+				defer func() { <-own.concurrent }()
 			default:
-				s.refuseLimited(w, by, "at-once", time.Second, fmt.Sprintf("more than %d requests at the same time", cap(own.atOnce)))
+				s.refuseLimited(w, by, "at-once", time.Second, fmt.Sprintf("more than %d requests at the same time", cap(own.concurrent)))
 				return
 			}
 		}
-		if wait := requests.take(time.Now(), countOf(r)); wait > 0 {
+		if wait := requests.take(time.Now(), costOf(r)); wait > 0 {
 			s.refuseLimited(w, by, kind, wait, fmt.Sprintf("more than %v %s a second", requests.rate.PerSecond, kind))
 			return
 		}
@@ -124,20 +124,20 @@
 	})
 }
 
-// countOf is 1 but for a query of the audit trail, which may read ten files, and for long bodies, whose commands may take the
-// leader's disk although they are refused. A body of unknown length counts as the longest one.
-func countOf(r *http.Request) float64 {
+// costOf returns the cost of a request in requests. A query of the audit trail may read ten files, and the command of a long body may
+// be written to the leader's disk even if it is refused. A body of unknown length costs as much as the longest one.
+func costOf(r *http.Request) float64 {
 	if r.URL.Path == auditPath {
-		return AuditCount
+		return AuditCost
 	}
 	length := r.ContentLength
 	if length < 0 || length > catalog.MaxCommandBytes {
 		length = catalog.MaxCommandBytes
 	}
-	return 1 + float64(length/countedBytes)
+	return 1 + float64(length/bytesPerCost)
 }
 
-// refuseLimited names the token and not its tenants, since its operators know it by this name.
+// refuseLimited answers with status 429. The text names the token and not its tenants, since operators know the token by its name.
 func (s *Server) refuseLimited(w http.ResponseWriter, by catalog.Principal, kind string, wait time.Duration, reason string) {
 	s.options.Metrics.GetOrCreateCounter(fmt.Sprintf("parsleyport_operator_limited_total{token=%q,kind=%q}", by.Token, kind)).Inc()
 	seconds := int(math.Ceil(wait.Seconds()))
--- a/io/operatorhttp/rate_test.go
+++ b/io/operatorhttp/rate_test.go
@@ -17,20 +17,20 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// Guards against a tenant whose requests keep a control instance busy, against one whose requests are refused because of
-// another, and against a refusal that a client takes for a verdict or an unknown outcome.
-func TestOneTenantLeavesRequestsToOthers(t *testing.T) {
+// Guards against a tenant whose requests keep a control instance busy or cause requests of other tenants to be rejected, and against
+// a rejection that a client takes for a verdict or an unknown outcome.
+func TestTenantsHaveSeparateRateLimits(t *testing.T) {
 	c := qt.New(t)
 	var replicator *fakeReplicator
 	address, clients, _ := startTenants(c, io.Discard, func(o *operatorhttp.Options) {
 		replicator = o.Replicator.(*fakeReplicator)
 		o.Submissions = operatorhttp.Rate{PerSecond: 0.001, Burst: 3}
-		o.Queries = operatorhttp.Rate{PerSecond: 0.001, Burst: operatorhttp.AuditCount}
+		o.Queries = operatorhttp.Rate{PerSecond: 0.001, Burst: operatorhttp.AuditCost}
 		o.Limits = func() *catalog.Limits {
 			return &catalog.Limits{Submissions: 1, Bytes: 1 << 20, Records: 9, RecordBytes: 1 << 20}
 		}
 	})
-	ctx := within(c, 20*time.Second)
+	ctx := withTimeout(c, 20*time.Second)
 	submit := func(tenant string, id core.SubmissionID, deletes ...core.Deletion) (catalog.Verdict, error) {
 		s := serviceSubmission(id, 1, tenant)
 		s.Records[0].Name, s.Deletes = tenant, deletes
@@ -59,34 +59,34 @@
 	c.Assert(err, qt.IsNil)
 	status, _ := get(c, address+"/ready", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
-	status, text := get(c, address+"/metrics", fmt.Sprintf(secretOf, "all"))
+	status, text := get(c, address+"/metrics", fmt.Sprintf(secretFormat, "all"))
 	c.Assert(status, qt.Equals, http.StatusOK)
 	c.Assert(text, qt.Contains, `parsleyport_operator_limited_total{token="token-a",kind="queries"} 1`)
 	c.Assert(text, qt.Contains, "parsleyport_rules_version 1\n")
 }
 
-// Guards against a tenant that holds all places for requests with bodies that it does not finish.
-func TestOneTenantLeavesPlacesToOthers(t *testing.T) {
+// Guards against a tenant that occupies a control instance with requests whose bodies it does not finish.
+func TestTenantsHaveSeparateConcurrencyLimits(t *testing.T) {
 	c := qt.New(t)
 	address, clients, _ := startTenants(c, io.Discard, func(*operatorhttp.Options) {})
 	for range 64 {
 		connection, err := net.Dial("tcp", address)
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { _ = connection.Close() })
-		_, err = fmt.Fprintf(connection, "POST /v1/submissions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+secretOf+"\r\nContent-Length: 9\r\n\r\n", "a")
+		_, err = fmt.Fprintf(connection, "POST /v1/submissions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+secretFormat+"\r\nContent-Length: 9\r\n\r\n", "a")
 		c.Assert(err, qt.IsNil)
 	}
-	ctx, status, text := within(c, 20*time.Second), 0, ""
+	ctx, status, text := withTimeout(c, 20*time.Second), 0, ""
 	for status != http.StatusTooManyRequests && ctx.Err() == nil {
-		status, text = get(c, address+"/v1/moves", fmt.Sprintf(secretOf, "a"))
+		status, text = get(c, address+"/v1/moves", fmt.Sprintf(secretFormat, "a"))
 	}
 	c.Assert(text, qt.Contains, "more than 16 requests at the same time")
 	_, err := clients["b"].Moves(ctx)
 	c.Assert(err, qt.IsNil)
 }
 
-// Guards against a client that gives up on the first refusal by a rate limit although it has time to wait.
-func TestLimitedRequestIsRepeated(t *testing.T) {
+// Guards against a client that gives up after the first rejection by a rate limit although it has time to wait.
+func TestRateLimitedRequestIsRetried(t *testing.T) {
 	c := qt.New(t)
 	requests := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -100,7 +100,7 @@
 	c.Cleanup(server.Close)
 	client := operatorhttp.NewClient(operatorhttp.ClientOptions{Servers: []string{server.Listener.Addr().String()}})
 	c.Cleanup(client.Close)
-	_, err := client.Moves(within(c, 20*time.Second))
+	_, err := client.Moves(withTimeout(c, 20*time.Second))
 	c.Assert(err, qt.IsNil)
 	c.Assert(requests, qt.Equals, 2)
 }
--- a/io/operatorhttp/records.go
+++ b/io/operatorhttp/records.go
@@ -9,7 +9,7 @@
 	"parsleyport/core/catalog"
 )
 
-// Records are accepted records as of a revision.
+// Records holds the accepted records of a revision.
 type Records struct {
 	Revision core.Revision `json:"revision"`
 	Records  []core.Record `json:"records"`
@@ -18,7 +18,7 @@
 // RecordFilter selects records; empty fields select all.
 type RecordFilter struct {
 	Kind    core.Kind
-	Service core.ServiceName // the service itself and what belongs to it
+	Service core.ServiceName // selects the service itself and the records that belong to it
 	Name    string
 }
 
@@ -33,7 +33,7 @@
 }
 
 func (s *Server) records(ctx context.Context, input *recordsInput) (*output[Records], error) {
-	if err := s.confirm(ctx); err != nil {
+	if err := s.confirmRead(ctx); err != nil {
 		return nil, err
 	}
 	filter := RecordFilter{
--- a/io/operatorhttp/server.go
+++ b/io/operatorhttp/server.go
@@ -19,7 +19,7 @@
 	"parsleyport/io/httpserver"
 )
 
-// Options are what a Server works with; Tokens is empty if operators need none.
+// Options configure a Server. Tokens is empty if operators need none.
 type Options struct {
 	Listen     string
 	Replicator core.Replicator
@@ -30,21 +30,21 @@
 	Log        zerolog.Logger
 	Metrics    *metrics.Set
 
-	Submissions Rate                   // also moves, aborts and membership changes; of each token, or of all of the same tenants
-	Queries     Rate                   // of each token, or of all of the same tenants
-	Limits      func() *catalog.Limits // with which new commands are decided; may be nil and may return nil
+	Submissions Rate                   // also of moves, aborts and membership changes; for each token with all rights or set of tenants
+	Queries     Rate                   // for each token with all rights or set of tenants
+	Limits      func() *catalog.Limits // for deciding new commands; may be nil and may return nil
 }
 
-// Server is the operators' API of one control instance.
+// Server serves the operators' API of one control instance.
 type Server struct {
-	options  Options
-	guard    guard
-	shares   map[string]*share
-	listener net.Listener
-	requests chan struct{} // one item for each request under way
+	options       Options
+	authenticator authenticator
+	quotas        map[string]*quota
+	listener      net.Listener
+	requests      chan struct{} // holds one item for each request under way
 }
 
-// New listens and serves until the returned function is called, which lets requests under way end for a few seconds; it
+// New listens and serves until the returned clean-up function is called, which gives requests under way a few seconds to end; it
 // returns an error if it cannot listen.
 func New(options Options) (*Server, func(), error) {
 	listener, err := net.Listen("tcp", options.Listen)
@@ -52,11 +52,11 @@
 		return nil, nil, errors.Annotate(err, "operator address")
 	}
 	s := &Server{
-		options:  options,
-		guard:    newGuard(options.Tokens),
-		shares:   newShares(options),
-		listener: listener,
-		requests: make(chan struct{}, maxRequests),
+		options:       options,
+		authenticator: newAuthenticator(options.Tokens),
+		quotas:        newQuotas(options),
+		listener:      listener,
+		requests:      make(chan struct{}, maxRequests),
 	}
 	server := &http.Server{
 		Handler:           s.handler(),
@@ -86,15 +86,15 @@
 	s.register(api)
 	open := http.NewServeMux()
 	open.Handle("GET "+metricsPath, s.metrics())
-	open.Handle("GET "+readyPath, s.bounded(http.HandlerFunc(s.ready)))
-	open.Handle("GET "+statePath, s.bounded(s.unlimited(http.HandlerFunc(s.state))))
-	open.Handle("/", s.bounded(s.authorized(s.limited(s.whole(mux)))))
+	open.Handle("GET "+readyPath, s.limitConcurrency(http.HandlerFunc(s.ready)))
+	open.Handle("GET "+statePath, s.limitConcurrency(s.requireAllRights(http.HandlerFunc(s.state))))
+	open.Handle("/", s.limitConcurrency(s.authenticate(s.limitRate(s.readWholeBody(mux)))))
 	return open
 }
 
-// whole reads the body before anything else looks at it: huma answers a cut body with status 500, which would tell the
-// client that the command may have been proposed.
-func (s *Server) whole(next http.Handler) http.Handler {
+// readWholeBody reads the body before huma does: huma answers a truncated body with status 500, from which the client would conclude
+// that the command may have been proposed.
+func (s *Server) readWholeBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, catalog.MaxCommandBytes))
 		if err == nil {
@@ -112,7 +112,7 @@
 	})
 }
 
-func (s *Server) bounded(next http.Handler) http.Handler {
+func (s *Server) limitConcurrency(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case s.requests <- struct{}{}:
--- a/io/operatorhttp/tokens.go
+++ b/io/operatorhttp/tokens.go
@@ -22,8 +22,8 @@
 	Secret string
 }
 
-// ReadToken reads the token that a client presents from a file, without white space around it; an empty path gives no
-// token. It refuses the file of a control instance that names several tokens.
+// ReadToken reads a client's token from a file and trims white space; an empty path gives no token. It returns an error for a token
+// file of a control instance that holds several tokens.
 func ReadToken(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -39,40 +39,40 @@
 	return token, nil
 }
 
-// guard knows the tokens by their hashes.
-type guard struct {
+// authenticator finds the principal of a token by the hash of its secret.
+type authenticator struct {
 	digests    [][sha256.Size]byte
 	principals []catalog.Principal
 }
 
-func newGuard(tokens []Token) guard {
-	var g guard
+func newAuthenticator(tokens []Token) authenticator {
+	var a authenticator
 	for _, token := range tokens {
-		g.digests = append(g.digests, sha256.Sum256([]byte(token.Secret)))
-		g.principals = append(g.principals, token.Principal)
+		a.digests = append(a.digests, sha256.Sum256([]byte(token.Secret)))
+		a.principals = append(a.principals, token.Principal)
 	}
-	return g
+	return a
 }
 
-// find compares hashes, all of them in any case, so that the time of the comparison tells nothing of the tokens, not even
-// their lengths or which one fits.
-func (g guard) find(secret string) (catalog.Principal, bool) {
-	if len(g.digests) == 0 {
+// authenticate always compares all hashes in constant time, so that the time of the comparison reveals neither the length of a secret
+// nor which one matches.
+func (a authenticator) authenticate(secret string) (catalog.Principal, bool) {
+	if len(a.digests) == 0 {
 		return catalog.Principal{}, true
 	}
 	got := sha256.Sum256([]byte(secret))
 	found := -1
-	for i := range g.digests {
-		found = subtle.ConstantTimeSelect(subtle.ConstantTimeCompare(got[:], g.digests[i][:]), i, found)
+	for i := range a.digests {
+		found = subtle.ConstantTimeSelect(subtle.ConstantTimeCompare(got[:], a.digests[i][:]), i, found)
 	}
 	if found < 0 {
 		return catalog.Principal{}, false
 	}
-	return g.principals[found], true
+	return a.principals[found], true
 }
 
-func (g guard) hasLimited() bool {
-	return slices.ContainsFunc(g.principals, catalog.Principal.IsLimited)
+func (a authenticator) hasLimitedTokens() bool {
+	return slices.ContainsFunc(a.principals, catalog.Principal.IsLimited)
 }
 
 type principalKey struct{}
@@ -80,13 +80,13 @@
 func principalOf(ctx context.Context) catalog.Principal {
 	by, authorized := ctx.Value(principalKey{}).(catalog.Principal)
 	if !authorized {
-		panic("request without a principal") // must not pass for all rights
+		panic("request without a principal") // the zero principal would have all rights
 	}
 	return by
 }
 
-// sender returns the principal of a command, with the limits that it is decided with.
-func (s *Server) sender(ctx context.Context) catalog.Principal {
+// commandPrincipal returns the principal of a command with the limits for deciding it.
+func (s *Server) commandPrincipal(ctx context.Context) catalog.Principal {
 	by := principalOf(ctx)
 	if s.options.Limits != nil {
 		by.Limits = s.options.Limits()
@@ -94,10 +94,10 @@
 	return by
 }
 
-func (s *Server) authorized(next http.Handler) http.Handler {
+func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		by, exists := s.guard.find(token)
+		by, exists := s.authenticator.authenticate(token)
 		if !exists {
 			s.countError("unauthorized")
 			http.Error(w, "the operators' token is missing or wrong", http.StatusUnauthorized)
@@ -109,8 +109,8 @@
 
 const needsAllRights = "this needs a token with all rights"
 
-func (s *Server) unlimited(next http.Handler) http.Handler {
-	return s.authorized(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func (s *Server) requireAllRights(next http.Handler) http.Handler {
+	return s.authenticate(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if principalOf(r.Context()).IsLimited() {
 			s.countError("forbidden")
 			http.Error(w, needsAllRights, http.StatusForbidden)
@@ -120,8 +120,8 @@
 	}))
 }
 
-// wholeDeployment refuses a limited token.
-func (s *Server) wholeDeployment(ctx context.Context) error {
+// checkAllRights returns an error for a limited token.
+func (s *Server) checkAllRights(ctx context.Context) error {
 	if principalOf(ctx).IsLimited() {
 		s.countError("forbidden")
 		return huma.Error403Forbidden(needsAllRights)
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// visible returns the status as a limited token may see it: with what concerns its services, and with what tells when a
-// change of them is in force.
-func (s Status) visible(by catalog.Principal, tenant func(core.ServiceName) core.TenantID) Status {
+// restrictedTo returns the status that a limited token may see: what concerns its services, and what is needed to tell when a change of
+// them is in force.
+func (s Status) restrictedTo(by catalog.Principal, tenant func(core.ServiceName) core.TenantID) Status {
 	if !by.IsLimited() {
 		return s
 	}
@@ -145,7 +145,7 @@
 		Tenants:   by.Tenants,
 		Current:   s.Current,
 		Revision:  s.Revision,
-		OpenMoves: s.OpenMoves, // of its tenants already
+		OpenMoves: s.OpenMoves, // already only those of its tenants
 		Fleet: FleetStatus{
 			LowestInForce: s.Fleet.LowestInForce,
 			SchemaFloor:   s.Fleet.SchemaFloor,
--- a/io/operatorhttp/tokens_test.go
+++ b/io/operatorhttp/tokens_test.go
@@ -33,16 +33,16 @@
 	return response.StatusCode, string(content)
 }
 
-const secretOf = "secret-of-%s-0123456789"
+const secretFormat = "secret-of-%s-0123456789"
 
-// startTenants serves three tenants, each with a token and one service of its name, and an operator with all rights.
+// startTenants starts a server with a token for each of three tenants, and one with all rights.
 func startTenants(c *qt.C, log io.Writer, change func(*operatorhttp.Options)) (address string, clients map[string]*operatorhttp.Client, records *catalog.Catalog) {
 	replicator := &fakeReplicator{leader: "c1", catalog: catalog.New(), membership: &fakeMembership{members: []raft.Member{voter("c1")}}}
-	tokens := []operatorhttp.Token{{Principal: catalog.Principal{Token: "platform"}, Secret: fmt.Sprintf(secretOf, "all")}}
+	tokens := []operatorhttp.Token{{Principal: catalog.Principal{Token: "platform"}, Secret: fmt.Sprintf(secretFormat, "all")}}
 	for _, tenant := range []string{"a", "b", "c"} {
 		tokens = append(tokens, operatorhttp.Token{
 			Principal: catalog.Principal{Token: "token-" + tenant, Tenants: []core.TenantID{core.TenantID(tenant)}},
-			Secret:    fmt.Sprintf(secretOf, tenant),
+			Secret:    fmt.Sprintf(secretFormat, tenant),
 		})
 	}
 	options := operatorhttp.Options{
@@ -55,19 +55,19 @@
 	c.Cleanup(stop)
 	clients = make(map[string]*operatorhttp.Client)
 	for _, name := range []string{"all", "a", "b", "c"} {
-		clients[name] = operatorhttp.NewClient(operatorhttp.ClientOptions{Servers: []string{server.Address()}, Token: fmt.Sprintf(secretOf, name)})
+		clients[name] = operatorhttp.NewClient(operatorhttp.ClientOptions{Servers: []string{server.Address()}, Token: fmt.Sprintf(secretFormat, name)})
 		c.Cleanup(clients[name].Close)
 	}
 	return server.Address(), clients, replicator.catalog
 }
 
-// Guards against a tenant that changes the records of another, or reads its counters, moves or audit trail (three rivals
-// on one platform), and against a secret in the log or the audit trail.
+// Guards against a tenant that changes the records of another, or reads its counters, moves or audit trail, when rivals share one
+// platform; and against a secret in the log or the audit trail.
 func TestTokensOfTenants(t *testing.T) {
 	c := qt.New(t)
 	var log bytes.Buffer
 	address, clients, records := startTenants(c, &log, func(*operatorhttp.Options) {})
-	ctx := within(c, 20*time.Second)
+	ctx := withTimeout(c, 20*time.Second)
 	for _, tenant := range []string{"a", "b", "c"} {
 		submission := core.Submission{ID: "one", Operator: "amina"}
 		for name, body := range map[string]string{
@@ -116,7 +116,7 @@
 
 	for name, want := range map[string]int{"": http.StatusUnauthorized, "a": http.StatusForbidden, "all": http.StatusOK} {
 		for _, path := range []string{"/metrics", "/state"} {
-			status, body := get(c, address+path, fmt.Sprintf(secretOf, name))
+			status, body := get(c, address+path, fmt.Sprintf(secretFormat, name))
 			c.Assert(status, qt.Equals, want, qt.Commentf("%s for %q", path, name))
 			c.Assert(body, qt.Not(qt.Contains), "secret-of")
 		}
--- a/io/settings/control.go
+++ b/io/settings/control.go
@@ -9,10 +9,10 @@
 	"parsleyport/core"
 )
 
-// maxMembers is the number of instances that are at most reserved for control.
+// maxMembers is the highest number of control instances.
 const maxMembers = 7
 
-// Member is one control instance as all control instances know it.
+// Member describes one control instance in the settings of all of them.
 type Member struct {
 	ID              core.ControlID
 	DataCentre      core.DataCentre
@@ -21,7 +21,7 @@
 	NodeAddress     string
 }
 
-// Control holds the settings of a control instance; its own addresses are those of its entry in Members.
+// Control holds the settings of a control instance. Its own addresses are those of its entry in Members.
 type Control struct {
 	ID              core.ControlID
 	DataCentre      core.DataCentre
@@ -29,19 +29,19 @@
 	OperatorAddress string
 	PeerAddress     string
 	NodeAddress     string
-	AdminAddress    string // another address for metrics, empty for none but the operators' one
+	AdminAddress    string // address of an additional server for metrics, empty for none beside the operators' API
 	Bootstrap       bool
 	Members         []Member
 	TokenFile       string // empty if operators need no token
 	Limits          Limits
-	// Voters is the number of voting instances that the leader keeps, zero if operators change the membership.
+	// Voters is the number of voters that the leader maintains, zero if operators change the membership.
 	Voters int
-	// MemberAt gives the other addresses of an instance that introduces itself with its peer address; nil if all instances
-	// are in Members.
+	// MemberAt returns the other addresses of an instance that introduces itself with its peer address; nil if all instances are in
+	// Members.
 	MemberAt func(peerAddress string) Member
 	// MaxShortMoveDuration is the longest duration of a move that risks more calls in order to end in time, zero for no such moves.
 	MaxShortMoveDuration time.Duration
-	DirectNodes          int           // of one data centre that attach to this instance, zero for the default
+	DirectNodes          int           // nodes of one data centre that attach to this instance and not to a relay, zero for the default
 	EvidenceInterval     time.Duration // between two reports of evidence to the other instances, zero for the default
 	LogLevel             zerolog.Level
 }
@@ -133,11 +133,11 @@
 	return members
 }
 
-// checkMembers refuses an even count, which withstands no more failures than one instance fewer, and a majority in one
-// of several data centres, because the loss of that data centre would stop all changes.
+// checkMembers rejects an even number of instances, which tolerates no more failures than one instance fewer, and a majority in one of
+// several data centres, because the loss of that data centre would stop all changes.
 func checkMembers(top *object, members []Member) {
 	if len(members) == 0 {
-		return // the fault is already listed
+		return // already reported
 	}
 	if len(members)%2 == 0 || len(members) > maxMembers {
 		top.fault("members", fmt.Sprintf("an odd number of control instances, at most %d", maxMembers), fmt.Sprint(len(members)))
@@ -156,7 +156,7 @@
 
 func checkSelf(top *object, self Member, members []Member) {
 	if self.ID == "" || len(members) == 0 {
-		return // the fault is already listed
+		return // already reported
 	}
 	for _, member := range members {
 		if member.ID != self.ID {
--- a/io/settings/doc.go
+++ b/io/settings/doc.go
@@ -1,3 +1,2 @@
-// Package settings reads the settings files of control instances and nodes. A file is checked whole, and all its faults
-// are reported at once.
+// Package settings reads the settings files of control instances and nodes. It checks the whole file and reports all faults at once.
 package settings
--- a/io/settings/fault.go
+++ b/io/settings/fault.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Fault is one fault of a settings file.
+// Fault describes one fault of a settings file.
 type Fault struct {
 	File     string `json:"file"`
 	Line     int    `json:"line"` // from 1; 0 if the file could not be read
--- a/io/settings/node.go
+++ b/io/settings/node.go
@@ -72,7 +72,7 @@
 	for _, e := range elements {
 		text, isText := literal(e.value)
 		if !isText || !isAddress(text) {
-			r.fault(e.line, e.path, expectAddress, r.shown(e.value))
+			r.fault(e.line, e.path, expectedAddress, r.describeValue(e.value))
 			continue
 		}
 		if slices.Contains(addresses, text) {
--- a/io/settings/reader.go
+++ b/io/settings/reader.go
@@ -18,30 +18,30 @@
 
 // Limits of a settings file.
 const (
-	maxFileBytes = 1 << 20
-	maxNameBytes = 128
-	maxShown     = 60 // bytes of a faulty value in a message
+	maxFileBytes  = 1 << 20
+	maxNameBytes  = 128
+	maxShownBytes = 60 // of a faulty value in a message
 )
 
 const (
-	expectName    = "1 to 128 lower-case letters, digits, dots and hyphens"
-	expectAddress = "IP number and port such as 127.0.0.1:7101"
-	expectLevel   = "trace, debug, info, warn or error"
+	expectedName    = "1 to 128 lower-case letters, digits, dots and hyphens"
+	expectedAddress = "IP number and port such as 127.0.0.1:7101"
+	expectedLevel   = "trace, debug, info, warn or error"
 )
 
 var levels = []string{"trace", "debug", "info", "warn", "error"}
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// reader walks a parsed file and collects its faults.
+// reader reads a parsed file and collects its faults.
 type reader struct {
-	file   string
-	source []byte
-	faults []Fault
-	hidden bool // values are secret and not shown in faults
+	file       string
+	source     []byte
+	faults     []Fault
+	hideValues bool // keeps secrets out of faults
 }
 
-// object is one JSON object; take removes the keys that are known, so that the rest is unknown.
+// object is one JSON object of the file. Each key that is read is taken out of values, so that the unknown keys remain.
 type object struct {
 	reader *reader
 	path   string
@@ -51,7 +51,7 @@
 	lines  map[string]int
 }
 
-// element is one value with its place in the file.
+// element is one value and its position in the file.
 type element struct {
 	path  string
 	line  int
@@ -61,17 +61,17 @@
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableError(path, err)
 	}
 	defer file.Close()
 	source, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableError(path, err)
 	}
 	return source, nil
 }
 
-func unreadable(path string, err error) error {
+func unreadableError(path string, err error) error {
 	return &Error{
 		Faults: []Fault{{
 			File:     path,
@@ -81,7 +81,7 @@
 	}
 }
 
-// open parses the file and returns its top object; an unusable file gives an object without keys and one fault.
+// open parses the file and returns its top-level object, or false and one fault if the file cannot be used.
 func (r *reader) open() (*object, bool) {
 	if len(r.source) > maxFileBytes {
 		r.fault(1, "", fmt.Sprintf("at most %d bytes", maxFileBytes), "a longer file")
@@ -90,7 +90,7 @@
 	value, err := hujson.Parse(r.source)
 	if err != nil {
 		line := 1
-		_, _ = fmt.Sscanf(err.Error(), "hujson: line %d,", &line) // the first line if the parser names none
+		_, _ = fmt.Sscanf(err.Error(), "hujson: line %d,", &line) // stays 1 if the parser names no line
 		r.fault(line, "", "JSON with comments", err.Error())
 		return nil, false
 	}
@@ -127,7 +127,7 @@
 func (r *reader) object(e element) (*object, bool) {
 	parsed, isObject := e.value.Value.(*hujson.Object)
 	if !isObject {
-		r.fault(e.line, e.path, "an object", r.shown(e.value))
+		r.fault(e.line, e.path, "an object", r.describeValue(e.value))
 		return nil, false
 	}
 	o := &object{
@@ -156,7 +156,7 @@
 	return o.path + "." + name
 }
 
-// lineOf returns the line of a key, or that of the object if the key is missing.
+// lineOf returns the line of a key, or the line of the object if the key is missing.
 func (o *object) lineOf(name string) int {
 	if line, exists := o.lines[name]; exists {
 		return line
@@ -175,7 +175,7 @@
 	return value, exists
 }
 
-// finish reports the keys that were not taken.
+// finish reports the keys that were not read as unknown.
 func (o *object) finish() {
 	names := lo.Keys(o.values)
 	sort.Strings(names)
@@ -192,28 +192,28 @@
 	}
 	text, isText := literal(value)
 	if !isText || !valid(text) {
-		o.fault(name, expected, o.reader.shown(value))
+		o.fault(name, expected, o.reader.describeValue(value))
 		return ""
 	}
 	return text
 }
 
-func (o *object) optionalText(name, expected, otherwise string, valid func(string) bool) string {
+func (o *object) optionalText(name, expected, defaultValue string, valid func(string) bool) string {
 	if _, exists := o.values[name]; !exists {
 		o.known = append(o.known, name)
-		return otherwise
+		return defaultValue
 	}
 	return o.text(name, expected, valid)
 }
 
 func (o *object) name(key string) string {
-	return o.text(key, expectName, func(text string) bool {
+	return o.text(key, expectedName, func(text string) bool {
 		return len(text) <= maxNameBytes && namePattern.MatchString(text)
 	})
 }
 
 func (o *object) address(key string) string {
-	return o.text(key, expectAddress, isAddress)
+	return o.text(key, expectedAddress, isAddress)
 }
 
 func (o *object) flag(name string) bool {
@@ -223,19 +223,19 @@
 	}
 	text, isLiteral := value.Value.(hujson.Literal)
 	if !isLiteral || (text.Kind() != 't' && text.Kind() != 'f') {
-		o.fault(name, "true or false", o.reader.shown(value))
+		o.fault(name, "true or false", o.reader.describeValue(value))
 		return false
 	}
 	return text.Bool()
 }
 
 func (o *object) logLevel(name string) zerolog.Level {
-	text := o.optionalText(name, expectLevel, "info", func(text string) bool {
+	text := o.optionalText(name, expectedLevel, "info", func(text string) bool {
 		return slices.Contains(levels, text)
 	})
 	level, err := zerolog.ParseLevel(text)
 	if err != nil {
-		return zerolog.InfoLevel // the fault is already listed
+		return zerolog.InfoLevel // already reported
 	}
 	return level
 }
@@ -248,7 +248,7 @@
 	}
 	array, isArray := value.Value.(*hujson.Array)
 	if !isArray || len(array.Elements) == 0 {
-		o.fault(name, expected, o.reader.shown(value))
+		o.fault(name, expected, o.reader.describeValue(value))
 		return nil
 	}
 	return lo.Map(array.Elements, func(each hujson.Value, i int) element {
@@ -260,7 +260,7 @@
 	})
 }
 
-// distinct reports values that occur at more than one of the keys.
+// distinct reports addresses that occur at more than one of the keys.
 func (o *object) distinct(keys []string, values []string) {
 	for i, value := range values {
 		first := slices.Index(values, value)
@@ -278,22 +278,23 @@
 	return text.String(), true
 }
 
-// shown returns the value for a message.
-func (r *reader) shown(value hujson.Value) string {
-	if r.hidden {
+// describeValue returns a value for a message, shortened to maxShownBytes.
+func (r *reader) describeValue(value hujson.Value) string {
+	if r.hideValues {
 		return "something else"
 	}
 	clone := value.Clone()
 	clone.BeforeExtra, clone.AfterExtra = nil, nil
 	clone.Minimize()
 	text := clone.String()
-	if len(text) > maxShown {
-		return strings.ToValidUTF8(text[:maxShown], "") + "..."
+	if len(text) > maxShownBytes {
+		return strings.ToValidUTF8(text[:maxShownBytes], "") + "..."
 	}
 	return text
 }
 
-// isAddress accepts no unspecified IP number, because other processes dial the addresses in a settings file.
+// isAddress reports whether a text is an IP address with a port. An unspecified IP address is refused, because other processes dial
+// the addresses in a settings file.
 func isAddress(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() != 0 && !address.Addr().IsUnspecified() && !address.Addr().IsMulticast()
--- a/io/settings/settings_test.go
+++ b/io/settings/settings_test.go
@@ -56,7 +56,7 @@
 	c.Assert(err, qt.ErrorMatches, `.*missing.jsonc:0: expected a readable file.*`)
 }
 
-// Guards against a faulty file that is accepted, or whose message does not lead to the fault.
+// Guards against a faulty file that is accepted, or whose error does not name the file, line and key.
 func TestParseControlNamesEachFault(t *testing.T) {
 	c := qt.New(t)
 	c3 := control[strings.Index(control, `    {"id": "c3"`):strings.Index(control, "  ],")]
--- a/io/settings/tokens.go
+++ b/io/settings/tokens.go
@@ -12,18 +12,18 @@
 
 // Limits of a token.
 const (
-	maxTokenBytes  = 4 << 10 // of a file with one token
-	minSecretBytes = 16      // of each of several tokens
+	maxTokenBytes  = 4 << 10 // of a file with a single token
+	minSecretBytes = 16      // of each token in a file with several
 	maxSecretBytes = 512
 	maxTokens      = 256
 )
 
-// singleToken is the name of the token of a file that holds nothing else.
-const singleToken = "default"
+// defaultTokenName is the name of the token in a file that holds a single token.
+const defaultTokenName = "default"
 
 const (
-	expectSecret = "16 to 512 printable ASCII characters without spaces"
-	expectTenant = "a tenant as in service records, 1 to 128 bytes"
+	expectedSecret = "16 to 512 printable ASCII characters without spaces"
+	expectedTenant = "a tenant as in service records, 1 to 128 bytes"
 )
 
 // Token is one of the operators' tokens. It has all rights if it names no tenants.
@@ -33,8 +33,8 @@
 	Tenants []core.TenantID
 }
 
-// LoadTokens reads and checks the operators' tokens; it returns an *Error with all faults, which never show a secret. An
-// empty path gives no token.
+// LoadTokens reads and checks the operators' tokens; it returns an *Error with all faults, which never show a secret. An empty path
+// gives no token.
 func LoadTokens(path string) ([]Token, error) {
 	if path == "" {
 		return nil, nil
@@ -46,24 +46,24 @@
 	return ParseTokens(path, source)
 }
 
-// ParseTokens checks a token file: one token, or an object that names several; its errors are those of LoadTokens.
+// ParseTokens checks a token file, which holds either one token or an object with several; its errors are those of LoadTokens.
 func ParseTokens(file string, source []byte) ([]Token, error) {
 	r := &reader{
-		file:   file,
-		source: source,
-		hidden: true,
+		file:       file,
+		source:     source,
+		hideValues: true,
 	}
 	text := strings.TrimSpace(string(source))
-	if !namesTokens(text) {
+	if !hasNamedTokens(text) {
 		if text == "" || len(text) > maxTokenBytes {
 			r.fault(1, "", fmt.Sprintf("a token of 1 to %d bytes, or an object with tokens", maxTokenBytes), fmt.Sprintf("%d bytes", len(text)))
 		}
 		return []Token{{
-			Name:   singleToken,
+			Name:   defaultTokenName,
 			Secret: text,
 		}}, r.err()
 	}
-	if _, err := hujson.Parse(source); err != nil { // its text may quote a secret
+	if _, err := hujson.Parse(source); err != nil { // the error may quote a secret
 		line := 1
 		_, _ = fmt.Sscanf(err.Error(), "hujson: line %d,", &line)
 		r.fault(line, "", "JSON with comments", "")
@@ -84,8 +84,8 @@
 	return tokens, nil
 }
 
-// namesTokens tells the two forms apart: a single token fits one line of an HTTP header.
-func namesTokens(text string) bool {
+// hasNamedTokens reports whether a token file holds an object. A single token is one line, since it has to fit an HTTP header.
+func hasNamedTokens(text string) bool {
 	return strings.HasPrefix(text, "{") || strings.Contains(text, "\n")
 }
 
@@ -119,30 +119,30 @@
 	value, _ := o.take(name)
 	text, isText := literal(value)
 	if !isText || len(text) < minSecretBytes || len(text) > maxSecretBytes || strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		o.fault(name, expectSecret, o.reader.shown(value))
+		o.fault(name, expectedSecret, o.reader.describeValue(value))
 		return ""
 	}
 	return text
 }
 
-// readTenants wants all rights to be written out, so that a forgotten list of tenants does not give them.
+// readTenants reads the tenants of a token. All rights have to be stated, so that a forgotten list of tenants does not grant them.
 func readTenants(r *reader, o *object) []core.TenantID {
-	all := o.flag("all-rights")
+	allRights := o.flag("all-rights")
 	if _, exists := o.values["tenants"]; !exists {
 		o.known = append(o.known, "tenants")
-		if !all {
+		if !allRights {
 			o.fault("tenants", "a list of tenants, or all-rights true", "neither")
 		}
 		return nil
 	}
-	if all {
+	if allRights {
 		o.fault("tenants", "a list of tenants, or all-rights true", "both")
 	}
 	var tenants []core.TenantID
 	for _, e := range o.list("tenants", "list of tenants") {
 		text, isText := literal(e.value)
 		if !isText || text == "" || len(text) > maxNameBytes {
-			r.fault(e.line, e.path, expectTenant, r.shown(e.value))
+			r.fault(e.line, e.path, expectedTenant, r.describeValue(e.value))
 			continue
 		}
 		if slices.Contains(tenants, core.TenantID(text)) {
