--- a/io/node/node.go
+++ b/io/node/node.go
@@ -176,7 +176,7 @@
 	injector := do.New()
 	do.Provide(injector, p.newSubscriber)
 	do.Provide(injector, p.newBackend)
-	do.Provide(injector, p.newPacking)
+	do.Provide(injector, p.newCompressor)
 	do.Provide(injector, p.newPeerServer)
 	do.Provide(injector, p.newDialer)
 	do.Provide(injector, p.newBalancer)
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -99,7 +99,7 @@
 	return p.options.Headers
 }
 
-func (p *process) newPacking(do.Injector) (*frame.Compressor, error) {
+func (p *process) newCompressor(do.Injector) (*frame.Compressor, error) {
 	return nodepeer.NewPacking(p.headers())
 }
 
@@ -108,14 +108,14 @@
 	if err != nil {
 		return nil, err
 	}
-	packing, err := do.Invoke[*frame.Compressor](injector)
+	compressor, err := do.Invoke[*frame.Compressor](injector)
 	if err != nil {
 		return nil, err
 	}
 	server, cleanup, err := nodepeer.NewServer(nodepeer.ServerOptions{
 		Address:    p.settings.PeerAddress,
 		DataCentre: p.settings.DataCentre,
-		Packing:    packing,
+		Packing:    compressor,
 		Backend:    backend,
 		Logger:     p.log,
 		Metrics:    p.metrics,
@@ -136,14 +136,14 @@
 	if err != nil {
 		return nil, err
 	}
-	packing, err := do.Invoke[*frame.Compressor](injector)
+	compressor, err := do.Invoke[*frame.Compressor](injector)
 	if err != nil {
 		return nil, err
 	}
 	dialer, cleanup, err := nodepeer.NewDialer(nodepeer.DialerOptions{
 		Self:       p.settings.ID,
 		DataCentre: p.settings.DataCentre,
-		Packing:    packing,
+		Packing:    compressor,
 		Local:      backend,
 		Logger:     p.log,
 		Metrics:    p.metrics,
