--- a/io/callerhttp/bench_test.go
+++ b/io/callerhttp/bench_test.go
@@ -26,7 +26,7 @@
 	return backend.URL + "/orders", "http://" + entry.Address() + "/orders", client
 }
 
-func get(b *testing.B, client *http.Client, url string) {
+func getOK(b *testing.B, client *http.Client, url string) {
 	response, err := client.Get(url)
 	if err != nil {
 		b.Error(err)
@@ -49,9 +49,9 @@
 		callers.Go(func() {
 			for range b.N {
 				began := time.Now()
-				get(b, client, directURL)
+				getOK(b, client, directURL)
 				between := time.Now()
-				get(b, client, pathURL)
+				getOK(b, client, pathURL)
 				ended := time.Now()
 				mu.Lock()
 				_ = direct.RecordValue(between.Sub(began).Microseconds())
@@ -81,7 +81,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					get(b, client, url)
+					getOK(b, client, url)
 				}
 			})
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
--- a/io/callerhttp/callerhttp_test.go
+++ b/io/callerhttp/callerhttp_test.go
@@ -72,7 +72,7 @@
 		e.endpoints.endpoints = append(e.endpoints.endpoints, core.Endpoint{Node: name, Service: "orders", Release: "v1", State: core.EndpointReady})
 	}
 	options := callerhttp.Options{
-		Address: "127.0.0.1:0", Source: fixedSource{configuration: configuration(c, weights)}, Confirmed: func() bool { return true },
+		Address: "127.0.0.1:0", Source: fixedSource{configuration: configuration(c, weights)}, ConfigurationConfirmed: func() bool { return true },
 		Endpoints: e.endpoints, Picker: e.endpoints, Forwarder: e.forwarder, Evidence: noEvidence{},
 	}
 	if change != nil {
@@ -101,13 +101,13 @@
 }
 
 // Guards against a refused request that is forwarded all the same, and against a refusal without outcome and cause.
-func TestRefusalsForwardNothing(t *testing.T) {
+func TestRefusedCallsAreNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	confirmed := true
 	e := newEntry(c, allV1, func(o *callerhttp.Options) {
-		o.Confirmed = func() bool { return confirmed }
+		o.ConfigurationConfirmed = func() bool { return confirmed }
 		o.MaxBodyBytes = 100
-		o.Suspected = func(f idempotency.Fingerprint) bool {
+		o.CrashSuspected = func(f idempotency.Fingerprint) bool {
 			return f == idempotency.FingerprintOf(&core.Call{Tenant: "shops", Route: "write", Method: "POST", Target: "/orders/deadly", Body: []byte("body")})
 		}
 	})
@@ -156,7 +156,7 @@
 
 // Guards against a second run of a call that is not idempotent, against "not run" after an attempt that may have run, and
 // against a caller that gets a 503 while other endpoints could serve it, or no answer where there was one.
-func TestOutcomeOfSeveralAttempts(t *testing.T) {
+func TestOutcomeAfterRetries(t *testing.T) {
 	type script []func() (*core.Answer, core.Outcome, error)
 	ok := func() (*core.Answer, core.Outcome, error) { return answer(200, strings.NewReader("ok")) }
 	refused := func() (*core.Answer, core.Outcome, error) { return notRun(core.CauseQueueFull) }
@@ -215,7 +215,7 @@
 }
 
 // Guards against bodies that fill the node's memory, and against memory that is not given back.
-func TestBodiesAreBounded(t *testing.T) {
+func TestBufferedBodyBytesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	finish := make(chan struct{})
@@ -250,11 +250,11 @@
 }
 
 // Guards against one call whose own attempts end a third backend server after two.
-func TestSuspectIsNotAttemptedAgain(t *testing.T) {
+func TestCrashSuspectIsNotRetried(t *testing.T) {
 	c := qt.New(t)
 	var e entry
 	e = newEntry(c, allV1, func(o *callerhttp.Options) {
-		o.Suspected = func(idempotency.Fingerprint) bool { return e.forwarder != nil && e.forwarder.attempts() == 2 }
+		o.CrashSuspected = func(idempotency.Fingerprint) bool { return e.forwarder != nil && e.forwarder.attempts() == 2 }
 	})
 	e.forwarder.forward = func(int, core.Endpoint) (*core.Answer, core.Outcome, error) { return unknown() }
 	response, _, err := e.send(c, "GET", "/orders")
@@ -264,7 +264,7 @@
 }
 
 // Guards against a call that circles around a lone node which takes no calls.
-func TestLoneLeavingNodeIsAskedOnce(t *testing.T) {
+func TestOnlyNodeThatDrainsIsTriedOnce(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	e.endpoints.endpoints = e.endpoints.endpoints[:1]
@@ -290,7 +290,7 @@
 }
 
 // Guards against a call whose attempts follow two configurations.
-func TestCallKeepsItsConfiguration(t *testing.T) {
+func TestRetriesUseOneConfiguration(t *testing.T) {
 	c := qt.New(t)
 	source := &swappedSource{fixedSource: fixedSource{configuration: configuration(c, allV1)}, next: record.Empty()}
 	e := newEntry(c, allV1, func(o *callerhttp.Options) { o.Source = source })
@@ -311,7 +311,7 @@
 }
 
 // Guards against refusing calls that other nodes can serve, because the attempts at a dead node used up the budget.
-func TestDeadNodeCostsNoBudget(t *testing.T) {
+func TestRetriesOfDeadNodeCostNoBudget(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	e.forwarder.forward = func(_ int, to core.Endpoint) (*core.Answer, core.Outcome, error) {
@@ -329,7 +329,7 @@
 }
 
 // Guards against attempts that a failing service multiplies: the budget holds for the node as a whole.
-func TestBudgetHoldsForTheNode(t *testing.T) {
+func TestRetryBudgetIsSharedByCalls(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	e.forwarder.forward = func(int, core.Endpoint) (*core.Answer, core.Outcome, error) { return unknown() }
@@ -371,7 +371,7 @@
 }
 
 // Guards against a release under trial that gets more than its share, and against a share that a node has set to zero.
-func TestSharesOfReleases(t *testing.T) {
+func TestTrafficSplitBetweenReleases(t *testing.T) {
 	c := qt.New(t)
 	allowed := true
 	e := newEntry(c, `{"upstream":"orders-v1","per-mille":900},{"upstream":"orders-v2","per-mille":100}`, func(o *callerhttp.Options) {
@@ -403,7 +403,7 @@
 }
 
 // Guards against a planned stop that cuts off a request, on a new connection or on one that has been idle.
-func TestDrainCutsOffNothing(t *testing.T) {
+func TestDrainAnswersRequestsInProgress(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	begun, finish := make(chan struct{}), make(chan struct{})
@@ -450,7 +450,7 @@
 
 // Guards against a planned stop that closes a connection without an answer while a request on it is being read: a first
 // request, or one that begins on an idle connection as the node stops.
-func TestDrainAnswersARequestThatIsBeingRead(t *testing.T) {
+func TestDrainAnswersPartiallyReadRequest(t *testing.T) {
 	const whole = "GET /orders HTTP/1.1\r\nHost: n\r\n\r\n"
 	for name, requests := range map[string]int{"first request": 1, "second request": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -466,7 +466,7 @@
 			for range requests - 1 {
 				_, err = io.WriteString(caller, whole)
 				c.Assert(err, qt.IsNil)
-				c.Assert(statusOfNext(c, answers), qt.Equals, http.StatusOK)
+				c.Assert(readStatus(c, answers), qt.Equals, http.StatusOK)
 			}
 			_, err = io.WriteString(caller, whole[:len(whole)/2])
 			c.Assert(err, qt.IsNil)
@@ -482,13 +482,13 @@
 			}
 			_, err = io.WriteString(caller, whole[len(whole)/2:])
 			c.Assert(err, qt.IsNil)
-			c.Assert(statusOfNext(c, answers), qt.Equals, http.StatusOK)
+			c.Assert(readStatus(c, answers), qt.Equals, http.StatusOK)
 			c.Assert(<-drained, qt.IsNil)
 		})
 	}
 }
 
-func statusOfNext(c *qt.C, answers *bufio.Reader) int {
+func readStatus(c *qt.C, answers *bufio.Reader) int {
 	c.Helper()
 	response, err := http.ReadResponse(answers, nil)
 	c.Assert(err, qt.IsNil)
@@ -500,7 +500,7 @@
 
 // Guards against a release whose backend servers turn calls away without a trace of it in the evidence, and against refusals
 // for other reasons that count as such.
-func TestCallsTurnedAwayAreEvidence(t *testing.T) {
+func TestCapacityRefusalsAreRecorded(t *testing.T) {
 	c := qt.New(t)
 	recorder := rollout.NewRecorder("n", 1)
 	e := newEntry(c, allV1, func(o *callerhttp.Options) { o.Evidence = recorder })
@@ -525,20 +525,20 @@
 			}
 			return answer(200, strings.NewReader("done"))
 		}
-		before := turnedAway(recorder)
+		before := rejectedCalls(recorder)
 		_, _, err := e.send(c, "GET", "/orders")
 		c.Assert(err, qt.IsNil)
-		c.Assert(turnedAway(recorder)-before, qt.Equals, test.away, qt.Commentf("%s", test.cause))
+		c.Assert(rejectedCalls(recorder)-before, qt.Equals, test.away, qt.Commentf("%s", test.cause))
 	}
 }
 
-func turnedAway(recorder *rollout.Recorder) uint64 {
+func rejectedCalls(recorder *rollout.Recorder) uint64 {
 	return lo.SumBy(recorder.Counts(), func(count core.EvidenceCount) uint64 { return count.Calls - count.Answered() })
 }
 
 // Guards against a call that is passed on although its caller has left: a node that stood still reads the call and the end of
 // its connection at the same time.
-func TestCallOfACallerWhoLeftIsNotPassedOn(t *testing.T) {
+func TestCallOfDisconnectedCallerIsNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	for range 50 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -551,7 +551,7 @@
 		var passedOn atomic.Int64
 		e := newEntry(c, allV1, func(o *callerhttp.Options) {
 			o.Listener = listener
-			o.Linger = time.Millisecond
+			o.DrainPeriod = time.Millisecond
 		})
 		e.forwarder.forward = func(int, core.Endpoint) (*core.Answer, core.Outcome, error) {
 			passedOn.Add(1)
--- a/io/callerhttp/calllog.go
+++ b/io/callerhttp/calllog.go
@@ -15,10 +15,10 @@
 const (
 	// Lines about calls of each kind that are written in a second; the others are counted. A node has a few hundred calls a
 	// second, of which nearly all are answered at the first attempt.
-	answeredLines = 2
-	failedLines   = 25
-	// maxLoggedID bounds what a caller's header adds to a line, in bytes.
-	maxLoggedID = 128
+	answeredLinesPerSecond = 2
+	failedLinesPerSecond   = 25
+	// maxLoggedIDBytes bounds what a caller's header adds to a line, in bytes.
+	maxLoggedIDBytes = 128
 )
 
 // callLog writes one line for a call that was refused, failed, late or repeated, and for a few of the others.
@@ -29,18 +29,18 @@
 
 func newCallLog(log zerolog.Logger, set *metrics.Set) callLog {
 	return callLog{
-		answered: loglimit.New(log, set, "answered", answeredLines),
-		failed:   loglimit.New(log, set, "failed", failedLines),
+		answered: loglimit.New(log, set, "answered", answeredLinesPerSecond),
+		failed:   loglimit.New(log, set, "failed", failedLinesPerSecond),
 	}
 }
 
 // write describes the end of a call: what was decided, by which configuration and endpoint, and how old the knowledge of the
 // endpoint's load was.
-func (l callLog) write(q *request, last result, status int) {
+func (l callLog) write(q *request, last attemptResult, status int) {
 	now := time.Now()
 	late := !q.call.SoftDeadline.IsZero() && now.After(q.call.SoftDeadline)
-	log, plain := l.failed, last.outcome == core.OutcomeAnswered && status < 500 && q.tries <= 1 && !late
-	if plain {
+	log, routine := l.failed, last.outcome == core.OutcomeAnswered && status < 500 && q.attemptCount <= 1 && !late
+	if routine {
 		log = l.answered
 	}
 	event := log.Info()
@@ -49,7 +49,7 @@
 	}
 	event.Str("event", "call").Str("call", string(q.call.ID)).Str("route", string(q.route.Name)).Str("service", string(q.route.Service)).
 		Uint64("revision", uint64(q.configuration.Revision())).Str("outcome", string(last.outcome)).Int("status", status).
-		Int("attempts", q.tries).Int64("took-ms", now.Sub(q.began).Milliseconds()).Int64("left-ms", q.call.Deadline.Sub(now).Milliseconds()).
+		Int("attempts", q.attemptCount).Int64("took-ms", now.Sub(q.began).Milliseconds()).Int64("left-ms", q.call.Deadline.Sub(now).Milliseconds()).
 		Bool("late", late)
 	if last.endpoint.Node != "" {
 		event.Str("endpoint", string(last.endpoint.Node)).Str("release", string(last.release)).Int("running", last.load.Running).
@@ -61,15 +61,15 @@
 	event.Msg("call ended")
 }
 
-// writeEarly describes a request that was refused before it became a call. Its id may be missing, or any text.
-func (l callLog) writeEarly(r *http.Request, idHeader string, refused *core.Refusal, status int) {
+// writeRefused describes a request that was refused before it became a call. Its id may be missing, or any text.
+func (l callLog) writeRefused(r *http.Request, idHeader string, refused *core.Refusal, status int) {
 	id := r.Header.Get(idHeader)
-	l.failed.Info().Str("event", "call").Str("call", id[:min(len(id), maxLoggedID)]).Str("outcome", string(core.OutcomeNotRun)).
+	l.failed.Info().Str("event", "call").Str("call", id[:min(len(id), maxLoggedIDBytes)]).Str("outcome", string(core.OutcomeNotRun)).
 		Int("status", status).Str("cause", string(refused.Cause)).Str("detail", refused.Error()).Msg("request refused")
 }
 
-// writeUnread describes a request that could not be read.
-func (l callLog) writeUnread(remote net.Addr, status int) {
+// writeUnreadable describes a request that could not be read.
+func (l callLog) writeUnreadable(remote net.Addr, status int) {
 	l.failed.Info().Str("event", "call").Str("outcome", string(core.OutcomeNotRun)).Int("status", status).
 		Str("cause", causeUnreadable).Str("remote", remote.String()).Msg("request refused")
 }
--- a/io/callerhttp/choose_test.go
+++ b/io/callerhttp/choose_test.go
@@ -33,7 +33,7 @@
 
 // Guards against a release on trial whose calls are spread so thin that no fault under load shows, and against a part of the
 // endpoints where no move is open.
-func TestReleaseOnTrialGetsAPartOfItsEndpoints(t *testing.T) {
+func TestCanaryEndpointsOfOpenMove(t *testing.T) {
 	c := qt.New(t)
 	for _, open := range []bool{true, false} {
 		weights := []core.Weight{{Upstream: "orders-v1", PerMille: 800}, {Upstream: "orders-v2", PerMille: 200}}
--- a/io/callerhttp/framing_test.go
+++ b/io/callerhttp/framing_test.go
@@ -16,7 +16,7 @@
 
 // Guards against requests whose end is in doubt, against a second request hidden in the first one's body, and against callers
 // whose bytes are no HTTP and who take the entry away from others.
-func TestDoubtfulFramingHidesNoRequest(t *testing.T) {
+func TestRequestSmugglingIsRejected(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	e.forwarder.forward = func(int, core.Endpoint) (*core.Answer, core.Outcome, error) {
--- a/io/callerhttp/hedge_test.go
+++ b/io/callerhttp/hedge_test.go
@@ -13,19 +13,19 @@
 	"parsleyport/io/callerhttp"
 )
 
-// stuckForwarder never answers the first attempt of a call while it is stuck, and answers all others at once.
-type stuckForwarder struct {
+// stallingForwarder never answers the first attempt of a call while it is stuck, and answers all others at once.
+type stallingForwarder struct {
 	mu        sync.Mutex
-	stuck     bool
+	stall     bool
 	refuse    bool
 	calls     []core.Call
 	cancelled chan core.NodeID
 }
 
-func (f *stuckForwarder) Forward(ctx context.Context, to core.Endpoint, call *core.Call) (*core.Answer, core.Outcome, error) {
+func (f *stallingForwarder) Forward(ctx context.Context, to core.Endpoint, call *core.Call) (*core.Answer, core.Outcome, error) {
 	f.mu.Lock()
 	f.calls = append(f.calls, *call)
-	wait, refuse := f.stuck && len(f.calls) == 1, f.refuse
+	wait, refuse := f.stall && len(f.calls) == 1, f.refuse
 	f.mu.Unlock()
 	if refuse {
 		return notRun(core.CauseQueueFull)
@@ -38,10 +38,10 @@
 	return answer(http.StatusOK, strings.NewReader(string(to.Node)))
 }
 
-func (f *stuckForwarder) set(stuck, refuse bool) {
+func (f *stallingForwarder) set(stuck, refuse bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stuck, f.refuse = stuck, refuse
+	f.stall, f.refuse = stuck, refuse
 	f.calls = nil
 }
 
@@ -49,7 +49,7 @@
 // run a call twice, multiply through nested calls, or add to an overload.
 func TestSlowAttemptIsHedged(t *testing.T) {
 	c := qt.New(t)
-	f := &stuckForwarder{cancelled: make(chan core.NodeID, 10)}
+	f := &stallingForwarder{cancelled: make(chan core.NodeID, 10)}
 	e := newEntry(c, allV1, func(o *callerhttp.Options) { o.Forwarder = f })
 	for range 150 {
 		_, _, err := e.send(c, "GET", "/orders")
--- a/io/callerhttp/keyed.go
+++ b/io/callerhttp/keyed.go
@@ -11,11 +11,11 @@
 	"parsleyport/core/idempotency"
 )
 
-// settleLimit bounds the time to tell the holders of a key what became of its call.
-const settleLimit = time.Second
+// settleTimeout bounds the time to tell the holders of a key what became of its call.
+const settleTimeout = time.Second
 
-// errKeyUnknown is the error of a resend whose first call may have run.
-const errKeyUnknown = errors.ConstError("an earlier call with this idempotency key may have run")
+// errKeyOutcomeUnknown is the error of a resend whose first call may have run.
+const errKeyOutcomeUnknown = errors.ConstError("an earlier call with this idempotency key may have run")
 
 // errHoldersUnknown is the error of a call whose key may be held by nodes that this one has not heard of.
 const errHoldersUnknown = errors.ConstError("the holders of the idempotency key are not known yet, so an earlier call with it may have run")
@@ -23,8 +23,8 @@
 // serveKeyed serves a call with an idempotency key. Once the key is claimed, the call no longer ends with its caller's
 // connection, so that a resend gets the answer.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, q *request) {
-	if !s.awaitKnown(ctx, q) {
-		s.unknown(w, q, "", errHoldersUnknown)
+	if !s.awaitAllEndpoints(ctx, q) {
+		s.answerUnknown(w, q, "", errHoldersUnknown)
 		return
 	}
 	verdict, recorded := s.options.Keys.Claim(ctx, q.call)
@@ -34,18 +34,18 @@
 	case idempotency.VerdictAnswered:
 		s.replay(w, recorded)
 	case idempotency.VerdictConflict:
-		s.refuse(w, refusal(core.CauseDuplicateCall, "the idempotency key belongs to another request"))
+		s.refuse(w, newRefusal(core.CauseDuplicateCall, "the idempotency key belongs to another request"))
 	case idempotency.VerdictFull:
-		s.refuse(w, refusal(core.CauseQueueFull, "no more idempotency keys can be remembered"))
+		s.refuse(w, newRefusal(core.CauseQueueFull, "no more idempotency keys can be remembered"))
 	default:
-		s.unknown(w, q, "", errKeyUnknown)
+		s.answerUnknown(w, q, "", errKeyOutcomeUnknown)
 	}
 }
 
 func (s *Server) runClaimed(ctx context.Context, w http.ResponseWriter, q *request) {
 	ctx, cancel := context.WithDeadline(ctx, q.call.Deadline)
 	defer cancel()
-	last := s.attempt(ctx, q)
+	last := s.attemptCall(ctx, q)
 	r := &recorder{
 		verdict: idempotency.VerdictUnknown,
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	defer func() { // also when the caller's connection is aborted
-		settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleLimit)
+		settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
 		s.options.Keys.Settle(settle, q.call, r.verdict, r.answer)
 	}()
@@ -73,8 +73,8 @@
 	for name, values := range recorded.Header {
 		w.Header()[name] = values
 	}
-	set(w.Header(), s.options.Headers.Outcome, string(core.OutcomeAnswered))
-	set(w.Header(), s.options.Headers.Release, string(recorded.Release))
+	setHeader(w.Header(), s.options.Headers.Outcome, string(core.OutcomeAnswered))
+	setHeader(w.Header(), s.options.Headers.Release, string(recorded.Release))
 	w.WriteHeader(recorded.Status)
 	_, _ = w.Write(recorded.Body) // a caller that has gone may send again
 }
--- a/io/callerhttp/keyed_test.go
+++ b/io/callerhttp/keyed_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against a keyed request that runs twice when it is sent again, at the same time or later, to any entry node.
-func TestKeyRunsOnce(t *testing.T) {
+func TestKeyedCallRunsOnce(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -86,7 +86,7 @@
 
 // Guards against a keyed request that was not run and still blocks its resend, and against one that may have run and is
 // run again.
-func TestKeyAfterFailure(t *testing.T) {
+func TestResendAfterFailedKeyedCall(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.NotFoundHandler())
 	c.Cleanup(backend.Close)
@@ -130,13 +130,13 @@
 	}
 }
 
-// claimWatcher shows the context of the first claim, which ends when the entry node sees that the caller has gone.
-type claimWatcher struct {
+// claimContextRecorder shows the context of the first claim, which ends when the entry node sees that the caller has gone.
+type claimContextRecorder struct {
 	callerhttp.KeyClaimer
 	claimed chan context.Context
 }
 
-func (w claimWatcher) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
+func (w claimContextRecorder) Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	select {
 	case w.claimed <- ctx:
 	default:
@@ -145,7 +145,7 @@
 }
 
 // Guards against losing the answer of a keyed request whose caller went away while it ran.
-func TestKeyedCallOutlivesItsCaller(t *testing.T) {
+func TestKeyedCallCompletesAfterCallerDisconnects(t *testing.T) {
 	c := qt.New(t)
 	begun, finish, claimed := make(chan struct{}), make(chan struct{}), make(chan context.Context, 1)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -161,7 +161,7 @@
 	c.Cleanup(stop)
 	e := newEntry(c, allV1, func(o *callerhttp.Options) {
 		o.Endpoints, o.Picker, o.Forwarder = endpoints, endpoints, dialer
-		o.Keys = claimWatcher{KeyClaimer: claimsOf(c, dialer, endpoints, newService), claimed: claimed}
+		o.Keys = claimContextRecorder{KeyClaimer: claimsOf(c, dialer, endpoints, newService), claimed: claimed}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, "POST", "http://"+e.Address()+"/orders", strings.NewReader("body"))
--- a/io/callerhttp/path_test.go
+++ b/io/callerhttp/path_test.go
@@ -155,13 +155,13 @@
 	}
 	t.Cleanup(stopDialer)
 	entry, stopEntry, err := callerhttp.New(callerhttp.Options{
-		Address:   "127.0.0.1:0",
-		Source:    fixedSource{configuration: configuration(t, weights)},
-		Confirmed: func() bool { return true },
-		Endpoints: endpoints,
-		Picker:    endpoints,
-		Forwarder: dialer,
-		Evidence:  noEvidence{},
+		Address:                "127.0.0.1:0",
+		Source:                 fixedSource{configuration: configuration(t, weights)},
+		ConfigurationConfirmed: func() bool { return true },
+		Endpoints:              endpoints,
+		Picker:                 endpoints,
+		Forwarder:              dialer,
+		Evidence:               noEvidence{},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 }
 
 // Guards against a call that is changed, lost or mixed up with another on its way through two nodes.
-func TestCallPassesTwoNodes(t *testing.T) {
+func TestCallThroughTwoNodesIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -248,7 +248,7 @@
 	c.Cleanup(stop)
 	e := newEntry(c, allV1, func(o *callerhttp.Options) {
 		o.Endpoints, o.Picker, o.Forwarder = endpoints, endpoints, dialer
-		o.Suspected = func(f idempotency.Fingerprint) bool {
+		o.CrashSuspected = func(f idempotency.Fingerprint) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return suspects.Suspected(time.Now(), f)
--- a/io/callerhttp/request.go
+++ b/io/callerhttp/request.go
@@ -28,19 +28,19 @@
 
 // request is one request of a caller with the configuration that it began with.
 type request struct {
-	configuration *record.Configuration
-	route         record.Route
-	call          *core.Call
-	session       string
-	attempts      retry.Attempts
-	began         time.Time
-	weights       []core.Weight
-	tries         int  // attempts, those that met no backend server included
-	refusals      int  // for overload, after which the call was offered elsewhere
-	waiting       bool // is counted among the calls that wait for an endpoint
+	configuration    *record.Configuration
+	route            record.Route
+	call             *core.Call
+	session          string
+	attempts         retry.Attempts
+	began            time.Time
+	weights          []core.Weight
+	attemptCount     int  // attempts, those that met no backend server included
+	capacityRefusals int  // for overload, after which the call was offered elsewhere
+	countedAsWaiting bool // is counted among the calls that wait for an endpoint
 }
 
-func refusal(cause core.RefusalCause, detail string) *core.Refusal {
+func newRefusal(cause core.RefusalCause, detail string) *core.Refusal {
 	return &core.Refusal{
 		Cause:  cause,
 		Detail: detail,
@@ -51,87 +51,87 @@
 func (s *Server) parse(r *http.Request, configuration *record.Configuration, now time.Time) (*request, *core.Refusal) {
 	names := &s.options.Headers
 	if slices.Contains(strings.Split(r.URL.Path, "/"), "..") {
-		return nil, refusal(core.CauseMalformedCall, "path has a parent segment, which could lead to another route")
+		return nil, newRefusal(core.CauseMalformedCall, "path has a parent segment, which could lead to another route")
 	}
 	route, matched := configuration.Match(r.Host, r.Method, r.URL.Path)
 	if !matched {
-		return nil, refusal(core.CauseNoRoute, "")
+		return nil, newRefusal(core.CauseNoRoute, "")
 	}
-	route.Service = destination(route, rand.Int64N)
-	numbers, bad := parseNumbers(names, r.Header)
-	if bad != nil {
-		return nil, bad
+	route.Service = drawService(route, rand.Int64N)
+	numbers, malformed := parseNumericHeaders(names, r.Header)
+	if malformed != nil {
+		return nil, malformed
 	}
 	for name, limit := range map[string]int{names.Tenant: maxTenantBytes, names.Session: maxSessionBytes, names.IdempotencyKey: maxKeyBytes, names.CallID: maxIDBytes} {
-		if len(get(r.Header, name)) > limit {
-			return nil, refusal(core.CauseMalformedCall, name+" is too long")
+		if len(headerValue(r.Header, name)) > limit {
+			return nil, newRefusal(core.CauseMalformedCall, name+" is too long")
 		}
 	}
 	if numbers.depth >= core.MaxDepth {
-		return nil, refusal(core.CauseTooDeep, "")
+		return nil, newRefusal(core.CauseTooDeep, "")
 	}
 	deadline := now.Add(route.Timeout())
 	if numbers.remaining >= 0 {
-		deadline = earlier(deadline, now.Add(numbers.remaining))
+		deadline = earliest(deadline, now.Add(numbers.remaining))
 	}
 	if !deadline.After(now) {
-		return nil, refusal(core.CauseDeadline, "")
+		return nil, newRefusal(core.CauseDeadline, "")
 	}
 	attempts := route.MaxAttempts
 	if attempts == 0 {
 		policy, _ := configuration.Policy(route.Service)
 		attempts = policy.MaxAttempts
 	}
-	aim := time.Time{}
+	softDeadline := time.Time{}
 	if route.TargetLatencyMS > 0 {
-		aim = now.Add(time.Duration(route.TargetLatencyMS) * time.Millisecond)
+		softDeadline = now.Add(time.Duration(route.TargetLatencyMS) * time.Millisecond)
 		if numbers.remaining >= 0 {
-			aim = aim.Add(-s.usedBefore(route.Name, now, numbers.remaining))
+			softDeadline = softDeadline.Add(-s.elapsedBefore(route.Name, now, numbers.remaining))
 		}
 	}
-	call := s.callOf(r, configuration, route, deadline, numbers.depth+1)
-	call.SoftDeadline, call.StartBy = aim, s.startLimit(now)
+	call := s.newCall(r, configuration, route, deadline, numbers.depth+1)
+	call.SoftDeadline, call.StartBy = softDeadline, s.startDeadline(now)
 	return &request{
 		configuration: configuration,
 		route:         route,
 		call:          call,
-		session:       get(r.Header, names.Session),
+		session:       headerValue(r.Header, names.Session),
 		attempts:      retry.NewAttempts(attempts, numbers.attempts),
 		began:         now,
 		weights:       configuration.Weights(route.Service),
 	}, nil
 }
 
-// startLimit is when a call that begins now must have a slot. In a planned stop, the calls that were read before its end have to
+// startDeadline is when a call that begins now must have a slot. In a planned stop, the calls that were read before its end have to
 // end within it.
-func (s *Server) startLimit(now time.Time) time.Time {
-	if s.options.QueueLimit == 0 {
+func (s *Server) startDeadline(now time.Time) time.Time {
+	if s.options.MaxQueueTime == 0 {
 		return time.Time{}
 	}
-	limit := now.Add(s.options.QueueLimit)
-	if stop := s.startBy.Load(); stop != 0 {
-		limit = earlier(limit, time.Unix(0, stop))
+	limit := now.Add(s.options.MaxQueueTime)
+	if stop := s.drainStartBy.Load(); stop != 0 {
+		limit = earliest(limit, time.Unix(0, stop))
 	}
 	return limit
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
 	return a
 }
 
-type numbers struct {
+type numericHeaders struct {
 	remaining time.Duration // negative if not stated
 	attempts  int           // zero if not stated
 	depth     int
 }
 
-const maxRemainingMS = 24 * 60 * 60 * 1000
+const maxRemainingTimeMS = 24 * 60 * 60 * 1000
 
 // get returns the value of a header, or nothing if the header is not used.
-func get(header http.Header, name string) string {
+func headerValue(header http.Header, name string) string {
 	if name == "" {
 		return ""
 	}
@@ -140,7 +140,7 @@
 
 // destination draws the service of a call from the route's split. A call stays with that service, so that each one gets its
 // part whatever the others can serve.
-func destination(route record.Route, draw func(int64) int64) core.ServiceName {
+func drawService(route record.Route, draw func(int64) int64) core.ServiceName {
 	if len(route.Split) == 0 {
 		return route.Service
 	}
@@ -158,8 +158,8 @@
 	return route.Split[0].Service
 }
 
-func parseNumbers(names *core.HeaderNames, header http.Header) (numbers, *core.Refusal) {
-	n := numbers{
+func parseNumericHeaders(names *core.HeaderNames, header http.Header) (numericHeaders, *core.Refusal) {
+	n := numericHeaders{
 		remaining: -1,
 	}
 	for _, field := range []struct {
@@ -167,27 +167,27 @@
 		limit int
 		set   func(int)
 	}{
-		{name: names.Deadline, limit: maxRemainingMS, set: func(v int) { n.remaining = time.Duration(v) * time.Millisecond }},
+		{name: names.Deadline, limit: maxRemainingTimeMS, set: func(v int) { n.remaining = time.Duration(v) * time.Millisecond }},
 		{name: names.Attempts, limit: 1000, set: func(v int) { n.attempts = max(v, 1) }},
 		{name: names.Depth, limit: 1000, set: func(v int) { n.depth = v }},
 	} {
-		text := get(header, field.name)
+		text := headerValue(header, field.name)
 		if text == "" {
 			continue
 		}
 		value, err := strconv.Atoi(text)
 		if err != nil || value < 0 || value > field.limit {
-			return n, refusal(core.CauseMalformedCall, field.name+" must be a number from 0 to "+strconv.Itoa(field.limit))
+			return n, newRefusal(core.CauseMalformedCall, field.name+" must be a number from 0 to "+strconv.Itoa(field.limit))
 		}
 		field.set(value)
 	}
 	return n, nil
 }
 
-func (s *Server) callOf(r *http.Request, configuration *record.Configuration, route record.Route, deadline time.Time, depth int) *core.Call {
+func (s *Server) newCall(r *http.Request, configuration *record.Configuration, route record.Route, deadline time.Time, depth int) *core.Call {
 	service, _ := configuration.Service(route.Service)
 	names := &s.options.Headers
-	tenant := core.TenantID(get(r.Header, names.Tenant))
+	tenant := core.TenantID(headerValue(r.Header, names.Tenant))
 	if tenant == "" {
 		tenant = service.Tenant
 	}
@@ -196,8 +196,8 @@
 		priority = service.Priority
 	}
 	id := core.CallID("")
-	if s.options.CallerNamesCalls {
-		id = core.CallID(get(r.Header, names.CallID))
+	if s.options.CallerSetsCallID {
+		id = core.CallID(headerValue(r.Header, names.CallID))
 	}
 	if id == "" {
 		id = newCallID()
@@ -220,7 +220,7 @@
 		Host:           r.Host,
 		Header:         header,
 		Idempotent:     route.Idempotent,
-		IdempotencyKey: core.IdempotencyKey(get(r.Header, names.IdempotencyKey)),
+		IdempotencyKey: core.IdempotencyKey(headerValue(r.Header, names.IdempotencyKey)),
 		Priority:       priority,
 		Deadline:       deadline,
 		Depth:          depth,
@@ -237,29 +237,29 @@
 // if reserve allows no more memory.
 func readBody(r *http.Request, limit int64, reserve func(bytes int64) bool) ([]byte, *core.Refusal) {
 	if r.ContentLength > limit {
-		return nil, refusal(core.CauseTooLarge, "body is over "+strconv.FormatInt(limit, 10)+" bytes")
+		return nil, newRefusal(core.CauseTooLarge, "body is over "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	if r.ContentLength > 0 && !reserve(r.ContentLength) {
-		return nil, refusal(core.CauseQueueFull, "no memory for more request bodies")
+		return nil, newRefusal(core.CauseQueueFull, "no memory for more request bodies")
 	}
 	var body bytes.Buffer
 	body.Grow(int(max(r.ContentLength, 0)))
 	for {
 		if r.ContentLength < 0 && !reserve(core.MaxChunkBytes) {
-			return nil, refusal(core.CauseQueueFull, "no memory for more request bodies")
+			return nil, newRefusal(core.CauseQueueFull, "no memory for more request bodies")
 		}
 		_, err := io.CopyN(&body, r.Body, core.MaxChunkBytes)
 		if int64(body.Len()) > limit {
-			return nil, refusal(core.CauseTooLarge, "body is over "+strconv.FormatInt(limit, 10)+" bytes")
+			return nil, newRefusal(core.CauseTooLarge, "body is over "+strconv.FormatInt(limit, 10)+" bytes")
 		}
 		if err == io.EOF {
 			return body.Bytes(), nil
 		}
 		if err != nil {
-			return nil, refusal(core.CauseMalformedCall, errors.Annotate(err, "read body").Error())
+			return nil, newRefusal(core.CauseMalformedCall, errors.Annotate(err, "read body").Error())
 		}
 	}
 }
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -20,16 +20,16 @@
 )
 
 // result is what the last attempt of a request came to.
-type result struct {
-	answer   *core.Answer
-	endpoint core.Endpoint
-	release  core.Release
-	outcome  core.Outcome
-	err      error
-	latency  time.Duration // to the head of the answer
-	load     core.Load
-	recorded bool           // the picker and the evidence know of it
-	beside   *core.Endpoint // of another attempt that was made at the same time
+type attemptResult struct {
+	answer     *core.Answer
+	endpoint   core.Endpoint
+	release    core.Release
+	outcome    core.Outcome
+	err        error
+	latency    time.Duration // to the head of the answer
+	load       core.Load
+	reported   bool           // the picker and the evidence know of it
+	concurrent *core.Endpoint // of another attempt that was made at the same time
 }
 
 // ServeHTTP implements http.Handler.
@@ -37,23 +37,23 @@
 	markHandled(r.Context())
 	// A chunked request may have stated a length too, which net/http drops. What follows it on the connection could be a part of
 	// its body to another reader of it, and must not become a request.
-	if s.leaving.Load() || len(r.TransferEncoding) > 0 {
+	if s.draining.Load() || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
 	if s.refusing.Load() {
-		s.refuseEarly(w, r, refusal(core.CauseLeaving, "node stops"))
+		s.refuseEarly(w, r, newRefusal(core.CauseLeaving, "node stops"))
 		return
 	}
-	defer s.active.Add(-1)
-	if s.active.Add(1) > maxRequests {
-		s.refuseEarly(w, r, refusal(core.CauseQueueFull, ""))
+	defer s.activeRequests.Add(-1)
+	if s.activeRequests.Add(1) > maxActiveRequests {
+		s.refuseEarly(w, r, newRefusal(core.CauseQueueFull, ""))
 		return
 	}
 	now := time.Now()
 	configuration := s.options.Source.Current()
-	set(w.Header(), s.options.Headers.Revision, strconv.FormatUint(uint64(configuration.Revision()), 10))
-	if !s.options.Confirmed() {
-		s.refuseEarly(w, r, refusal(core.CauseNotConfirmed, ""))
+	setHeader(w.Header(), s.options.Headers.Revision, strconv.FormatUint(uint64(configuration.Revision()), 10))
+	if !s.options.ConfigurationConfirmed() {
+		s.refuseEarly(w, r, newRefusal(core.CauseNotConfirmed, ""))
 		return
 	}
 	q, refused := s.parse(r, configuration, now)
@@ -62,32 +62,32 @@
 		return
 	}
 	buffered := int64(0)
-	defer func() { s.bodies.Add(-buffered) }()
+	defer func() { s.bufferedBodyBytes.Add(-buffered) }()
 	reserve := func(bytes int64) bool {
 		buffered += bytes
-		return s.bodies.Add(bytes) <= maxBufferedBodies
+		return s.bufferedBodyBytes.Add(bytes) <= maxBufferedBodyBytes
 	}
-	if q.call.Body, refused = readBody(r, s.bodyLimit(configuration), reserve); refused != nil {
+	if q.call.Body, refused = readBody(r, s.maxBodyBytes(configuration), reserve); refused != nil {
 		s.refuseEarly(w, r, refused)
 		return
 	}
-	if s.options.Suspected(idempotency.FingerprintOf(q.call)) {
-		s.refuseEarly(w, r, refusal(core.CauseCrashSuspect, ""))
+	if s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
+		s.refuseEarly(w, r, newRefusal(core.CauseCrashSuspect, ""))
 		return
 	}
-	set(w.Header(), s.options.Headers.CallID, string(q.call.ID))
+	setHeader(w.Header(), s.options.Headers.CallID, string(q.call.ID))
 	s.serve(w, r, q)
 }
 
 // set leaves out a header that is not used.
-func set(header http.Header, name, value string) {
+func setHeader(header http.Header, name, value string) {
 	if name != "" {
 		header.Set(name, value)
 	}
 }
 
-// bodyLimit is the limit that the configuration declares, if it is below the node's own.
-func (s *Server) bodyLimit(configuration *record.Configuration) int64 {
+// maxBodyBytes is the limit that the configuration declares, if it is below the node's own.
+func (s *Server) maxBodyBytes(configuration *record.Configuration) int64 {
 	if declared := configuration.Declaration().MaxBodyBytes; declared > 0 {
 		return min(declared, s.options.MaxBodyBytes)
 	}
@@ -98,31 +98,31 @@
 	ctx, cancel := context.WithDeadline(r.Context(), q.call.Deadline)
 	defer cancel()
 	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGrace)) // fails only on a connection that is gone
+	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGracePeriod)) // fails only on a connection that is gone
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	s.mu.Lock()
 	s.budgetOf(q.route.Service).RecordCall(q.began)
 	s.mu.Unlock()
 	defer s.latency.UpdateDuration(q.began)
 	defer s.endWait(q)
-	s.options.Use(q.route.Service)
+	s.options.SubscribeEndpoints(q.route.Service)
 	if s.options.Keys != nil && q.call.IdempotencyKey != "" && !q.call.Idempotent {
 		s.serveKeyed(ctx, w, q)
 		return
 	}
-	s.deliver(ctx, w, q, s.attempt(ctx, q), nil)
+	s.deliver(ctx, w, q, s.attemptCall(ctx, q), nil)
 }
 
 // deliver gives the caller what its call came to; an answer's body also goes to the recorder, if there is one.
-func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, q *request, last result, recorder *recorder) {
+func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, q *request, last attemptResult, recorder *recorder) {
 	switch last.outcome {
 	case core.OutcomeAnswered:
-		s.calls.write(q, last, last.answer.Status)
+		s.callLog.write(q, last, last.answer.Status)
 		s.stream(ctx, w, q, last, recorder)
 	case core.OutcomeNotRun:
-		s.calls.write(q, last, s.refuse(w, refusalOf(last.err)))
+		s.callLog.write(q, last, s.refuse(w, refusalOf(last.err)))
 	default:
-		s.calls.write(q, last, s.unknown(w, q, last.release, last.err))
+		s.callLog.write(q, last, s.answerUnknown(w, q, last.release, last.err))
 	}
 }
 
@@ -131,27 +131,27 @@
 	if errors.As(err, &refused) {
 		return refused
 	}
-	return refusal(core.CauseNoEndpoint, "")
+	return newRefusal(core.CauseNoEndpoint, "")
 }
 
 // attempt makes attempts until one is answered or no other is allowed. A call of which one attempt may have run never
 // ends as not-run, and if an attempt was answered with a failure, the caller gets that answer rather than none.
-func (s *Server) attempt(ctx context.Context, q *request) result {
-	var earlier past
+func (s *Server) attemptCall(ctx context.Context, q *request) attemptResult {
+	var history attemptHistory
 	mayHaveRun := error(nil)
-	var last, answered result
+	var last, answered attemptResult
 	for {
-		if callerLeft(ctx) {
+		if callerDisconnected(ctx) {
 			if last.outcome == "" {
-				last.outcome, last.err = core.OutcomeNotRun, refusal(core.CauseRevoked, "caller has left")
+				last.outcome, last.err = core.OutcomeNotRun, newRefusal(core.CauseRevoked, "caller has left")
 			}
 			break
 		}
-		next, placed := s.place(ctx, q, earlier)
-		if !placed && mayWait(last) && s.awaitEndpoint(ctx, q, &earlier) {
+		next, attempted := s.attemptOnce(ctx, q, history)
+		if !attempted && mayWait(last) && s.awaitEndpoint(ctx, q, &history) {
 			continue
 		}
-		if !placed && last.outcome != "" {
+		if !attempted && last.outcome != "" {
 			break // the earlier attempt's cause says more than the lack of an endpoint
 		}
 		last = next
@@ -162,19 +162,19 @@
 		case core.OutcomeAnswered:
 			answered = last
 		}
-		if !placed || ctx.Err() != nil || !s.another(ctx, q, class) {
+		if !attempted || ctx.Err() != nil || !s.allowRetry(ctx, q, class) {
 			break
 		}
-		if s.options.Suspected(idempotency.FingerprintOf(q.call)) {
-			last.outcome, last.err = core.OutcomeNotRun, refusal(core.CauseCrashSuspect, "")
+		if s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
+			last.outcome, last.err = core.OutcomeNotRun, newRefusal(core.CauseCrashSuspect, "")
 			break // it has become a suspect, perhaps by its own earlier attempts
 		}
-		earlier.tried = append(earlier.tried, last.endpoint)
-		if last.beside != nil {
-			earlier.tried = append(earlier.tried, *last.beside)
+		history.tried = append(history.tried, last.endpoint)
+		if last.concurrent != nil {
+			history.tried = append(history.tried, *last.concurrent)
 		}
 		if last.outcome == core.OutcomeAnswered || retry.NodeUnavailable(causeOf(last.err)) {
-			earlier.gone = append(earlier.gone, last.endpoint)
+			history.unusable = append(history.unusable, last.endpoint)
 		}
 		s.retries.Inc()
 	}
@@ -189,31 +189,31 @@
 
 // classify returns what may follow an attempt. An answer after which another attempt is allowed is read first, so that it
 // holds no slot meanwhile; one that is too long for that is final.
-func (s *Server) classify(ctx context.Context, q *request, last *result) retry.Class {
+func (s *Server) classify(ctx context.Context, q *request, last *attemptResult) retry.Class {
 	if last.outcome != core.OutcomeAnswered {
 		class := retry.Classify(last.outcome, causeOf(last.err), q.call.Idempotent)
-		if class == retry.RetryBudgeted && last.outcome == core.OutcomeNotRun && q.refusals < s.options.RefusalTries && retry.RefusedForCapacity(causeOf(last.err)) {
-			q.refusals++
+		if class == retry.RetryBudgeted && last.outcome == core.OutcomeNotRun && q.capacityRefusals < s.options.FreeCapacityRetries && retry.RefusedForCapacity(causeOf(last.err)) {
+			q.capacityRefusals++
 			return retry.RetryFree
 		}
 		return class
 	}
-	class := retry.ClassifyAnswer(last.answer.Status, get(last.answer.Header, s.options.Headers.Outcome) != "", q.call.Idempotent)
+	class := retry.ClassifyAnswer(last.answer.Status, headerValue(last.answer.Header, s.options.Headers.Outcome) != "", q.call.Idempotent)
 	if class == retry.Final {
 		return class
 	}
 	body := last.answer.Body
 	prefix, err := io.ReadAll(io.LimitReader(body, core.MaxChunkBytes+1))
 	if err == nil && len(prefix) > core.MaxChunkBytes {
-		last.answer.Body = &prefixed{
+		last.answer.Body = &prefixedBody{
 			Reader: io.MultiReader(bytes.NewReader(prefix), body),
 			Closer: body,
 		}
 		return retry.Final
 	}
 	_ = body.Close()
-	s.done(ctx, q, *last, true)
-	last.recorded = true
+	s.reportAttempt(ctx, q, *last, true)
+	last.reported = true
 	last.answer.Body = io.NopCloser(bytes.NewReader(prefix))
 	if err != nil {
 		last.outcome, last.answer, last.err = core.OutcomeUnknown, nil, err
@@ -222,7 +222,7 @@
 }
 
 // prefixed is a body of which a part has been read already.
-type prefixed struct {
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
@@ -235,7 +235,7 @@
 	return ""
 }
 
-func (s *Server) takeBudget(service core.ServiceName) bool {
+func (s *Server) takeRetryBudget(service core.ServiceName) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budgetOf(service).Take(time.Now())
@@ -245,50 +245,50 @@
 func (s *Server) budgetOf(service core.ServiceName) *retry.Budget {
 	budget := s.budgets[service]
 	if budget == nil {
-		if len(s.budgets) >= maxHedging {
+		if len(s.budgets) >= maxTrackedServices {
 			clear(s.budgets)
 		}
-		budget = retry.NewBudget(s.options.Budget)
+		budget = retry.NewBudget(s.options.RetryBudget)
 		s.budgets[service] = budget
 	}
 	return budget
 }
 
 // place makes one attempt; it returns false if no endpoint is left.
-func (s *Server) place(ctx context.Context, q *request, earlier past) (result, bool) {
+func (s *Server) attemptOnce(ctx context.Context, q *request, history attemptHistory) (attemptResult, bool) {
 	began := time.Now()
-	q.tries++
-	endpoint, found := s.choose(q, earlier, began)
+	q.attemptCount++
+	endpoint, found := s.chooseEndpoint(q, history, began)
 	if !found {
-		return result{
+		return attemptResult{
 			outcome: core.OutcomeNotRun,
-			err:     refusal(core.CauseNoEndpoint, ""),
+			err:     newRefusal(core.CauseNoEndpoint, ""),
 		}, false
 	}
-	var last result
+	var last attemptResult
 	if delay, hedged := s.hedgeDelay(q, began); hedged {
-		last = s.placeHedged(ctx, q, earlier, endpoint, delay)
+		last = s.attemptHedged(ctx, q, history, endpoint, delay)
 	} else {
-		last = s.forward(ctx, q, callTo(q, endpoint), endpoint)
+		last = s.forward(ctx, q, startAttempt(q, endpoint), endpoint)
 	}
 	if last.outcome != core.OutcomeAnswered {
-		s.failed(ctx, q, last)
+		s.reportFailure(ctx, q, last)
 	}
 	return last, true
 }
 
-// callTo starts an attempt of the request's call.
-func callTo(q *request, endpoint core.Endpoint) *core.Call {
+// startAttempt starts an attempt of the request's call.
+func startAttempt(q *request, endpoint core.Endpoint) *core.Call {
 	call := *q.call
 	call.Release = endpoint.Release
 	call.AttemptsLeft = q.attempts.Start()
 	return &call
 }
 
-func (s *Server) forward(ctx context.Context, q *request, call *core.Call, endpoint core.Endpoint) result {
+func (s *Server) forward(ctx context.Context, q *request, call *core.Call, endpoint core.Endpoint) attemptResult {
 	began := time.Now()
 	answer, outcome, err := s.options.Forwarder.Forward(ctx, endpoint, call)
-	last := result{
+	last := attemptResult{
 		answer:   answer,
 		endpoint: endpoint,
 		release:  endpoint.Release,
@@ -297,7 +297,7 @@
 		latency:  time.Since(began),
 		load:     reportedLoad(answer, err),
 	}
-	s.learn(q.route.Service, last)
+	s.recordAttempt(q.route.Service, last)
 	return last
 }
 
@@ -313,14 +313,14 @@
 }
 
 // failed tells picker and evidence of an attempt that brought the caller no answer.
-func (s *Server) failed(ctx context.Context, q *request, last result) {
+func (s *Server) reportFailure(ctx context.Context, q *request, last attemptResult) {
 	cause := causeOf(last.err)
-	s.done(ctx, q, last, last.outcome != core.OutcomeNotRun || cause == core.CauseConnectFailed || cause == core.CauseBackendRefused)
+	s.reportAttempt(ctx, q, last, last.outcome != core.OutcomeNotRun || cause == core.CauseConnectFailed || cause == core.CauseBackendRefused)
 }
 
 // done tells the picker and, unless the backend server has seen nothing of it, the evidence about one attempt. A caller
 // that goes away is no failure of the release.
-func (s *Server) done(ctx context.Context, q *request, last result, failed bool) {
+func (s *Server) reportAttempt(ctx context.Context, q *request, last attemptResult, failed bool) {
 	callerGone := errors.Is(ctx.Err(), context.Canceled)
 	failed = failed && !callerGone
 	s.options.Picker.Done(time.Now(), core.PickResult{
@@ -339,35 +339,35 @@
 		return
 	}
 	// A call goes round the endpoints of a release that is short of room; it counts once, as it does at one with few endpoints.
-	if cause := causeOf(last.err); q.tries == 1 && (retry.RefusedForCapacity(cause) || cause == core.CauseOverloaded) {
+	if cause := causeOf(last.err); q.attemptCount == 1 && (retry.RefusedForCapacity(cause) || cause == core.CauseOverloaded) {
 		s.options.Evidence.RecordRejected(q.route.Service, q.route.Name, last.release)
 	}
 }
 
 // stream sends an answer. If its body fails midway, the connection is aborted, so that the caller never takes a part
 // for the whole.
-func (s *Server) stream(ctx context.Context, w http.ResponseWriter, q *request, last result, recorder *recorder) {
+func (s *Server) stream(ctx context.Context, w http.ResponseWriter, q *request, last attemptResult, recorder *recorder) {
 	defer last.answer.Body.Close()
 	header := w.Header()
 	for name, values := range last.answer.Header {
 		header[name] = values
 	}
-	set(header, s.options.Headers.Outcome, string(core.OutcomeAnswered))
-	set(header, s.options.Headers.Release, string(last.release))
+	setHeader(header, s.options.Headers.Outcome, string(core.OutcomeAnswered))
+	setHeader(header, s.options.Headers.Release, string(last.release))
 	w.WriteHeader(last.answer.Status)
-	fromBackend, err := copyBody(w, last.answer.Body, recorder)
-	if !last.recorded {
-		s.done(ctx, q, last, last.answer.Status >= 500 || fromBackend)
+	backendFailed, err := copyBody(w, last.answer.Body, recorder)
+	if !last.reported {
+		s.reportAttempt(ctx, q, last, last.answer.Status >= 500 || backendFailed)
 	}
 	if err != nil {
-		s.aborted.Inc()
+		s.abortedAnswers.Inc()
 		s.outcomes[core.OutcomeUnknown].Inc()
 		panic(http.ErrAbortHandler)
 	}
 	s.outcomes[core.OutcomeAnswered].Inc()
 }
 
-var chunks = sync.Pool{
+var chunkPool = sync.Pool{
 	New: func() any {
 		chunk := make([]byte, core.MaxChunkBytes)
 		return &chunk
@@ -375,10 +375,10 @@
 }
 
 // copyBody flushes after each chunk, since a streaming answer may pause; it says whether an error is the source's.
-func copyBody(w http.ResponseWriter, body io.Reader, recorder *recorder) (fromSource bool, err error) {
+func copyBody(w http.ResponseWriter, body io.Reader, recorder *recorder) (sourceFailed bool, err error) {
 	flusher, _ := w.(http.Flusher)
-	buffer := chunks.Get().(*[]byte)
-	defer chunks.Put(buffer)
+	buffer := chunkPool.Get().(*[]byte)
+	defer chunkPool.Put(buffer)
 	chunk := *buffer
 	for {
 		n, readErr := body.Read(chunk)
@@ -404,29 +404,29 @@
 
 // refuseEarly answers a request that has not become a call.
 func (s *Server) refuseEarly(w http.ResponseWriter, r *http.Request, refused *core.Refusal) {
-	s.calls.writeEarly(r, s.options.Headers.CallID, refused, s.refuse(w, refused))
+	s.callLog.writeRefused(r, s.options.Headers.CallID, refused, s.refuse(w, refused))
 }
 
-// refusedUnread notes a request that net/http has answered, since it could not be read.
-func (s *Server) refusedUnread(remote net.Addr, status int) {
+// refuseUnreadable notes a request that net/http has answered, since it could not be read.
+func (s *Server) refuseUnreadable(remote net.Addr, status int) {
 	s.outcomes[core.OutcomeNotRun].Inc()
-	s.refusals(causeUnreadable).Inc()
-	s.calls.writeUnread(remote, status)
+	s.refusalCounter(causeUnreadable).Inc()
+	s.callLog.writeUnreadable(remote, status)
 }
 
 // causeUnreadable labels the counter of requests that net/http refuses; callers see only its status.
 const causeUnreadable = "unreadable-request"
 
-func (s *Server) refusals(cause string) *metrics.Counter {
+func (s *Server) refusalCounter(cause string) *metrics.Counter {
 	return s.options.Metrics.GetOrCreateCounter(`parsleyport_caller_refusals_total{cause="` + cause + `"}`)
 }
 
 // refuse answers a call that was not run and never will be, and returns the status.
 func (s *Server) refuse(w http.ResponseWriter, refused *core.Refusal) int {
 	s.outcomes[core.OutcomeNotRun].Inc()
-	s.refusals(string(knownCause(refused.Cause))).Inc()
-	set(w.Header(), s.options.Headers.Outcome, string(core.OutcomeNotRun))
-	set(w.Header(), s.options.Headers.Cause, string(refused.Cause))
+	s.refusalCounter(string(causeLabel(refused.Cause))).Inc()
+	setHeader(w.Header(), s.options.Headers.Outcome, string(core.OutcomeNotRun))
+	setHeader(w.Header(), s.options.Headers.Cause, string(refused.Cause))
 	status := statusOf(refused.Cause)
 	if status == http.StatusServiceUnavailable && s.options.RetryAfter != nil {
 		w.Header().Set("Retry-After", s.options.RetryAfter(refused))
@@ -448,8 +448,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// knownCause keeps the counters' labels bounded, since causes come from other nodes.
-func knownCause(cause core.RefusalCause) core.RefusalCause {
+// causeLabel keeps the counters' labels bounded, since causes come from other nodes.
+func causeLabel(cause core.RefusalCause) core.RefusalCause {
 	switch cause {
 	case core.CauseNoRoute, core.CauseNoEndpoint, core.CauseNotConfirmed, core.CauseLeaving, core.CauseNoBackend,
 		core.CauseDeadline, core.CauseQueueFull, core.CauseTenantShare, core.CauseRevoked, core.CauseCrashSuspect,
@@ -460,15 +460,15 @@
 	return "other"
 }
 
-func (s *Server) unknown(w http.ResponseWriter, q *request, release core.Release, err error) int {
+func (s *Server) answerUnknown(w http.ResponseWriter, q *request, release core.Release, err error) int {
 	s.outcomes[core.OutcomeUnknown].Inc()
 	status := http.StatusBadGateway
 	if !time.Now().Before(q.call.Deadline) {
 		status = http.StatusGatewayTimeout
 	}
-	set(w.Header(), s.options.Headers.Outcome, string(core.OutcomeUnknown))
+	setHeader(w.Header(), s.options.Headers.Outcome, string(core.OutcomeUnknown))
 	if release != "" {
-		set(w.Header(), s.options.Headers.Release, string(release))
+		setHeader(w.Header(), s.options.Headers.Release, string(release))
 	}
 	http.Error(w, "outcome unknown: "+err.Error(), status)
 	return status
--- a/io/callerhttp/server.go
+++ b/io/callerhttp/server.go
@@ -21,24 +21,24 @@
 
 const (
 	defaultMaxBodyBytes = 8 << 20
-	headerLimit         = 10 * time.Second
-	bodyLimit           = time.Minute // to receive a request
-	idleLimit           = 2 * time.Minute
-	// defaultLinger is how long a draining server waits for idle callers to send one more request, whose answer tells
+	headerReadTimeout   = 10 * time.Second
+	requestReadTimeout  = time.Minute // to receive a request
+	idleTimeout         = 2 * time.Minute
+	// defaultDrainPeriod is how long a draining server waits for idle callers to send one more request, whose answer tells
 	// them to close the connection; closing at once could cut off a request that is on its way.
-	defaultLinger = time.Second
-	lingerCheck   = 20 * time.Millisecond
-	// unreadLimit is how long a server that takes no more connections waits for the requests on those it has: several round
+	defaultDrainPeriod = time.Second
+	drainPollInterval  = 20 * time.Millisecond
+	// unreadRequestTimeout is how long a server that takes no more connections waits for the requests on those it has: several round
 	// trips between data centres.
-	unreadLimit = time.Second
-	// maxRequests in progress hold at most 64 MiB of unread answers (64 KiB each, see io/nodepeer).
-	maxRequests = 1024
-	// maxBufferedBodies bounds the request bodies in memory, in bytes.
-	maxBufferedBodies = 32 << 20
-	// writeGrace is how long after the deadline a caller may take to read what it gets.
-	writeGrace = time.Second
-	// maxHedging bounds the services whose latencies are known, at 1 KiB each.
-	maxHedging = 4096
+	unreadRequestTimeout = time.Second
+	// maxActiveRequests in progress hold at most 64 MiB of unread answers (64 KiB each, see io/nodepeer).
+	maxActiveRequests = 1024
+	// maxBufferedBodyBytes bounds the request bodies in memory, in bytes.
+	maxBufferedBodyBytes = 32 << 20
+	// writeGracePeriod is how long after the deadline a caller may take to read what it gets.
+	writeGracePeriod = time.Second
+	// maxTrackedServices bounds the services whose latencies are known, at 1 KiB each.
+	maxTrackedServices = 4096
 )
 
 // KeyClaimer settles idempotency keys with the nodes that hold them, as nodepeer.Claims does.
@@ -53,69 +53,69 @@
 // whether all endpoints of such a service are known, those that left included; both may be nil. MaxBodyBytes zero means 8 MiB, the most that io/nodepeer
 // carries.
 type Options struct {
-	Address          string
-	Listener         net.Listener
-	Source           record.Source
-	Confirmed        func() bool
-	Endpoints        core.EndpointSource
-	EndpointsChanged func(core.ServiceName) <-chan struct{}
-	Use              func(core.ServiceName)
-	EndpointsKnown   func(core.ServiceName) bool
-	Picker           core.Picker
-	Forwarder        core.Forwarder
-	Evidence         core.EvidenceRecorder
-	ReleaseAllowed   func(core.ServiceName, core.Release) bool
-	Suspected        func(idempotency.Fingerprint) bool
-	Keys             KeyClaimer
-	MaxBodyBytes     int64
-	Headers          core.HeaderNames // the zero value stands for the default names
-	CallerNamesCalls bool             // a caller's header is the call's id
-	CallerService    func() core.ServiceName
-	NoHedges         bool
-	Budget           retry.BudgetOptions // of each service; the zero value stands for the default
-	RetryAfter       func(*core.Refusal) string
-	RefusalTries     int           // endpoints that a call is offered after a refusal for overload, at no cost; zero for the usual attempts
-	QueueLimit       time.Duration // for which a call may wait for a slot, zero for its whole time
-	Linger           time.Duration // for which a draining server waits for its callers to leave, zero for 1 s
-	RefusingLinger   time.Duration // after that, in which it still listens but refuses calls, since they might not end in time
-	Logger           zerolog.Logger
-	Metrics          *metrics.Set
+	Address                string
+	Listener               net.Listener
+	Source                 record.Source
+	ConfigurationConfirmed func() bool
+	Endpoints              core.EndpointSource
+	EndpointsChanged       func(core.ServiceName) <-chan struct{}
+	SubscribeEndpoints     func(core.ServiceName)
+	EndpointsKnown         func(core.ServiceName) bool
+	Picker                 core.Picker
+	Forwarder              core.Forwarder
+	Evidence               core.EvidenceRecorder
+	ReleaseAllowed         func(core.ServiceName, core.Release) bool
+	CrashSuspected         func(idempotency.Fingerprint) bool
+	Keys                   KeyClaimer
+	MaxBodyBytes           int64
+	Headers                core.HeaderNames // the zero value stands for the default names
+	CallerSetsCallID       bool             // a caller's header is the call's id
+	CallerService          func() core.ServiceName
+	DisableHedging         bool
+	RetryBudget            retry.BudgetOptions // of each service; the zero value stands for the default
+	RetryAfter             func(*core.Refusal) string
+	FreeCapacityRetries    int           // endpoints that a call is offered after a refusal for overload, at no cost; zero for the usual attempts
+	MaxQueueTime           time.Duration // for which a call may wait for a slot, zero for its whole time
+	DrainPeriod            time.Duration // for which a draining server waits for its callers to leave, zero for 1 s
+	RefusalPeriod          time.Duration // after that, in which it still listens but refuses calls, since they might not end in time
+	Logger                 zerolog.Logger
+	Metrics                *metrics.Set
 }
 
 // Server takes callers' requests.
 type Server struct {
-	options  Options
-	listener net.Listener
-	http     *http.Server
-	tasks    sync.WaitGroup
-	leaving  atomic.Bool
-	refusing atomic.Bool
-	startBy  atomic.Int64 // while draining: Unix nanoseconds after which no call starts that was read since
-	open     atomic.Int64 // callers' connections
-	pending  atomic.Int64 // connections with a request that is expected, being read or in progress
-	active   atomic.Int64 // requests in progress
-	bodies   atomic.Int64 // bytes of request bodies in memory
+	options            Options
+	listener           net.Listener
+	http               *http.Server
+	tasks              sync.WaitGroup
+	draining           atomic.Bool
+	refusing           atomic.Bool
+	drainStartBy       atomic.Int64 // while draining: Unix nanoseconds after which no call starts that was read since
+	openConnections    atomic.Int64 // callers' connections
+	pendingConnections atomic.Int64 // connections with a request that is expected, being read or in progress
+	activeRequests     atomic.Int64 // requests in progress
+	bufferedBodyBytes  atomic.Int64 // bytes of request bodies in memory
 
 	mu       sync.Mutex // guards the fields up to closed
 	budgets  map[core.ServiceName]*retry.Budget
 	hedging  map[core.ServiceName]*retry.Hedging
-	patience map[core.RouteName]*patience
-	waiting  waiting
+	timeouts map[core.RouteName]*timeoutEstimate
+	waiting  waitingCalls
 	closed   bool
 
-	calls     callLog
-	hedges    *metrics.Counter
-	hedgesWon *metrics.Counter
-	retries   *metrics.Counter
-	aborted   *metrics.Counter
-	waits     *metrics.Counter
-	latency   *metrics.Histogram
-	outcomes  map[core.Outcome]*metrics.Counter
+	callLog        callLog
+	hedges         *metrics.Counter
+	hedgesWon      *metrics.Counter
+	retries        *metrics.Counter
+	abortedAnswers *metrics.Counter
+	waits          *metrics.Counter
+	latency        *metrics.Histogram
+	outcomes       map[core.Outcome]*metrics.Counter
 }
 
 // New listens and starts to take requests; the clean-up function closes all connections and waits for the goroutines.
 func New(options Options) (*Server, func(), error) {
-	if options.Source == nil || options.Endpoints == nil || options.Picker == nil || options.Forwarder == nil || options.Evidence == nil || options.Confirmed == nil {
+	if options.Source == nil || options.Endpoints == nil || options.Picker == nil || options.Forwarder == nil || options.Evidence == nil || options.ConfigurationConfirmed == nil {
 		return nil, nil, errors.New("source, endpoints, picker, forwarder, evidence and confirmed must be set")
 	}
 	listener := options.Listener
@@ -131,8 +131,8 @@
 	if options.Headers == (core.HeaderNames{}) {
 		options.Headers = core.DefaultHeaderNames()
 	}
-	if options.Linger == 0 {
-		options.Linger = defaultLinger
+	if options.DrainPeriod == 0 {
+		options.DrainPeriod = defaultDrainPeriod
 	}
 	if options.MaxBodyBytes == 0 {
 		options.MaxBodyBytes = defaultMaxBodyBytes
@@ -140,30 +140,30 @@
 	if options.ReleaseAllowed == nil {
 		options.ReleaseAllowed = func(core.ServiceName, core.Release) bool { return true }
 	}
-	if options.Use == nil {
-		options.Use = func(core.ServiceName) {}
+	if options.SubscribeEndpoints == nil {
+		options.SubscribeEndpoints = func(core.ServiceName) {}
 	}
 	if options.EndpointsKnown == nil {
 		options.EndpointsKnown = func(core.ServiceName) bool { return true }
 	}
-	if options.Suspected == nil {
-		options.Suspected = func(idempotency.Fingerprint) bool { return false }
+	if options.CrashSuspected == nil {
+		options.CrashSuspected = func(idempotency.Fingerprint) bool { return false }
 	}
 	s := &Server{
-		options:   options,
-		calls:     newCallLog(options.Logger, options.Metrics),
-		budgets:   make(map[core.ServiceName]*retry.Budget),
-		hedging:   make(map[core.ServiceName]*retry.Hedging),
-		patience:  make(map[core.RouteName]*patience),
-		hedges:    options.Metrics.GetOrCreateCounter("parsleyport_caller_hedges_total"),
-		retries:   options.Metrics.GetOrCreateCounter("parsleyport_caller_retries_total"),
-		aborted:   options.Metrics.GetOrCreateCounter("parsleyport_caller_answers_aborted_total"),
-		latency:   options.Metrics.GetOrCreateHistogram("parsleyport_caller_latency_seconds"),
-		hedgesWon: options.Metrics.GetOrCreateCounter("parsleyport_caller_hedges_won_total"),
-		outcomes:  make(map[core.Outcome]*metrics.Counter),
-		waits:     options.Metrics.GetOrCreateCounter("parsleyport_caller_waits_total"),
-		waiting: waiting{
-			services: make(map[core.ServiceName]int),
+		options:        options,
+		callLog:        newCallLog(options.Logger, options.Metrics),
+		budgets:        make(map[core.ServiceName]*retry.Budget),
+		hedging:        make(map[core.ServiceName]*retry.Hedging),
+		timeouts:       make(map[core.RouteName]*timeoutEstimate),
+		hedges:         options.Metrics.GetOrCreateCounter("parsleyport_caller_hedges_total"),
+		retries:        options.Metrics.GetOrCreateCounter("parsleyport_caller_retries_total"),
+		abortedAnswers: options.Metrics.GetOrCreateCounter("parsleyport_caller_answers_aborted_total"),
+		latency:        options.Metrics.GetOrCreateHistogram("parsleyport_caller_latency_seconds"),
+		hedgesWon:      options.Metrics.GetOrCreateCounter("parsleyport_caller_hedges_won_total"),
+		outcomes:       make(map[core.Outcome]*metrics.Counter),
+		waits:          options.Metrics.GetOrCreateCounter("parsleyport_caller_waits_total"),
+		waiting: waitingCalls{
+			byService: make(map[core.ServiceName]int),
 		},
 	}
 	for _, outcome := range []core.Outcome{core.OutcomeAnswered, core.OutcomeNotRun, core.OutcomeUnknown} {
@@ -171,18 +171,18 @@
 	}
 	s.http = &http.Server{
 		Handler:           s,
-		ReadHeaderTimeout: headerLimit,
-		ReadTimeout:       bodyLimit,
-		IdleTimeout:       idleLimit,
-		ConnState:         s.count,
+		ReadHeaderTimeout: headerReadTimeout,
+		ReadTimeout:       requestReadTimeout,
+		IdleTimeout:       idleTimeout,
+		ConnState:         s.trackConnection,
 		ConnContext:       withConnection,
 		ErrorLog:          log.New(options.Logger, "", 0),
 	}
 	s.listener = watchedListener{
-		Listener: listener,
-		refused:  s.refusedUnread,
-		pending:  &s.pending,
-		close:    sync.OnceValue(listener.Close),
+		Listener:     listener,
+		onRefused:    s.refuseUnreadable,
+		pendingCount: &s.pendingConnections,
+		close:        sync.OnceValue(listener.Close),
 	}
 	s.tasks.Go(func() { _ = s.http.Serve(s.listener) }) // ends when the listener is closed
 	return s, s.close, nil
@@ -210,30 +210,30 @@
 	s.tasks.Wait()
 }
 
-func (s *Server) count(connection net.Conn, state http.ConnState) {
+func (s *Server) trackConnection(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateIdle:
-		markEnded(connection)
+		markAnswered(connection)
 	case http.StateNew:
-		s.open.Add(1)
+		s.openConnections.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		s.open.Add(-1)
+		s.openConnections.Add(-1)
 	}
 }
 
 // Drain answers what comes with "Connection: close" until the callers have gone or a second has passed, then accepts
 // nothing new and returns when all requests have been answered, or the context's error.
 func (s *Server) Drain(ctx context.Context) error {
-	if s.options.QueueLimit > 0 {
-		s.startBy.Store(time.Now().Add(s.options.Linger + s.options.RefusingLinger).UnixNano())
+	if s.options.MaxQueueTime > 0 {
+		s.drainStartBy.Store(time.Now().Add(s.options.DrainPeriod + s.options.RefusalPeriod).UnixNano())
 	}
-	s.leaving.Store(true)
-	if err := waitWhile(ctx, s.options.Linger, func() bool { return s.open.Load() > 0 || s.options.Linger > defaultLinger }); err != nil {
+	s.draining.Store(true)
+	if err := waitWhile(ctx, s.options.DrainPeriod, func() bool { return s.openConnections.Load() > 0 || s.options.DrainPeriod > defaultDrainPeriod }); err != nil {
 		return err
 	}
-	s.refusing.Store(s.options.RefusingLinger > 0)
+	s.refusing.Store(s.options.RefusalPeriod > 0)
 	select {
-	case <-time.After(s.options.RefusingLinger):
+	case <-time.After(s.options.RefusalPeriod):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -241,7 +241,7 @@
 	if err := s.listener.Close(); err != nil {
 		s.options.Logger.Warn().Err(err).Msg("close the callers' listener")
 	}
-	if err := waitWhile(ctx, unreadLimit, func() bool { return s.pending.Load() > 0 }); err != nil {
+	if err := waitWhile(ctx, unreadRequestTimeout, func() bool { return s.pendingConnections.Load() > 0 }); err != nil {
 		return err
 	}
 	return s.http.Shutdown(ctx)
@@ -249,7 +249,7 @@
 
 // waitWhile returns when the condition is false or the limit has passed, or the context's error.
 func waitWhile(ctx context.Context, limit time.Duration, condition func() bool) error {
-	ticker := time.NewTicker(lingerCheck)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for until := time.Now().Add(limit); condition() && time.Now().Before(until); {
 		select {
--- a/io/callerhttp/patience_test.go
+++ b/io/callerhttp/timeoutestimate_test.go
@@ -9,9 +9,9 @@
 
 // Guards against callers that come back and are taken for new ones, and against new callers with a little less time than others
 // that are taken for late ones.
-func TestPatienceTellsRepeatedAttempts(t *testing.T) {
+func TestTimeoutEstimateDetectsRetries(t *testing.T) {
 	c := qt.New(t)
-	var p patience
+	var p timeoutEstimate
 	now := time.Unix(1_000_000, 0)
 	for _, step := range []struct {
 		after, remaining, used time.Duration
@@ -24,6 +24,6 @@
 		{remaining: time.Second, used: time.Second},
 	} {
 		now = now.Add(step.after)
-		c.Assert(p.used(now, step.remaining), qt.Equals, step.used, qt.Commentf("%+v", step))
+		c.Assert(p.elapsed(now, step.remaining), qt.Equals, step.used, qt.Commentf("%+v", step))
 	}
 }
--- a/io/callerhttp/wait.go
+++ b/io/callerhttp/wait.go
@@ -9,99 +9,99 @@
 )
 
 const (
-	// maxWaiting bounds the calls that wait for an endpoint to half of those in progress, and maxWaitingForService those of
+	// maxWaitingCalls bounds the calls that wait for an endpoint to half of those in progress, and maxWaitingCallsPerService those of
 	// one service, so that a service without backend servers does not take the place of others. A node gets about 144 calls
 	// a second at the planned size.
-	maxWaiting           = maxRequests / 2
-	maxWaitingForService = maxWaiting / 2
-	// A call waits until waitNumerator/waitDenominator of its time are used up; the rest is left to run it.
-	waitNumerator   = 3
-	waitDenominator = 4
-	// probeEvery is how often a waiting call tries an endpoint again that took no calls: a backend server that is back
+	maxWaitingCalls           = maxActiveRequests / 2
+	maxWaitingCallsPerService = maxWaitingCalls / 2
+	// A call waits until maxWaitNumerator/maxWaitDenominator of its time are used up; the rest is left to run it.
+	maxWaitNumerator   = 3
+	maxWaitDenominator = 4
+	// probeInterval is how often a waiting call tries an endpoint again that took no calls: a backend server that is back
 	// within its lease announces nothing new.
-	probeEvery = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 )
 
 // waiting counts the calls that wait for an endpoint.
-type waiting struct {
-	all      int
-	services map[core.ServiceName]int
+type waitingCalls struct {
+	total     int
+	byService map[core.ServiceName]int
 }
 
 // beginWait returns false if too many calls wait already. A call counts until it has ended, so that it does not lose its
 // place between two waits.
 func (s *Server) beginWait(q *request) bool {
-	if q.waiting {
+	if q.countedAsWaiting {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	service := q.route.Service
-	if s.waiting.all >= maxWaiting || s.waiting.services[service] >= maxWaitingForService {
+	if s.waiting.total >= maxWaitingCalls || s.waiting.byService[service] >= maxWaitingCallsPerService {
 		return false
 	}
-	q.waiting = true
-	s.waiting.all++
-	s.waiting.services[service]++
+	q.countedAsWaiting = true
+	s.waiting.total++
+	s.waiting.byService[service]++
 	s.waits.Inc()
 	return true
 }
 
 func (s *Server) endWait(q *request) {
-	if !q.waiting {
+	if !q.countedAsWaiting {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	q.waiting = false
-	s.waiting.all--
-	if s.waiting.services[q.route.Service]--; s.waiting.services[q.route.Service] == 0 {
-		delete(s.waiting.services, q.route.Service)
+	q.countedAsWaiting = false
+	s.waiting.total--
+	if s.waiting.byService[q.route.Service]--; s.waiting.byService[q.route.Service] == 0 {
+		delete(s.waiting.byService, q.route.Service)
 	}
 }
 
-// waitUntil is when a call that has found no endpoint is refused.
-func (q *request) waitUntil() time.Time {
-	until := q.began.Add(q.call.Deadline.Sub(q.began) / waitDenominator * waitNumerator)
+// waitDeadline is when a call that has found no endpoint is refused.
+func (q *request) waitDeadline() time.Time {
+	until := q.began.Add(q.call.Deadline.Sub(q.began) / maxWaitDenominator * maxWaitNumerator)
 	if q.call.StartBy.IsZero() {
 		return until
 	}
-	return earlier(until, q.call.StartBy)
+	return earliest(until, q.call.StartBy)
 }
 
 // mayWait reports whether a call may wait after its last attempt, if there was one. After a refusal for overload it may
 // not: it would only be refused later.
-func mayWait(last result) bool {
+func mayWait(last attemptResult) bool {
 	return last.outcome == "" || (last.outcome == core.OutcomeNotRun && retry.NodeUnavailable(causeOf(last.err)))
 }
 
 // awaitEndpoint waits while no endpoint is usable; it returns false if the call is to be refused. The endpoints of nodes
 // and backend servers that all restart at once are unknown for about a second.
-func (s *Server) awaitEndpoint(ctx context.Context, q *request, earlier *past) bool {
-	if s.options.EndpointsChanged == nil || len(s.shares(q)) == 0 || !s.beginWait(q) {
+func (s *Server) awaitEndpoint(ctx context.Context, q *request, history *attemptHistory) bool {
+	if s.options.EndpointsChanged == nil || len(s.releaseShares(q)) == 0 || !s.beginWait(q) {
 		return false
 	}
-	for ctx.Err() == nil && time.Now().Before(q.waitUntil()) {
-		s.options.Use(q.route.Service) // its subscription may have ended when the call began
+	for ctx.Err() == nil && time.Now().Before(q.waitDeadline()) {
+		s.options.SubscribeEndpoints(q.route.Service) // its subscription may have ended when the call began
 		changed := s.options.EndpointsChanged(q.route.Service)
-		if s.usable(q, *earlier) {
+		if s.hasUsableEndpoint(q, *history) {
 			q.attempts.RestoreFreeRetry()
 			return true
 		}
-		over, woken := pause(ctx, q, changed)
+		over, changedInTime := waitForChange(ctx, q, changed)
 		if over {
 			return false
 		}
-		if !woken {
-			earlier.forgetFirstGone()
+		if !changedInTime {
+			history.forgetOldestUnusable()
 		}
 	}
 	return false
 }
 
-// awaitKnown waits until all endpoints of the call's service are known: a node that lacks some takes others for the holders
+// awaitAllEndpoints waits until all endpoints of the call's service are known: a node that lacks some takes others for the holders
 // of a key, and the call could run twice.
-func (s *Server) awaitKnown(ctx context.Context, q *request) bool {
+func (s *Server) awaitAllEndpoints(ctx context.Context, q *request) bool {
 	service := q.route.Service
 	if s.options.EndpointsKnown(service) {
 		return true
@@ -110,24 +110,24 @@
 		return false
 	}
 	for {
-		s.options.Use(service)
+		s.options.SubscribeEndpoints(service)
 		changed := s.options.EndpointsChanged(service)
 		if s.options.EndpointsKnown(service) {
 			return true
 		}
-		if over, _ := pause(ctx, q, changed); over {
+		if over, _ := waitForChange(ctx, q, changed); over {
 			return false
 		}
 	}
 }
 
-// pause waits for a change, but not longer than probeEvery; over says that the call's time to wait has ended.
-func pause(ctx context.Context, q *request, changed <-chan struct{}) (over, woken bool) {
-	left := time.Until(q.waitUntil())
+// pause waits for a change, but not longer than probeInterval; over says that the call's time to wait has ended.
+func waitForChange(ctx context.Context, q *request, changed <-chan struct{}) (over, changedInTime bool) {
+	left := time.Until(q.waitDeadline())
 	if left <= 0 {
 		return true, false
 	}
-	timer := time.NewTimer(min(left, probeEvery))
+	timer := time.NewTimer(min(left, probeInterval))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -141,15 +141,15 @@
 
 // another reports whether one more attempt may be made. A call whose free tries all met nodes that take no calls goes on
 // at the pace of a waiting call.
-func (s *Server) another(ctx context.Context, q *request, class retry.Class) bool {
-	take := func() bool { return s.takeBudget(q.route.Service) }
+func (s *Server) allowRetry(ctx context.Context, q *request, class retry.Class) bool {
+	take := func() bool { return s.takeRetryBudget(q.route.Service) }
 	if q.attempts.AllowRetry(class, take) {
 		return true
 	}
 	if class != retry.RetryFree || s.options.EndpointsChanged == nil || !s.beginWait(q) {
 		return false
 	}
-	if over, _ := pause(ctx, q, nil); over {
+	if over, _ := waitForChange(ctx, q, nil); over {
 		return false
 	}
 	q.attempts.RestoreFreeRetry()
--- a/io/callerhttp/wait_test.go
+++ b/io/callerhttp/wait_test.go
@@ -20,18 +20,18 @@
 	"parsleyport/io/callerhttp"
 )
 
-// noListener accepts nothing.
-type noListener struct {
+// blockingListener accepts nothing.
+type blockingListener struct {
 	net.Listener
 	closed chan struct{}
 	close  func()
 }
 
-func (l *noListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l *noListener) Close() error              { l.close(); return nil }
+func (l *blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l *blockingListener) Close() error              { l.close(); return nil }
 
-// waitingEntry is an entry without sockets, whose endpoints the test announces.
-type waitingEntry struct {
+// waitTestEntry is an entry without sockets, whose endpoints the test announces.
+type waitTestEntry struct {
 	entry
 	c       *qt.C
 	changed chan struct{}
@@ -41,20 +41,20 @@
 }
 
 // Claim and Settle implement callerhttp.KeyClaimer.
-func (e *waitingEntry) Claim(context.Context, *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
+func (e *waitTestEntry) Claim(context.Context, *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	e.claims.Add(1)
 	return idempotency.VerdictGranted, nil
 }
 
-func (*waitingEntry) Settle(context.Context, *core.Call, idempotency.Verdict, *idempotency.RecordedAnswer) {
+func (*waitTestEntry) Settle(context.Context, *core.Call, idempotency.Verdict, *idempotency.RecordedAnswer) {
 }
 
-func waitingWorld(t *testing.T, test func(c *qt.C, e *waitingEntry)) {
+func runWaitTest(t *testing.T, test func(c *qt.C, e *waitTestEntry)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		listener := &noListener{closed: make(chan struct{})}
+		listener := &blockingListener{closed: make(chan struct{})}
 		listener.close = sync.OnceFunc(func() { close(listener.closed) })
-		e := &waitingEntry{c: c, changed: make(chan struct{})}
+		e := &waitTestEntry{c: c, changed: make(chan struct{})}
 		e.entry = newEntry(c, allV1, func(o *callerhttp.Options) {
 			o.Listener, o.Keys = listener, e
 			o.EndpointsKnown = func(core.ServiceName) bool { return e.known.Load() }
@@ -76,7 +76,7 @@
 	})
 }
 
-func (e *waitingEntry) announce(endpoints ...core.Endpoint) {
+func (e *waitTestEntry) announce(endpoints ...core.Endpoint) {
 	e.endpoints.mu.Lock()
 	defer e.endpoints.mu.Unlock()
 	e.endpoints.endpoints = endpoints
@@ -85,7 +85,7 @@
 }
 
 // call returns the answer and how long it took.
-func (e *waitingEntry) call(header ...string) (*http.Response, time.Duration) {
+func (e *waitTestEntry) call(header ...string) (*http.Response, time.Duration) {
 	request := httptest.NewRequest("POST", "/orders", nil)
 	for i := 0; i < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
@@ -107,7 +107,7 @@
 		"old known":  {{Node: "a", Service: "orders", Release: "v1", State: core.EndpointReady}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+			runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 				e.announce(old...)
 				e.calls.Go(func() {
 					response, took := e.call()
@@ -123,8 +123,8 @@
 
 // Guards against a backend server that is back within its lease, announces nothing new, and gets no call that waits; and
 // against a service with more dead endpoints than a call has free tries.
-func TestWaitingCallTriesAgain(t *testing.T) {
-	waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+func TestWaitingCallProbesUnusableEndpoints(t *testing.T) {
+	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		var dead []core.Endpoint
 		for node := range 16 {
 			dead = append(dead, core.Endpoint{Node: core.NodeID(rune('a' + node)), Service: "orders", Release: "v1", State: core.EndpointReady})
@@ -147,7 +147,7 @@
 // Guards against a call that waits until its deadline, and against a service without backend servers whose waiting calls
 // take up the node.
 func TestWaitsAreBounded(t *testing.T) {
-	waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		e.announce()
 		response, took := e.call("Parsleyport-Deadline-Ms", "2000")
 		c.Assert(response.Header.Get("Parsleyport-Cause"), qt.Equals, "no-endpoint")
@@ -167,8 +167,8 @@
 
 // Guards against a keyed call whose entry node does not know all holders of the key: it could be granted and run twice. It
 // must not be claimed, and must not be refused as not run, since an earlier call with the key may have run.
-func TestKeyedCallWaitsForTheHolders(t *testing.T) {
-	waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+func TestKeyedCallWaitsForAllKeyHolders(t *testing.T) {
+	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		e.announce(restarted("a"))
 		e.calls.Go(func() {
 			response, took := e.call("Idempotency-Key", "k")
--- a/io/callerhttp/watch.go
+++ b/io/callerhttp/watch.go
@@ -19,9 +19,9 @@
 // with a request that is expected, being read or in progress.
 type watchedListener struct {
 	net.Listener
-	refused func(remote net.Addr, status int)
-	pending *atomic.Int64
-	close   func() error // may be called again
+	onRefused    func(remote net.Addr, status int)
+	pendingCount *atomic.Int64
+	close        func() error // may be called again
 }
 
 // Close stops to accept connections; those accepted stay.
@@ -33,11 +33,11 @@
 		return nil, err
 	}
 	watched := &watchedConnection{
-		Conn:    connection,
-		refused: l.refused,
-		count:   l.pending,
+		Conn:         connection,
+		onRefused:    l.onRefused,
+		pendingCount: l.pendingCount,
 	}
-	watched.expect()
+	watched.markPending()
 	return watched, nil
 }
 
@@ -45,21 +45,21 @@
 // a new connection is going to bring one.
 type watchedConnection struct {
 	net.Conn
-	refused func(remote net.Addr, status int)
-	count   *atomic.Int64
-	handled atomic.Bool
-	pending atomic.Bool
+	onRefused    func(remote net.Addr, status int)
+	pendingCount *atomic.Int64
+	handled      atomic.Bool
+	pending      atomic.Bool
 }
 
-func (c *watchedConnection) expect() {
+func (c *watchedConnection) markPending() {
 	if c.pending.CompareAndSwap(false, true) {
-		c.count.Add(1)
+		c.pendingCount.Add(1)
 	}
 }
 
-func (c *watchedConnection) settle() {
+func (c *watchedConnection) clearPending() {
 	if c.pending.CompareAndSwap(true, false) {
-		c.count.Add(-1)
+		c.pendingCount.Add(-1)
 	}
 }
 
@@ -67,29 +67,29 @@
 func (c *watchedConnection) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.expect()
+		c.markPending()
 	}
 	return n, err
 }
 
 // Close ends whatever was pending.
 func (c *watchedConnection) Close() error {
-	defer c.settle()
+	defer c.clearPending()
 	return c.Conn.Close()
 }
 
 // Write passes on what net/http sends.
 func (c *watchedConnection) Write(data []byte) (int, error) {
 	if !c.handled.Load() {
-		if status := statusLine(data); status >= http.StatusBadRequest {
-			c.refused(c.RemoteAddr(), status)
+		if status := parseStatus(data); status >= http.StatusBadRequest {
+			c.onRefused(c.RemoteAddr(), status)
 		}
 	}
 	return c.Conn.Write(data)
 }
 
-// statusLine returns the status of an answer that begins here, zero if none does.
-func statusLine(data []byte) int {
+// parseStatus returns the status of an answer that begins here, zero if none does.
+func parseStatus(data []byte) int {
 	rest, found := bytes.CutPrefix(data, []byte("HTTP/1.1 "))
 	if !found || len(rest) < len("400") {
 		return 0
@@ -112,9 +112,9 @@
 	}
 }
 
-// callerLeft reports whether the caller has closed its connection. net/http notices that on a goroutine of its own, which may come
+// callerDisconnected reports whether the caller has closed its connection. net/http notices that on a goroutine of its own, which may come
 // too late for a process that stood still and has just read the request and the end of its connection.
-func callerLeft(ctx context.Context) bool {
+func callerDisconnected(ctx context.Context) bool {
 	watched, ok := ctx.Value(connectionKey{}).(*watchedConnection)
 	if !ok {
 		return false
@@ -136,10 +136,10 @@
 	return left || err != nil
 }
 
-// markEnded notes that the handler's answer has been sent.
-func markEnded(connection net.Conn) {
+// markAnswered notes that the handler's answer has been sent.
+func markAnswered(connection net.Conn) {
 	if watched, ok := connection.(*watchedConnection); ok {
 		watched.handled.Store(false)
-		watched.settle()
+		watched.clearPending()
 	}
 }
--- a/io/callerhttp/watch_test.go
+++ b/io/callerhttp/watch_test.go
@@ -33,12 +33,12 @@
 }
 
 // refusals returns the causes of the logged refusals, with their statuses.
-func (b *lockedBuffer) refusals(c *qt.C) []logged {
+func (b *lockedBuffer) refusals(c *qt.C) []logLine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var lines []logged
+	var lines []logLine
 	for line := range bytes.Lines(b.buffer.Bytes()) {
-		var entry logged
+		var entry logLine
 		c.Assert(json.Unmarshal(line, &entry), qt.IsNil, qt.Commentf("%s", line))
 		if entry.Message == "request refused" {
 			lines = append(lines, entry)
@@ -47,7 +47,7 @@
 	return lines
 }
 
-type logged struct {
+type logLine struct {
 	Message string `json:"message"`
 	Call    string `json:"call"`
 	Cause   string `json:"cause"`
@@ -74,7 +74,7 @@
 	statuses = exchange(c, e.Address(), "GET /nowhere HTTP/1.1\r\nHost: x\r\nParsleyport-Call-Id: "+strings.Repeat("c", 300)+"\r\n\r\n", 1)
 	c.Assert(statuses, qt.DeepEquals, []int{http.StatusNotFound})
 
-	c.Assert(log.refusals(c), qt.DeepEquals, []logged{
+	c.Assert(log.refusals(c), qt.DeepEquals, []logLine{
 		{Message: "request refused", Cause: "unreadable-request", Status: http.StatusBadRequest},
 		{Message: "request refused", Cause: "unreadable-request", Status: http.StatusNotImplemented},
 		{Message: "request refused", Cause: string(core.CauseNoRoute), Status: http.StatusNotFound, Call: strings.Repeat("c", 128)},
