--- a/io/callerhttp/calllog.go
+++ b/io/callerhttp/calllog.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// Lines about calls of each kind that are written in a second; the others are counted. A node has a few hundred calls a
-	// second, of which nearly all are answered at the first attempt.
+	// Lines a second about answered and about all other calls; lines above the limit are only counted. A node has a few hundred
+	// calls a second, nearly all of which are answered at the first attempt.
 	answeredLinesPerSecond = 2
 	failedLinesPerSecond   = 25
-	// maxLoggedIDBytes bounds what a caller's header adds to a line, in bytes.
+	// maxLoggedIDBytes limits the part of a call ID header that is logged.
 	maxLoggedIDBytes = 128
 )
 
-// callLog writes one line for a call that was refused, failed, late or repeated, and for a few of the others.
+// callLog writes a line for each call that was refused, failed, late or retried, and for a sample of the others.
 type callLog struct {
 	answered zerolog.Logger
 	failed   zerolog.Logger
@@ -34,8 +34,8 @@
 	}
 }
 
-// write describes the end of a call: what was decided, by which configuration and endpoint, and how old the knowledge of the
-// endpoint's load was.
+// write logs the end of a call: its outcome, the revision of the configuration, and the endpoint with the load that it last
+// reported.
 func (l callLog) write(q *request, last attemptResult, status int) {
 	now := time.Now()
 	late := !q.call.SoftDeadline.IsZero() && now.After(q.call.SoftDeadline)
@@ -61,14 +61,14 @@
 	event.Msg("call ended")
 }
 
-// writeRefused describes a request that was refused before it became a call. Its id may be missing, or any text.
+// writeRefused logs a request that was refused before it became a call. Its ID header may be missing or hold any text.
 func (l callLog) writeRefused(r *http.Request, idHeader string, refused *core.Refusal, status int) {
 	id := r.Header.Get(idHeader)
 	l.failed.Info().Str("event", "call").Str("call", id[:min(len(id), maxLoggedIDBytes)]).Str("outcome", string(core.OutcomeNotRun)).
 		Int("status", status).Str("cause", string(refused.Cause)).Str("detail", refused.Error()).Msg("request refused")
 }
 
-// writeUnreadable describes a request that could not be read.
+// writeUnreadable logs a request that could not be read.
 func (l callLog) writeUnreadable(remote net.Addr, status int) {
 	l.failed.Info().Str("event", "call").Str("outcome", string(core.OutcomeNotRun)).Int("status", status).
 		Str("cause", causeUnreadable).Str("remote", remote.String()).Msg("request refused")
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -11,15 +11,15 @@
 	"parsleyport/core/rollout"
 )
 
-// share is the part of a service's traffic that a release gets at this node.
+// releaseShare is the share of a service's traffic that a release gets from this node.
 type releaseShare struct {
 	release    core.Release
 	perMille   core.PerMille
-	canary     bool          // a move to the release has not ended
-	allWeights []core.Weight // with core.OtherReleases: all weights, whose releases it does not stand for
+	canary     bool          // target of an open move
+	allWeights []core.Weight // excluded releases if the release is core.OtherReleases
 }
 
-// has reports whether an endpoint belongs to the share's release.
+// includes reports whether an endpoint belongs to the release.
 func (h releaseShare) includes(endpoint core.Endpoint) bool {
 	if h.release != core.OtherReleases {
 		return endpoint.Release == h.release
@@ -27,8 +27,8 @@
 	return !slices.ContainsFunc(h.allWeights, func(w core.Weight) bool { return core.Release(w.Upstream) == endpoint.Release })
 }
 
-// endpoints returns those that take the share's calls. A release on trial gets them on a part of its endpoints until it has
-// half of the calls.
+// endpoints returns the endpoints that get calls of the release. A canary release with less than half of the traffic gets only a
+// part of its endpoints, so that these see a realistic load.
 func (h releaseShare) endpoints(ready []core.Endpoint, shares []releaseShare) []core.Endpoint {
 	own, others := lo.FilterReject(ready, func(e core.Endpoint, _ int) bool { return h.includes(e) })
 	if !h.canary || h.perMille >= core.FullShare/2 {
@@ -40,8 +40,8 @@
 	return rollout.CanaryEndpoints(h.release, own, taking, h.perMille)
 }
 
-// choose picks a release by weight and an endpoint of it. If the release has no endpoint, another one may take its place
-// only if its share is at least as large, so that a release under trial never gets more than its share.
+// chooseEndpoint draws a release by weight and picks one of its endpoints. If the release has none, it falls back only to releases
+// with at least the same share, so that a canary release never gets more than its share.
 func (s *Server) chooseEndpoint(q *request, history attemptHistory, now time.Time) (core.Endpoint, bool) {
 	shares := s.releaseShares(q)
 	ready := s.readyEndpoints(q.route.Service)
@@ -73,7 +73,7 @@
 	return core.Endpoint{}, false
 }
 
-// shares returns the releases that may get this call.
+// releaseShares returns the releases that may get the call, with their shares.
 func (s *Server) releaseShares(q *request) []releaseShare {
 	shares := make([]releaseShare, 0, len(q.weights))
 	target, moving := q.configuration.MoveTarget(q.route.Service)
@@ -116,20 +116,20 @@
 	return ready
 }
 
-// past names the nodes that earlier attempts of a call went to.
+// attemptHistory holds the endpoints of the earlier attempts of a call.
 type attemptHistory struct {
-	tried    []core.Endpoint // as announced at that time; a node that has announced something since counts as new
-	unusable []core.Endpoint // those of tried that took no calls or have answered
+	tried    []core.Endpoint // as they were announced then; an endpoint with a newer announcement counts as untried
+	unusable []core.Endpoint // the tried endpoints that accept no calls, or have answered
 }
 
-// among reports whether the list has the endpoint's node and the node has announced nothing since.
+// containsUnchanged reports whether the list has the endpoint's node, without a newer announcement of that node since.
 func containsUnchanged(list []core.Endpoint, endpoint core.Endpoint) bool {
 	return slices.ContainsFunc(list, func(each core.Endpoint) bool {
 		return each.Node == endpoint.Node && !endpoint.Newer(each)
 	})
 }
 
-// forgetOldestUnusable has the endpoint that was found gone first tried again.
+// forgetOldestUnusable lets the endpoint that was first found unusable be tried again.
 func (p *attemptHistory) forgetOldestUnusable() {
 	if len(p.unusable) == 0 {
 		return
@@ -139,7 +139,7 @@
 	p.unusable, p.tried = slices.DeleteFunc(p.unusable, same), slices.DeleteFunc(p.tried, same)
 }
 
-// triedNodes names the candidates that the call has tried.
+// triedNodes returns the nodes of the candidates that the call has tried.
 func (p attemptHistory) triedNodes(candidates []core.Endpoint) []core.NodeID {
 	var nodes []core.NodeID
 	for _, endpoint := range candidates {
@@ -150,8 +150,8 @@
 	return nodes
 }
 
-// usable reports whether choose is certain to find an endpoint. A release with a smaller share does not count, since a call
-// that draws again until it gets that release would raise its share.
+// hasUsableEndpoint reports whether a release with the largest share has an untried endpoint, so that chooseEndpoint is certain to
+// find one. Smaller shares are ignored: a call that waited and drew again until it got such a release would raise its share.
 func (s *Server) hasUsableEndpoint(q *request, history attemptHistory) bool {
 	ready := s.readyEndpoints(q.route.Service)
 	shares := s.releaseShares(q)
@@ -162,7 +162,7 @@
 	})
 }
 
-// candidatesOf prefers endpoints that this call has not tried; one that takes no calls is not tried again.
+// candidatesOf returns the untried endpoints, or if there are none, all except the unusable ones.
 func candidatesOf(endpoints []core.Endpoint, history attemptHistory) []core.Endpoint {
 	var untried, all []core.Endpoint
 	for _, endpoint := range endpoints {
--- a/io/callerhttp/doc.go
+++ b/io/callerhttp/doc.go
@@ -1,4 +1,4 @@
-// Package callerhttp is the callers' HTTP entry of a node. It finds the route, the release and the endpoint of a request,
-// makes the attempts that the retry rules allow, and streams the answer back. A caller can tell from every answer whether
-// its request was answered, was not run, or may have run.
+// Package callerhttp is the HTTP server of a node for local callers. It matches each request to a route, selects a release and an
+// endpoint, retries and hedges within the retry rules, and streams the answer back. Each answer tells the caller whether its
+// request was answered, was not run, or may have run.
 package callerhttp
--- a/io/callerhttp/hedge.go
+++ b/io/callerhttp/hedge.go
@@ -12,28 +12,29 @@
 	"parsleyport/core/retry"
 )
 
-// hedgedDepth is the only level of nested calls that hedges. If every level added 5% of its calls, 12 levels would add up to
-// 80% at the lowest one; a hedge of the first level covers all levels below it.
+// hedgedDepth is the only depth of nested calls that is hedged. If each of 12 levels added 5% of hedges, the load of the lowest one
+// would grow by 80%; a hedge at the first level covers the levels below it.
 const hedgedDepth = 1
 
-// hedge is a second attempt that may begin beside a first one. Its result goes to ended unless the call is over by then.
+// hedge is a second attempt of a call, made if the first one is slow. Its result is sent to results, or discarded if the call has
+// ended by then.
 type hedge struct {
 	server      *Server
 	q           *request
-	history     attemptHistory // with the first attempt
+	history     attemptHistory // including the first attempt
 	ctx         context.Context
 	cancelFirst context.CancelFunc
 	results     chan attemptResult
 
 	mu        sync.Mutex
 	started   bool
-	won       bool // it was answered before the first attempt
-	discarded bool // its result is of no use any more
+	won       bool // answered before the first attempt
+	discarded bool // the result is no longer needed
 	cancel    context.CancelFunc
 	endpoint  core.Endpoint
 }
 
-// attemptHedged makes an attempt, and another one beside it if the first is not answered within the delay.
+// attemptHedged makes an attempt, and a second one at another endpoint if the first is not answered within the delay.
 func (s *Server) attemptHedged(ctx context.Context, q *request, history attemptHistory, endpoint core.Endpoint, delay time.Duration) attemptResult {
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	h := &hedge{
@@ -53,12 +54,12 @@
 	timer.Stop()
 	last := h.resolve(first)
 	if last.outcome != core.OutcomeAnswered {
-		cancelFirst() // otherwise the end of the request does
+		cancelFirst() // an answered attempt is cancelled when the request ends, after its body has been read
 	}
 	return last
 }
 
-// begin runs on the timer's goroutine.
+// start makes the second attempt. It runs on the timer's goroutine.
 func (h *hedge) start() {
 	s, q := h.server, h.q
 	if !s.startTask() {
@@ -80,7 +81,8 @@
 	h.finish(s.forward(ctx, q, call, endpoint))
 }
 
-// place needs the lock; it is false if there is no need for the hedge, no room for it or no other endpoint.
+// chooseEndpoint returns false if the hedge is no longer needed, the budgets do not allow it, or there is no other endpoint.
+// h.mu must be held.
 func (h *hedge) chooseEndpoint() (core.Endpoint, bool) {
 	s, q, now := h.server, h.q, time.Now()
 	if h.discarded || s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
@@ -113,7 +115,7 @@
 	}
 }
 
-// drop needs the lock.
+// discard ends the second attempt without using its result. h.mu must be held.
 func (h *hedge) discard(second attemptResult) {
 	if second.answer != nil {
 		_ = second.answer.Body.Close()
@@ -122,7 +124,7 @@
 	h.server.reportDiscarded(second)
 }
 
-// settle returns the result of both attempts. A result that is not returned is made known to picker and evidence here.
+// resolve returns the better result of the two attempts, and reports the other one to the picker and the evidence.
 func (h *hedge) resolve(first attemptResult) attemptResult {
 	s := h.server
 	h.mu.Lock()
@@ -133,7 +135,7 @@
 		select {
 		case second := <-h.results:
 			h.discard(second)
-		default: // finish drops it
+		default: // finish discards it
 		}
 	}
 	h.mu.Unlock()
@@ -164,12 +166,12 @@
 	return second
 }
 
-// served reports whether an attempt's answer is worth more than that of another attempt.
+// succeeded reports whether an attempt was answered without a server error.
 func succeeded(r attemptResult) bool {
 	return r.outcome == core.OutcomeAnswered && r.answer.Status < http.StatusInternalServerError
 }
 
-// unneeded tells the picker of an attempt that was cancelled or could not start.
+// reportDiscarded tells the picker about an attempt that was cancelled or not started.
 func (s *Server) reportDiscarded(r attemptResult) {
 	s.options.Picker.Done(time.Now(), core.PickResult{
 		Endpoint:  r.endpoint,
@@ -180,14 +182,15 @@
 	})
 }
 
-// slow counts an attempt that its hedge overtook: it would have been slower still, which is evidence about its release.
+// reportOvertaken records the latency of an attempt that was slower than its hedge. The latency is a lower bound, since the attempt
+// was cancelled; without it, slow calls would be missing in the evidence about the release.
 func (s *Server) reportOvertaken(q *request, r attemptResult) {
 	if r.outcome != core.OutcomeNotRun {
 		s.options.Evidence.Record(q.route.Service, q.route.Name, r.release, false, false, r.latency)
 	}
 }
 
-// hedgeDelay returns when a hedge of the request may begin; it is false if it must have none.
+// hedgeDelay returns how long after an attempt its hedge may start, or false if the request must not be hedged.
 func (s *Server) hedgeDelay(q *request, now time.Time) (time.Duration, bool) {
 	if s.options.DisableHedging || !q.call.Idempotent || q.call.Depth != hedgedDepth {
 		return 0, false
@@ -201,14 +204,14 @@
 	return hedging.Delay(now)
 }
 
-// takeHedge asks for a hedge in place of another attempt.
+// takeHedge takes a hedge from the service's budget, if the state of the service allows one.
 func (s *Server) takeHedge(service core.ServiceName, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hedging[service].Allowed(now) && s.budgetOf(service).TakeHedge(now)
 }
 
-// learn keeps what an attempt showed about its service.
+// recordAttempt updates the statistics about latency and overload of a service, which decide on hedging.
 func (s *Server) recordAttempt(service core.ServiceName, r attemptResult) {
 	now := time.Now()
 	s.mu.Lock()
@@ -216,7 +219,7 @@
 	hedging := s.hedging[service]
 	if hedging == nil {
 		if len(s.hedging) >= maxTrackedServices {
-			clear(s.hedging) // most are of services that no longer exist
+			clear(s.hedging) // most entries then belong to services that no longer exist
 		}
 		hedging = &retry.Hedging{}
 		s.hedging[service] = hedging
--- a/io/callerhttp/keyed.go
+++ b/io/callerhttp/keyed.go
@@ -11,17 +11,17 @@
 	"parsleyport/core/idempotency"
 )
 
-// settleTimeout bounds the time to tell the holders of a key what became of its call.
+// settleTimeout limits the time to report the outcome of a call to the holders of its key.
 const settleTimeout = time.Second
 
-// errKeyOutcomeUnknown is the error of a resend whose first call may have run.
+// errKeyOutcomeUnknown is returned for a resend whose first call may have run.
 const errKeyOutcomeUnknown = errors.ConstError("an earlier call with this idempotency key may have run")
 
-// errHoldersUnknown is the error of a call whose key may be held by nodes that this one has not heard of.
+// errHoldersUnknown is returned when the node does not know all endpoints of the service, and so not the holders of the key.
 const errHoldersUnknown = errors.ConstError("the holders of the idempotency key are not known yet, so an earlier call with it may have run")
 
-// serveKeyed serves a call with an idempotency key. Once the key is claimed, the call no longer ends with its caller's
-// connection, so that a resend gets the answer.
+// serveKeyed serves a call with an idempotency key. A claimed call continues after its caller has disconnected, so that a resend
+// gets its answer.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, q *request) {
 	if !s.awaitAllEndpoints(ctx, q) {
 		s.answerUnknown(w, q, "", errHoldersUnknown)
@@ -59,7 +59,7 @@
 			Release: last.release,
 		}
 	}
-	defer func() { // also when the caller's connection is aborted
+	defer func() { // also runs when stream panics to abort the connection
 		settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
 		s.options.Keys.Settle(settle, q.call, r.verdict, r.answer)
@@ -67,7 +67,7 @@
 	s.deliver(ctx, w, q, last, r)
 }
 
-// replay answers a resend with the recorded answer of its first call.
+// replay answers a resend with the recorded answer of the first call.
 func (s *Server) replay(w http.ResponseWriter, recorded *idempotency.RecordedAnswer) {
 	s.outcomes[core.OutcomeAnswered].Inc()
 	for name, values := range recorded.Header {
@@ -76,10 +76,10 @@
 	setHeader(w.Header(), s.options.Headers.Outcome, string(core.OutcomeAnswered))
 	setHeader(w.Header(), s.options.Headers.Release, string(recorded.Release))
 	w.WriteHeader(recorded.Status)
-	_, _ = w.Write(recorded.Body) // a caller that has gone may send again
+	_, _ = w.Write(recorded.Body) // a disconnected caller may resend once more
 }
 
-// recorder keeps an answer's body for resends, up to idempotency.MaxRecordedBytes; a nil recorder keeps nothing.
+// recorder keeps a copy of an answer's body for resends, up to idempotency.MaxRecordedBytes. A nil recorder keeps nothing.
 type recorder struct {
 	verdict idempotency.Verdict
 	answer  *idempotency.RecordedAnswer
--- a/io/callerhttp/request.go
+++ b/io/callerhttp/request.go
@@ -26,7 +26,7 @@
 	maxIDBytes      = 128
 )
 
-// request is one request of a caller with the configuration that it began with.
+// request is a caller's request with the configuration that was in force when it arrived. All attempts use that configuration.
 type request struct {
 	configuration    *record.Configuration
 	route            record.Route
@@ -35,9 +35,9 @@
 	attempts         retry.Attempts
 	began            time.Time
 	weights          []core.Weight
-	attemptCount     int  // attempts, those that met no backend server included
-	capacityRefusals int  // for overload, after which the call was offered elsewhere
-	countedAsWaiting bool // is counted among the calls that wait for an endpoint
+	attemptCount     int  // including attempts that found no endpoint
+	capacityRefusals int  // that were retried without cost to the retry budget
+	countedAsWaiting bool // in Server.waiting
 }
 
 func newRefusal(cause core.RefusalCause, detail string) *core.Refusal {
@@ -47,7 +47,7 @@
 	}
 }
 
-// parse checks everything but the body; nothing of the request has been run when it returns a refusal.
+// parse validates a request except for its body and builds the call. After a refusal nothing of the request has been run.
 func (s *Server) parse(r *http.Request, configuration *record.Configuration, now time.Time) (*request, *core.Refusal) {
 	names := &s.options.Headers
 	if slices.Contains(strings.Split(r.URL.Path, "/"), "..") {
@@ -102,8 +102,8 @@
 	}, nil
 }
 
-// startDeadline is when a call that begins now must have a slot. In a planned stop, the calls that were read before its end have to
-// end within it.
+// startDeadline returns the time by which a call must get a slot. While the server drains, this is at the latest the end of
+// the drain, since the call has to end before the server stops.
 func (s *Server) startDeadline(now time.Time) time.Time {
 	if s.options.MaxQueueTime == 0 {
 		return time.Time{}
@@ -123,14 +123,14 @@
 }
 
 type numericHeaders struct {
-	remaining time.Duration // negative if not stated
-	attempts  int           // zero if not stated
+	remaining time.Duration // time until the deadline; negative if the header is missing
+	attempts  int           // attempts left; zero if the header is missing
 	depth     int
 }
 
 const maxRemainingTimeMS = 24 * 60 * 60 * 1000
 
-// get returns the value of a header, or nothing if the header is not used.
+// headerValue returns the value of a header, or an empty string if the header has no name and so is not in use.
 func headerValue(header http.Header, name string) string {
 	if name == "" {
 		return ""
@@ -138,8 +138,8 @@
 	return header.Get(name)
 }
 
-// destination draws the service of a call from the route's split. A call stays with that service, so that each one gets its
-// part whatever the others can serve.
+// drawService draws the service of a call by the weights of the route's split. Retries stay with that service, so that the split
+// holds even if one of the services is overloaded.
 func drawService(route record.Route, draw func(int64) int64) core.ServiceName {
 	if len(route.Split) == 0 {
 		return route.Service
@@ -202,7 +202,7 @@
 	if id == "" {
 		id = newCallID()
 	}
-	header := r.Header.Clone() // io/backendhttp removes what concerns one connection only
+	header := r.Header.Clone() // io/backendhttp removes the hop-by-hop headers
 	if names.CallerService != "" {
 		header.Del(names.CallerService)
 		if s.options.CallerService != nil {
@@ -233,8 +233,8 @@
 	return core.CallID(hex.EncodeToString(id[:]))
 }
 
-// readBody buffers the body so that an attempt can be repeated; it returns a refusal if the body is cut or too long, or
-// if reserve allows no more memory.
+// readBody buffers the body, so that the call can be retried. It refuses a body that is incomplete or too long, or for which
+// reserve grants no memory.
 func readBody(r *http.Request, limit int64, reserve func(bytes int64) bool) ([]byte, *core.Refusal) {
 	if r.ContentLength > limit {
 		return nil, newRefusal(core.CauseTooLarge, "body is over "+strconv.FormatInt(limit, 10)+" bytes")
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -19,24 +19,24 @@
 	"parsleyport/core/retry"
 )
 
-// result is what the last attempt of a request came to.
+// attemptResult is the result of one attempt, or of an attempt and its hedge.
 type attemptResult struct {
 	answer     *core.Answer
 	endpoint   core.Endpoint
 	release    core.Release
 	outcome    core.Outcome
 	err        error
-	latency    time.Duration // to the head of the answer
+	latency    time.Duration // until the head of the answer
 	load       core.Load
-	reported   bool           // the picker and the evidence know of it
-	concurrent *core.Endpoint // of another attempt that was made at the same time
+	reported   bool           // to the picker and the evidence
+	concurrent *core.Endpoint // endpoint of the other attempt of a hedged pair
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	markHandled(r.Context())
-	// A chunked request may have stated a length too, which net/http drops. What follows it on the connection could be a part of
-	// its body to another reader of it, and must not become a request.
+	// A chunked request may also have had a Content-Length, which net/http drops. A proxy in front that goes by the length would take
+	// the bytes that follow for a part of the body, so they must not be read as a request (request smuggling).
 	if s.draining.Load() || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
@@ -79,14 +79,14 @@
 	s.serve(w, r, q)
 }
 
-// set leaves out a header that is not used.
+// setHeader sets a header unless its name is empty, which means that it is not in use.
 func setHeader(header http.Header, name, value string) {
 	if name != "" {
 		header.Set(name, value)
 	}
 }
 
-// maxBodyBytes is the limit that the configuration declares, if it is below the node's own.
+// maxBodyBytes returns the lower of the limits of the configuration and of the node.
 func (s *Server) maxBodyBytes(configuration *record.Configuration) int64 {
 	if declared := configuration.Declaration().MaxBodyBytes; declared > 0 {
 		return min(declared, s.options.MaxBodyBytes)
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithDeadline(r.Context(), q.call.Deadline)
 	defer cancel()
 	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGracePeriod)) // fails only on a connection that is gone
+	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGracePeriod)) // fails only on a closed connection
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	s.mu.Lock()
 	s.budgetOf(q.route.Service).RecordCall(q.began)
@@ -113,7 +113,7 @@
 	s.deliver(ctx, w, q, s.attemptCall(ctx, q), nil)
 }
 
-// deliver gives the caller what its call came to; an answer's body also goes to the recorder, if there is one.
+// deliver answers the caller with the result of its call. The recorder, if it is not nil, gets a copy of the body.
 func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, q *request, last attemptResult, recorder *recorder) {
 	switch last.outcome {
 	case core.OutcomeAnswered:
@@ -134,8 +134,8 @@
 	return newRefusal(core.CauseNoEndpoint, "")
 }
 
-// attempt makes attempts until one is answered or no other is allowed. A call of which one attempt may have run never
-// ends as not-run, and if an attempt was answered with a failure, the caller gets that answer rather than none.
+// attemptCall makes attempts until one is answered or no retry is allowed. If one attempt may have run, the outcome is never
+// not-run. If one was answered with a failure and later ones were not answered, it returns that answer.
 func (s *Server) attemptCall(ctx context.Context, q *request) attemptResult {
 	var history attemptHistory
 	mayHaveRun := error(nil)
@@ -152,7 +152,7 @@
 			continue
 		}
 		if !attempted && last.outcome != "" {
-			break // the earlier attempt's cause says more than the lack of an endpoint
+			break // the cause of the earlier attempt is more specific than the lack of an endpoint
 		}
 		last = next
 		class := s.classify(ctx, q, &last)
@@ -167,7 +167,7 @@
 		}
 		if s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
 			last.outcome, last.err = core.OutcomeNotRun, newRefusal(core.CauseCrashSuspect, "")
-			break // it has become a suspect, perhaps by its own earlier attempts
+			break // the earlier attempts of this call may have made it a suspect
 		}
 		history.tried = append(history.tried, last.endpoint)
 		if last.concurrent != nil {
@@ -187,8 +187,8 @@
 	return last
 }
 
-// classify returns what may follow an attempt. An answer after which another attempt is allowed is read first, so that it
-// holds no slot meanwhile; one that is too long for that is final.
+// classify returns whether an attempt may be retried. It reads a retryable answer to its end, so that the answer holds no slot
+// during the next attempt; one that is longer than a chunk is final.
 func (s *Server) classify(ctx context.Context, q *request, last *attemptResult) retry.Class {
 	if last.outcome != core.OutcomeAnswered {
 		class := retry.Classify(last.outcome, causeOf(last.err), q.call.Idempotent)
@@ -221,7 +221,7 @@
 	return class
 }
 
-// prefixed is a body of which a part has been read already.
+// prefixedBody is a body whose beginning has been read already.
 type prefixedBody struct {
 	io.Reader
 	io.Closer
@@ -241,7 +241,8 @@
 	return s.budgetOf(service).Take(time.Now())
 }
 
-// budgetOf needs the lock. The budgets of services that no longer exist are dropped when there are too many.
+// budgetOf returns the retry budget of a service. It drops all budgets when there are too many, since most then belong to services
+// that no longer exist. s.mu must be held.
 func (s *Server) budgetOf(service core.ServiceName) *retry.Budget {
 	budget := s.budgets[service]
 	if budget == nil {
@@ -254,7 +255,7 @@
 	return budget
 }
 
-// place makes one attempt; it returns false if no endpoint is left.
+// attemptOnce makes one attempt, hedged if that is allowed. It returns false if no endpoint is available.
 func (s *Server) attemptOnce(ctx context.Context, q *request, history attemptHistory) (attemptResult, bool) {
 	began := time.Now()
 	q.attemptCount++
@@ -277,7 +278,7 @@
 	return last, true
 }
 
-// startAttempt starts an attempt of the request's call.
+// startAttempt returns the call as it is sent to an endpoint, and counts the attempt.
 func startAttempt(q *request, endpoint core.Endpoint) *core.Call {
 	call := *q.call
 	call.Release = endpoint.Release
@@ -312,14 +313,14 @@
 	return core.Load{}
 }
 
-// failed tells picker and evidence of an attempt that brought the caller no answer.
+// reportFailure reports an attempt without an answer to the picker and the evidence.
 func (s *Server) reportFailure(ctx context.Context, q *request, last attemptResult) {
 	cause := causeOf(last.err)
 	s.reportAttempt(ctx, q, last, last.outcome != core.OutcomeNotRun || cause == core.CauseConnectFailed || cause == core.CauseBackendRefused)
 }
 
-// done tells the picker and, unless the backend server has seen nothing of it, the evidence about one attempt. A caller
-// that goes away is no failure of the release.
+// reportAttempt reports an attempt to the picker and, if the backend server may have run it, to the evidence. An attempt that the
+// caller cancelled does not count as a failure of the release.
 func (s *Server) reportAttempt(ctx context.Context, q *request, last attemptResult, failed bool) {
 	callerGone := errors.Is(ctx.Err(), context.Canceled)
 	failed = failed && !callerGone
@@ -338,14 +339,14 @@
 		s.options.Evidence.Record(q.route.Service, q.route.Name, last.release, failed, false, last.latency)
 		return
 	}
-	// A call goes round the endpoints of a release that is short of room; it counts once, as it does at one with few endpoints.
+	// Only the first attempt counts: a call that is retried at many overloaded endpoints must count no more than with few endpoints.
 	if cause := causeOf(last.err); q.attemptCount == 1 && (retry.RefusedForCapacity(cause) || cause == core.CauseOverloaded) {
 		s.options.Evidence.RecordRejected(q.route.Service, q.route.Name, last.release)
 	}
 }
 
-// stream sends an answer. If its body fails midway, the connection is aborted, so that the caller never takes a part
-// for the whole.
+// stream sends an answer to the caller. If the body fails midway, it aborts the connection, so that the caller can't mistake a
+// part of the answer for the whole.
 func (s *Server) stream(ctx context.Context, w http.ResponseWriter, q *request, last attemptResult, recorder *recorder) {
 	defer last.answer.Body.Close()
 	header := w.Header()
@@ -374,7 +375,8 @@
 	},
 }
 
-// copyBody flushes after each chunk, since a streaming answer may pause; it says whether an error is the source's.
+// copyBody copies a body and flushes often, since a streaming answer may pause. The flag sourceFailed tells a read error from a
+// write error. With a recorder it reads the body to its end even if the caller has disconnected.
 func copyBody(w http.ResponseWriter, body io.Reader, recorder *recorder) (sourceFailed bool, err error) {
 	flusher, _ := w.(http.Flusher)
 	buffer := chunkPool.Get().(*[]byte)
@@ -402,26 +404,26 @@
 	}
 }
 
-// refuseEarly answers a request that has not become a call.
+// refuseEarly refuses a request before it becomes a call.
 func (s *Server) refuseEarly(w http.ResponseWriter, r *http.Request, refused *core.Refusal) {
 	s.callLog.writeRefused(r, s.options.Headers.CallID, refused, s.refuse(w, refused))
 }
 
-// refuseUnreadable notes a request that net/http has answered, since it could not be read.
+// refuseUnreadable counts and logs a request that net/http could not read and has answered itself.
 func (s *Server) refuseUnreadable(remote net.Addr, status int) {
 	s.outcomes[core.OutcomeNotRun].Inc()
 	s.refusalCounter(causeUnreadable).Inc()
 	s.callLog.writeUnreadable(remote, status)
 }
 
-// causeUnreadable labels the counter of requests that net/http refuses; callers see only its status.
+// causeUnreadable is the metric label of requests that net/http refuses. Callers only get a status.
 const causeUnreadable = "unreadable-request"
 
 func (s *Server) refusalCounter(cause string) *metrics.Counter {
 	return s.options.Metrics.GetOrCreateCounter(`parsleyport_caller_refusals_total{cause="` + cause + `"}`)
 }
 
-// refuse answers a call that was not run and never will be, and returns the status.
+// refuse answers a call that was not run and will not be run, and returns the HTTP status.
 func (s *Server) refuse(w http.ResponseWriter, refused *core.Refusal) int {
 	s.outcomes[core.OutcomeNotRun].Inc()
 	s.refusalCounter(string(causeLabel(refused.Cause))).Inc()
@@ -435,7 +437,7 @@
 	return status
 }
 
-// statusOf tells a call that can succeed later, or elsewhere, from one that is wrong in itself.
+// statusOf returns 503 for refusals after which the call may be sent again, and a 4xx status for invalid calls.
 func statusOf(cause core.RefusalCause) int {
 	switch cause {
 	case core.CauseNoRoute:
@@ -448,7 +450,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// causeLabel keeps the counters' labels bounded, since causes come from other nodes.
+// causeLabel maps unknown causes, which may come from other nodes, to one label, so that the number of metrics is bounded.
 func causeLabel(cause core.RefusalCause) core.RefusalCause {
 	switch cause {
 	case core.CauseNoRoute, core.CauseNoEndpoint, core.CauseNotConfirmed, core.CauseLeaving, core.CauseNoBackend,
--- a/io/callerhttp/server.go
+++ b/io/callerhttp/server.go
@@ -22,67 +22,94 @@
 const (
 	defaultMaxBodyBytes = 8 << 20
 	headerReadTimeout   = 10 * time.Second
-	requestReadTimeout  = time.Minute // to receive a request
+	requestReadTimeout  = time.Minute // for the header and the body
 	idleTimeout         = 2 * time.Minute
-	// defaultDrainPeriod is how long a draining server waits for idle callers to send one more request, whose answer tells
-	// them to close the connection; closing at once could cut off a request that is on its way.
+	// defaultDrainPeriod lets idle callers send one more request while the server drains. The answer tells them to close the
+	// connection; closing it at once could cut off a request in flight.
 	defaultDrainPeriod = time.Second
 	drainPollInterval  = 20 * time.Millisecond
-	// unreadRequestTimeout is how long a server that takes no more connections waits for the requests on those it has: several round
-	// trips between data centres.
+	// unreadRequestTimeout limits how long a draining server, after closing its listener, waits for requests on the connections
+	// that it has accepted. It covers several round trips between data centres.
 	unreadRequestTimeout = time.Second
-	// maxActiveRequests in progress hold at most 64 MiB of unread answers (64 KiB each, see io/nodepeer).
+	// maxActiveRequests bounds the memory for unread answers to 64 MiB, at 64 KiB a request (see io/nodepeer).
 	maxActiveRequests = 1024
-	// maxBufferedBodyBytes bounds the request bodies in memory, in bytes.
+	// maxBufferedBodyBytes bounds the memory for the request bodies of all calls together.
 	maxBufferedBodyBytes = 32 << 20
-	// writeGracePeriod is how long after the deadline a caller may take to read what it gets.
+	// writeGracePeriod is how long after a call's deadline its answer may still be written to a slow caller.
 	writeGracePeriod = time.Second
-	// maxTrackedServices bounds the services whose latencies are known, at 1 KiB each.
+	// maxTrackedServices bounds the services with latency statistics (1 KiB each) and with retry budgets.
 	maxTrackedServices = 4096
 )
 
-// KeyClaimer settles idempotency keys with the nodes that hold them, as nodepeer.Claims does.
+// KeyClaimer claims idempotency keys at the nodes that hold them. It is implemented by nodepeer.Claims.
 type KeyClaimer interface {
+	// Claim asks the holders of the call's key whether the call may run. The recorded answer belongs to VerdictAnswered.
 	Claim(ctx context.Context, call *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer)
+	// Settle reports the outcome of a claimed call to the holders of its key.
 	Settle(ctx context.Context, call *core.Call, verdict idempotency.Verdict, answer *idempotency.RecordedAnswer)
 }
 
-// Options configures a Server. Listener replaces Address; ReleaseAllowed, Suspected, Keys and EndpointsChanged may be nil.
-// Without Keys a call with an idempotency key is like one without; without EndpointsChanged, whose channel is closed at the
-// next change of a service's endpoints, no call waits for one. Use is told which services are called, and EndpointsKnown
-// whether all endpoints of such a service are known, those that left included; both may be nil. MaxBodyBytes zero means 8 MiB, the most that io/nodepeer
-// carries.
+// Options configures a Server. Source, Endpoints, Picker, Forwarder, Evidence and ConfigurationConfirmed are required.
 type Options struct {
-	Address                string
-	Listener               net.Listener
-	Source                 record.Source
+	// Address is the TCP address to listen on.
+	Address string
+	// Listener replaces Address if it is set.
+	Listener net.Listener
+	// Source holds the configuration in force.
+	Source record.Source
+	// ConfigurationConfirmed reports whether the configuration is confirmed to be in force. Until it is, all calls are refused.
 	ConfigurationConfirmed func() bool
-	Endpoints              core.EndpointSource
-	EndpointsChanged       func(core.ServiceName) <-chan struct{}
-	SubscribeEndpoints     func(core.ServiceName)
-	EndpointsKnown         func(core.ServiceName) bool
-	Picker                 core.Picker
-	Forwarder              core.Forwarder
-	Evidence               core.EvidenceRecorder
-	ReleaseAllowed         func(core.ServiceName, core.Release) bool
-	CrashSuspected         func(idempotency.Fingerprint) bool
-	Keys                   KeyClaimer
-	MaxBodyBytes           int64
-	Headers                core.HeaderNames // the zero value stands for the default names
-	CallerSetsCallID       bool             // a caller's header is the call's id
-	CallerService          func() core.ServiceName
-	DisableHedging         bool
-	RetryBudget            retry.BudgetOptions // of each service; the zero value stands for the default
-	RetryAfter             func(*core.Refusal) string
-	FreeCapacityRetries    int           // endpoints that a call is offered after a refusal for overload, at no cost; zero for the usual attempts
-	MaxQueueTime           time.Duration // for which a call may wait for a slot, zero for its whole time
-	DrainPeriod            time.Duration // for which a draining server waits for its callers to leave, zero for 1 s
-	RefusalPeriod          time.Duration // after that, in which it still listens but refuses calls, since they might not end in time
-	Logger                 zerolog.Logger
-	Metrics                *metrics.Set
+	// Endpoints lists the known endpoints of a service.
+	Endpoints core.EndpointSource
+	// EndpointsChanged returns a channel that is closed at the next change of a service's endpoints. If it is nil, no call waits
+	// for an endpoint.
+	EndpointsChanged func(core.ServiceName) <-chan struct{}
+	// SubscribeEndpoints is called with the service of each call. It may be nil.
+	SubscribeEndpoints func(core.ServiceName)
+	// EndpointsKnown reports whether all endpoints of a service are known, including those that have left. Nil means yes.
+	EndpointsKnown func(core.ServiceName) bool
+	// Picker chooses one of the candidate endpoints of a release.
+	Picker core.Picker
+	// Forwarder sends calls to endpoints.
+	Forwarder core.Forwarder
+	// Evidence records the attempts for the comparison of releases.
+	Evidence core.EvidenceRecorder
+	// ReleaseAllowed reports whether a release may get calls from this node. Nil means yes.
+	ReleaseAllowed func(core.ServiceName, core.Release) bool
+	// CrashSuspected reports whether requests with a fingerprint are suspected of crashing backend servers. Nil means no.
+	CrashSuspected func(idempotency.Fingerprint) bool
+	// Keys claims idempotency keys. If it is nil, the keys of calls are ignored.
+	Keys KeyClaimer
+	// MaxBodyBytes bounds a request body. Zero means 8 MiB, which is the most that io/nodepeer carries.
+	MaxBodyBytes int64
+	// Headers names the HTTP headers; the zero value stands for the default names.
+	Headers core.HeaderNames
+	// CallerSetsCallID uses the call ID header of a request as the call's ID, instead of a random one.
+	CallerSetsCallID bool
+	// CallerService returns the service of the local callers for the caller service header. If it is nil, the header is removed.
+	CallerService func() core.ServiceName
+	// DisableHedging turns hedged attempts off.
+	DisableHedging bool
+	// RetryBudget configures the retry budget of each service; the zero value stands for the default.
+	RetryBudget retry.BudgetOptions
+	// RetryAfter returns the Retry-After header of answers with status 503. If it is nil, the header is not set.
+	RetryAfter func(*core.Refusal) string
+	// FreeCapacityRetries is the number of retries after capacity refusals that cost no retry budget. Zero means none.
+	FreeCapacityRetries int
+	// MaxQueueTime bounds how long a call may wait for a slot. Zero means until its deadline.
+	MaxQueueTime time.Duration
+	// DrainPeriod is how long Drain keeps answering calls before it refuses them. Zero means 1 s. Drain ends it early if no caller
+	// is connected, unless it is longer than 1 s.
+	DrainPeriod time.Duration
+	// RefusalPeriod follows DrainPeriod: the server still listens, but refuses calls, which might not end before it stops.
+	RefusalPeriod time.Duration
+	// Logger gets one line for a refused, failed or late call, and for a sample of the others.
+	Logger zerolog.Logger
+	// Metrics gets the server's metrics. If it is nil, a private set is used.
+	Metrics *metrics.Set
 }
 
-// Server takes callers' requests.
+// Server answers the HTTP requests of local callers.
 type Server struct {
 	options            Options
 	listener           net.Listener
@@ -90,11 +117,11 @@
 	tasks              sync.WaitGroup
 	draining           atomic.Bool
 	refusing           atomic.Bool
-	drainStartBy       atomic.Int64 // while draining: Unix nanoseconds after which no call starts that was read since
-	openConnections    atomic.Int64 // callers' connections
-	pendingConnections atomic.Int64 // connections with a request that is expected, being read or in progress
-	activeRequests     atomic.Int64 // requests in progress
-	bufferedBodyBytes  atomic.Int64 // bytes of request bodies in memory
+	drainStartBy       atomic.Int64 // Unix nanoseconds by which calls must get a slot while the server drains; zero otherwise
+	openConnections    atomic.Int64
+	pendingConnections atomic.Int64 // connections whose request is expected, being read or in progress
+	activeRequests     atomic.Int64
+	bufferedBodyBytes  atomic.Int64
 
 	mu       sync.Mutex // guards the fields up to closed
 	budgets  map[core.ServiceName]*retry.Budget
@@ -113,10 +140,10 @@
 	outcomes       map[core.Outcome]*metrics.Counter
 }
 
-// New listens and starts to take requests; the clean-up function closes all connections and waits for the goroutines.
+// New listens and starts to serve. The clean-up function closes all connections and waits for the server's goroutines.
 func New(options Options) (*Server, func(), error) {
 	if options.Source == nil || options.Endpoints == nil || options.Picker == nil || options.Forwarder == nil || options.Evidence == nil || options.ConfigurationConfirmed == nil {
-		return nil, nil, errors.New("source, endpoints, picker, forwarder, evidence and confirmed must be set")
+		return nil, nil, errors.New("Source, Endpoints, Picker, Forwarder, Evidence and ConfigurationConfirmed must be set")
 	}
 	listener := options.Listener
 	if listener == nil {
@@ -191,7 +218,7 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// startTask counts a goroutine that the clean-up function waits for; it is false if that has begun.
+// startTask registers a goroutine that close waits for. It returns false if the server is closed.
 func (s *Server) startTask() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,8 +248,8 @@
 	}
 }
 
-// Drain answers what comes with "Connection: close" until the callers have gone or a second has passed, then accepts
-// nothing new and returns when all requests have been answered, or the context's error.
+// Drain stops the server without cutting off requests. During DrainPeriod it answers with "Connection: close", during RefusalPeriod
+// it refuses calls, then it closes the listener. It returns when all requests have been answered, or the context's error.
 func (s *Server) Drain(ctx context.Context) error {
 	if s.options.MaxQueueTime > 0 {
 		s.drainStartBy.Store(time.Now().Add(s.options.DrainPeriod + s.options.RefusalPeriod).UnixNano())
@@ -237,9 +264,10 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	// Once Shutdown has begun, net/http closes a connection whose request it has just read without an answer.
+	// The listener is closed first: once Shutdown has begun, net/http closes a connection whose request it has just read, without
+	// an answer.
 	if err := s.listener.Close(); err != nil {
-		s.options.Logger.Warn().Err(err).Msg("close the callers' listener")
+		s.options.Logger.Warn().Err(err).Msg("failed to close the listener for callers")
 	}
 	if err := waitWhile(ctx, unreadRequestTimeout, func() bool { return s.pendingConnections.Load() > 0 }); err != nil {
 		return err
@@ -247,7 +275,7 @@
 	return s.http.Shutdown(ctx)
 }
 
-// waitWhile returns when the condition is false or the limit has passed, or the context's error.
+// waitWhile polls the condition until it is false or the limit has passed. It returns the context's error if that ends first.
 func waitWhile(ctx context.Context, limit time.Duration, condition func() bool) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/io/callerhttp/timeoutestimate.go
+++ b/io/callerhttp/timeoutestimate.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// timeoutWindow is half the time for which the longest remaining time of a route's calls is remembered.
+	// timeoutWindow is the length of a window; the maximum of two windows is used.
 	timeoutWindow = 30 * time.Second
-	// timeoutSpreadRatio is the part by which the callers of one route may differ in the time that they start with.
+	// timeoutSpreadRatio is the relative difference between the timeouts of callers of one route that is ignored.
 	timeoutSpreadRatio  = 0.2
 	maxTimeoutEstimates = 4096
 )
 
-// patience learns how much time the callers of a route start with. A caller that was refused and comes back states less, so that
-// the time since its first attempt is known, although each attempt is a call of its own.
+// timeoutEstimate estimates the timeout with which the callers of a route start, as the longest remaining time seen of late. A caller
+// that was refused and retries states a shorter remaining time. The difference is the time since its first attempt, which is not
+// known otherwise, since each attempt is a call of its own.
 type timeoutEstimate struct {
-	longest   [2]time.Duration // of this span and the one before
-	windowEnd time.Time        // end of this span
+	longest   [2]time.Duration // longest remaining time of the current and of the previous window
+	windowEnd time.Time        // of the current window
 }
 
-// used returns how long before this attempt the caller has begun, at least.
+// elapsed returns a lower bound of the time since the caller's first attempt.
 func (p *timeoutEstimate) elapsed(now time.Time, remaining time.Duration) time.Duration {
 	if now.After(p.windowEnd) {
 		p.longest[1] = p.longest[0]
@@ -35,7 +36,7 @@
 	return max(0, time.Duration(usual)-remaining)
 }
 
-// elapsedBefore returns how long before this attempt the caller of a route has begun.
+// elapsedBefore returns a lower bound of the time that has passed since the first attempt of a caller of the route.
 func (s *Server) elapsedBefore(route core.RouteName, now time.Time, remaining time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/callerhttp/wait.go
+++ b/io/callerhttp/wait.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// maxWaitingCalls bounds the calls that wait for an endpoint to half of those in progress, and maxWaitingCallsPerService those of
-	// one service, so that a service without backend servers does not take the place of others. A node gets about 144 calls
-	// a second at the planned size.
+	// maxWaitingCalls bounds the calls that wait for an endpoint to half of the active ones, and maxWaitingCallsPerService those of
+	// one service, so that a service without backend servers can't block the others. A node gets about 144 calls a second at the
+	// planned size.
 	maxWaitingCalls           = maxActiveRequests / 2
 	maxWaitingCallsPerService = maxWaitingCalls / 2
-	// A call waits until maxWaitNumerator/maxWaitDenominator of its time are used up; the rest is left to run it.
+	// A call waits for at most maxWaitNumerator/maxWaitDenominator of its time, which leaves the rest to run it.
 	maxWaitNumerator   = 3
 	maxWaitDenominator = 4
-	// probeInterval is how often a waiting call tries an endpoint again that took no calls: a backend server that is back
-	// within its lease announces nothing new.
+	// probeInterval is how often a waiting call retries an endpoint that accepted no calls. A backend server that restarts within
+	// its lease causes no new announcement that would wake the call.
 	probeInterval = 250 * time.Millisecond
 )
 
-// waiting counts the calls that wait for an endpoint.
+// waitingCalls counts the calls that wait for an endpoint.
 type waitingCalls struct {
 	total     int
 	byService map[core.ServiceName]int
 }
 
-// beginWait returns false if too many calls wait already. A call counts until it has ended, so that it does not lose its
-// place between two waits.
+// beginWait returns false if too many calls are waiting. A call is counted until it ends, so that it keeps its place between two
+// waits.
 func (s *Server) beginWait(q *request) bool {
 	if q.countedAsWaiting {
 		return true
@@ -60,7 +60,7 @@
 	}
 }
 
-// waitDeadline is when a call that has found no endpoint is refused.
+// waitDeadline returns the time at which a call that has found no endpoint is refused.
 func (q *request) waitDeadline() time.Time {
 	until := q.began.Add(q.call.Deadline.Sub(q.began) / maxWaitDenominator * maxWaitNumerator)
 	if q.call.StartBy.IsZero() {
@@ -69,20 +69,20 @@
 	return earliest(until, q.call.StartBy)
 }
 
-// mayWait reports whether a call may wait after its last attempt, if there was one. After a refusal for overload it may
-// not: it would only be refused later.
+// mayWait reports whether a call may wait for an endpoint after its last attempt. After a capacity refusal it may not: it would only
+// be refused later.
 func mayWait(last attemptResult) bool {
 	return last.outcome == "" || (last.outcome == core.OutcomeNotRun && retry.NodeUnavailable(causeOf(last.err)))
 }
 
-// awaitEndpoint waits while no endpoint is usable; it returns false if the call is to be refused. The endpoints of nodes
-// and backend servers that all restart at once are unknown for about a second.
+// awaitEndpoint waits until an endpoint is usable, and returns false if the call is to be refused. When all nodes or backend servers
+// of a service restart at once, its endpoints are unknown for about a second.
 func (s *Server) awaitEndpoint(ctx context.Context, q *request, history *attemptHistory) bool {
 	if s.options.EndpointsChanged == nil || len(s.releaseShares(q)) == 0 || !s.beginWait(q) {
 		return false
 	}
 	for ctx.Err() == nil && time.Now().Before(q.waitDeadline()) {
-		s.options.SubscribeEndpoints(q.route.Service) // its subscription may have ended when the call began
+		s.options.SubscribeEndpoints(q.route.Service) // the subscription may have expired since the call began
 		changed := s.options.EndpointsChanged(q.route.Service)
 		if s.hasUsableEndpoint(q, *history) {
 			q.attempts.RestoreFreeRetry()
@@ -99,8 +99,8 @@
 	return false
 }
 
-// awaitAllEndpoints waits until all endpoints of the call's service are known: a node that lacks some takes others for the holders
-// of a key, and the call could run twice.
+// awaitAllEndpoints waits until all endpoints of the call's service are known. A node that lacks some would ask the wrong holders of
+// an idempotency key, and the call could run twice.
 func (s *Server) awaitAllEndpoints(ctx context.Context, q *request) bool {
 	service := q.route.Service
 	if s.options.EndpointsKnown(service) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// pause waits for a change, but not longer than probeInterval; over says that the call's time to wait has ended.
+// waitForChange waits for a change of the endpoints, for at most probeInterval. The result over means that the call may wait no longer.
 func waitForChange(ctx context.Context, q *request, changed <-chan struct{}) (over, changedInTime bool) {
 	left := time.Until(q.waitDeadline())
 	if left <= 0 {
@@ -139,8 +139,8 @@
 	}
 }
 
-// another reports whether one more attempt may be made. A call whose free tries all met nodes that take no calls goes on
-// at the pace of a waiting call.
+// allowRetry reports whether another attempt may be made. A call that has used up its free retries on nodes that accept no calls
+// goes on at probeInterval.
 func (s *Server) allowRetry(ctx context.Context, q *request, class retry.Class) bool {
 	take := func() bool { return s.takeRetryBudget(q.route.Service) }
 	if q.attempts.AllowRetry(class, take) {
--- a/io/callerhttp/watch.go
+++ b/io/callerhttp/watch.go
@@ -14,17 +14,17 @@
 
 type connectionKey struct{}
 
-// watchedListener reports the answers that net/http gives by itself, before a request reaches the handler: it does so for
-// bytes that are no HTTP, lengths in doubt, unknown encodings and headers that are too long. It counts the connections
-// with a request that is expected, being read or in progress.
+// watchedListener reports the answers that net/http gives itself before a request reaches the handler: to bytes that are not HTTP,
+// ambiguous lengths, unknown encodings and oversized headers. It also counts the connections whose request is expected, being read
+// or in progress.
 type watchedListener struct {
 	net.Listener
 	onRefused    func(remote net.Addr, status int)
 	pendingCount *atomic.Int64
-	close        func() error // may be called again
+	close        func() error // idempotent
 }
 
-// Close stops to accept connections; those accepted stay.
+// Close stops accepting connections; accepted ones stay open.
 func (l watchedListener) Close() error { return l.close() }
 
 func (l watchedListener) Accept() (net.Conn, error) {
@@ -41,8 +41,8 @@
 	return watched, nil
 }
 
-// watchedConnection knows whether a request of it has reached the handler and has not ended yet, and whether one is pending:
-// a new connection is going to bring one.
+// watchedConnection tracks whether a request has reached the handler and whether one is pending. A new connection is pending from
+// the start, since its first request is expected.
 type watchedConnection struct {
 	net.Conn
 	onRefused    func(remote net.Addr, status int)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Read notes that a request has begun.
+// Read marks the connection as pending when bytes of a request arrive.
 func (c *watchedConnection) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
@@ -72,13 +72,13 @@
 	return n, err
 }
 
-// Close ends whatever was pending.
+// Close also ends the pending state.
 func (c *watchedConnection) Close() error {
 	defer c.clearPending()
 	return c.Conn.Close()
 }
 
-// Write passes on what net/http sends.
+// Write reports an error status that is written while no request is with the handler, so that it comes from net/http.
 func (c *watchedConnection) Write(data []byte) (int, error) {
 	if !c.handled.Load() {
 		if status := parseStatus(data); status >= http.StatusBadRequest {
@@ -88,7 +88,7 @@
 	return c.Conn.Write(data)
 }
 
-// parseStatus returns the status of an answer that begins here, zero if none does.
+// parseStatus returns the status of an answer that begins with the data, or zero if the data is no status line.
 func parseStatus(data []byte) int {
 	rest, found := bytes.CutPrefix(data, []byte("HTTP/1.1 "))
 	if !found || len(rest) < len("400") {
@@ -96,7 +96,7 @@
 	}
 	status, err := strconv.Atoi(string(rest[:len("400")]))
 	if err != nil {
-		return 0 // a body that looks like the beginning of an answer
+		return 0 // a body that looks like a status line
 	}
 	return status
 }
@@ -105,15 +105,15 @@
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// markHandled notes that a request has reached the handler; the answer that follows is the handler's.
+// markHandled notes that a request has reached the handler, so that the next answer is the handler's.
 func markHandled(ctx context.Context) {
 	if connection, ok := ctx.Value(connectionKey{}).(*watchedConnection); ok {
 		connection.handled.Store(true)
 	}
 }
 
-// callerDisconnected reports whether the caller has closed its connection. net/http notices that on a goroutine of its own, which may come
-// too late for a process that stood still and has just read the request and the end of its connection.
+// callerDisconnected reports whether the caller has closed its connection. net/http finds this out on another goroutine, which may
+// be too late if the process was suspended and has just read the request together with the end of its connection.
 func callerDisconnected(ctx context.Context) bool {
 	watched, ok := ctx.Value(connectionKey{}).(*watchedConnection)
 	if !ok {
@@ -125,7 +125,7 @@
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return true // closed at this end
+		return true // closed by this process
 	}
 	left := false
 	err = raw.Control(func(descriptor uintptr) {
