--- a/io/callerhttp/bench_test.go
+++ b/io/callerhttp/bench_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkAddedLatency compares calls through two nodes with direct calls that alternate with them.
+// BenchmarkAddedLatency compares the latency of calls through two nodes with that of direct calls. The two alternate.
 func BenchmarkAddedLatency(b *testing.B) {
 	directURL, pathURL, client := benchPath(b)
 	var mu sync.Mutex
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkCallsPerSecond measures the throughput of callers, two nodes and backend server in one process.
+// BenchmarkCallsPerSecond measures the throughput with the callers, two nodes and the backend server in one process.
 func BenchmarkCallsPerSecond(b *testing.B) {
 	for _, name := range []string{"direct", "path"} {
 		b.Run(name, func(b *testing.B) {
--- a/io/callerhttp/callerhttp_test.go
+++ b/io/callerhttp/callerhttp_test.go
@@ -26,7 +26,7 @@
 	"parsleyport/io/callerhttp"
 )
 
-// scriptedForwarder answers attempts by a function and counts them.
+// scriptedForwarder answers attempts by calling forward, and keeps the calls.
 type scriptedForwarder struct {
 	mu      sync.Mutex
 	calls   []core.Call
@@ -59,7 +59,7 @@
 	return nil, core.OutcomeUnknown, errors.New("connection broke")
 }
 
-// entry is a callers' entry in front of a scripted forwarder.
+// entry is a server with a scripted forwarder and fixed endpoints.
 type entry struct {
 	*callerhttp.Server
 	forwarder *scriptedForwarder
@@ -100,7 +100,7 @@
 	return response, string(body), err
 }
 
-// Guards against a refused request that is forwarded all the same, and against a refusal without outcome and cause.
+// Guards against refused requests that are forwarded, and against refusals without outcome and cause.
 func TestRefusedCallsAreNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	confirmed := true
@@ -130,7 +130,7 @@
 	} {
 		response, _, err := e.send(c, "POST", test.path, test.header...)
 		c.Assert(err, qt.IsNil)
-		status := map[core.RefusalCause]int{ // of calls that are wrong in themselves; all others may be repeated
+		status := map[core.RefusalCause]int{ // of invalid calls; all others get a status that allows a retry
 			core.CauseNoRoute:       http.StatusNotFound,
 			core.CauseMalformedCall: http.StatusBadRequest,
 		}
@@ -154,8 +154,8 @@
 	c.Assert(time.Until(e.forwarder.calls[0].Deadline) <= 900*time.Millisecond, qt.IsTrue)
 }
 
-// Guards against a second run of a call that is not idempotent, against "not run" after an attempt that may have run, and
-// against a caller that gets a 503 while other endpoints could serve it, or no answer where there was one.
+// Guards against a second run of a call that is not idempotent, "not run" after an attempt that may have run, a 503 while
+// another endpoint could serve the call, and the loss of an earlier attempt's answer.
 func TestOutcomeAfterRetries(t *testing.T) {
 	type script []func() (*core.Answer, core.Outcome, error)
 	ok := func() (*core.Answer, core.Outcome, error) { return answer(200, strings.NewReader("ok")) }
@@ -214,7 +214,7 @@
 	}
 }
 
-// Guards against bodies that fill the node's memory, and against memory that is not given back.
+// Guards against request bodies that fill the node's memory, and against a memory bound that leaks.
 func TestBufferedBodyBytesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
@@ -249,7 +249,7 @@
 	}
 }
 
-// Guards against one call whose own attempts end a third backend server after two.
+// Guards against a call that crashes a third backend server with its own retries after it has crashed two.
 func TestCrashSuspectIsNotRetried(t *testing.T) {
 	c := qt.New(t)
 	var e entry
@@ -263,7 +263,7 @@
 	c.Assert(e.forwarder.attempts(), qt.Equals, 2)
 }
 
-// Guards against a call that circles around a lone node which takes no calls.
+// Guards against a call that is retried again and again at the only node, which accepts no calls.
 func TestOnlyNodeThatDrainsIsTriedOnce(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
@@ -275,7 +275,7 @@
 	c.Assert(e.forwarder.attempts(), qt.Equals, 1)
 }
 
-// swappedSource gives another configuration once it is swapped.
+// swappedSource returns the next configuration once swap is set.
 type swappedSource struct {
 	fixedSource
 	next *record.Configuration
@@ -289,7 +289,7 @@
 	return s.configuration
 }
 
-// Guards against a call whose attempts follow two configurations.
+// Guards against a call whose attempts use different configurations.
 func TestRetriesUseOneConfiguration(t *testing.T) {
 	c := qt.New(t)
 	source := &swappedSource{fixedSource: fixedSource{configuration: configuration(c, allV1)}, next: record.Empty()}
@@ -310,7 +310,7 @@
 	c.Assert(response.Header.Get("Parsleyport-Cause"), qt.Equals, string(core.CauseNoRoute))
 }
 
-// Guards against refusing calls that other nodes can serve, because the attempts at a dead node used up the budget.
+// Guards against refusing calls that other nodes can serve because attempts at a dead node used up the retry budget.
 func TestRetriesOfDeadNodeCostNoBudget(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
@@ -328,7 +328,7 @@
 	c.Assert(e.forwarder.attempts(), qt.Equals, 200)
 }
 
-// Guards against attempts that a failing service multiplies: the budget holds for the node as a whole.
+// Guards against a retry storm when a service fails: the retry budget bounds the attempts of all calls together.
 func TestRetryBudgetIsSharedByCalls(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
@@ -345,7 +345,7 @@
 	c.Assert(e.forwarder.attempts() > calls, qt.IsTrue)
 }
 
-// failingReader breaks off after some bytes.
+// failingReader fails after some bytes.
 type failingReader struct{ left int }
 
 func (r *failingReader) Read(target []byte) (int, error) {
@@ -357,7 +357,7 @@
 	return n, nil
 }
 
-// Guards against a caller that takes a part of an answer for the whole.
+// Guards against a truncated answer that the caller takes for complete.
 func TestCutBodyAbortsTheConnection(t *testing.T) {
 	c := qt.New(t)
 	for _, length := range []int{0, 10, 200_000} {
@@ -370,7 +370,7 @@
 	}
 }
 
-// Guards against a release under trial that gets more than its share, and against a share that a node has set to zero.
+// Guards against a canary release that gets more than its share, and against calls to a release that this node has disallowed.
 func TestTrafficSplitBetweenReleases(t *testing.T) {
 	c := qt.New(t)
 	allowed := true
@@ -385,12 +385,12 @@
 	send := func(n int) map[core.Release]int {
 		clear(counts)
 		for range n {
-			_, _, err := e.send(c, "POST", "/orders") // a GET may have a second attempt beside it, which would count too
+			_, _, err := e.send(c, "POST", "/orders") // a GET may be hedged, and the hedge would be counted too
 			c.Assert(err, qt.IsNil)
 		}
 		return counts
 	}
-	c.Assert(send(100)["v1"], qt.Equals, 100) // v2 has no endpoint, and the larger share takes its calls
+	c.Assert(send(100)["v1"], qt.Equals, 100) // v2 has no endpoint, so the larger share takes its calls
 	e.endpoints.endpoints = append(e.endpoints.endpoints, core.Endpoint{Node: "d", Release: "v2", State: core.EndpointReady})
 	got := send(1000)["v2"]
 	c.Assert(got > 50 && got < 160, qt.IsTrue, qt.Commentf("%d of 1000 calls", got)) // 5 standard deviations around 100
@@ -399,10 +399,10 @@
 	allowed = true
 	e.endpoints.endpoints = e.endpoints.endpoints[3:]
 	got = send(100)["v2"]
-	c.Assert(got < 50, qt.IsTrue, qt.Commentf("%d of 100 calls", got)) // v1 has no endpoint; its calls don't go to the smaller share
+	c.Assert(got < 50, qt.IsTrue, qt.Commentf("%d of 100 calls", got)) // v1 has no endpoint; its calls must not go to the smaller share
 }
 
-// Guards against a planned stop that cuts off a request, on a new connection or on one that has been idle.
+// Guards against a planned stop that cuts off a request on a new or an idle connection.
 func TestDrainAnswersRequestsInProgress(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
@@ -431,7 +431,7 @@
 	<-begun
 	drained := make(chan error, 1)
 	go func() { drained <- e.Drain(context.Background()) }()
-	for range 10 { // the idle connection is still served, and then closed by its answer
+	for range 10 { // the server answers on the idle connection once more and closes it
 		body, err := get(idle)
 		c.Assert(err, qt.IsNil)
 		c.Assert(body, qt.Not(qt.Equals), "")
@@ -448,8 +448,8 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-// Guards against a planned stop that closes a connection without an answer while a request on it is being read: a first
-// request, or one that begins on an idle connection as the node stops.
+// Guards against a planned stop that closes a connection without an answer while a request is being read: the first request of a
+// connection, or one that begins on an idle connection during the stop.
 func TestDrainAnswersPartiallyReadRequest(t *testing.T) {
 	const whole = "GET /orders HTTP/1.1\r\nHost: n\r\n\r\n"
 	for name, requests := range map[string]int{"first request": 1, "second request": 2} {
@@ -475,7 +475,7 @@
 			for {
 				other, err := net.Dial("tcp", e.Address())
 				if err != nil {
-					break // the node takes no more connections
+					break // the listener is closed
 				}
 				c.Assert(other.Close(), qt.IsNil)
 				time.Sleep(time.Millisecond)
@@ -498,8 +498,8 @@
 	return response.StatusCode
 }
 
-// Guards against a release whose backend servers turn calls away without a trace of it in the evidence, and against refusals
-// for other reasons that count as such.
+// Guards against capacity refusals that are missing in the evidence about a release, and against other refusals that are counted
+// as such.
 func TestCapacityRefusalsAreRecorded(t *testing.T) {
 	c := qt.New(t)
 	recorder := rollout.NewRecorder("n", 1)
@@ -507,12 +507,12 @@
 	for _, test := range []struct {
 		cause    core.RefusalCause
 		refusals int
-		away     uint64
+		rejected uint64
 	}{
-		{cause: core.CauseOverloaded, away: 1},
-		{cause: core.CauseOverloaded, refusals: 2, away: 1}, // once for each call
-		{cause: core.CauseQueueFull, away: 1},
-		{cause: core.CauseDeadline, away: 1},
+		{cause: core.CauseOverloaded, rejected: 1},
+		{cause: core.CauseOverloaded, refusals: 2, rejected: 1}, // once for each call
+		{cause: core.CauseQueueFull, rejected: 1},
+		{cause: core.CauseDeadline, rejected: 1},
 		{cause: core.CauseLeaving},
 		{cause: core.CauseConnectFailed},
 		{cause: core.CauseTenantShare},
@@ -528,7 +528,7 @@
 		before := rejectedCalls(recorder)
 		_, _, err := e.send(c, "GET", "/orders")
 		c.Assert(err, qt.IsNil)
-		c.Assert(rejectedCalls(recorder)-before, qt.Equals, test.away, qt.Commentf("%s", test.cause))
+		c.Assert(rejectedCalls(recorder)-before, qt.Equals, test.rejected, qt.Commentf("%s", test.cause))
 	}
 }
 
@@ -536,8 +536,8 @@
 	return lo.SumBy(recorder.Counts(), func(count core.EvidenceCount) uint64 { return count.Calls - count.Answered() })
 }
 
-// Guards against a call that is passed on although its caller has left: a node that stood still reads the call and the end of
-// its connection at the same time.
+// Guards against forwarding a call whose caller has disconnected. A suspended process reads the call and the end of its connection
+// at the same time when it resumes.
 func TestCallOfDisconnectedCallerIsNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	for range 50 {
@@ -548,18 +548,18 @@
 		_, err = io.WriteString(caller, "GET /orders HTTP/1.1\r\nHost: n\r\n\r\n")
 		c.Assert(err, qt.IsNil)
 		c.Assert(caller.Close(), qt.IsNil)
-		var passedOn atomic.Int64
+		var forwarded atomic.Int64
 		e := newEntry(c, allV1, func(o *callerhttp.Options) {
 			o.Listener = listener
 			o.DrainPeriod = time.Millisecond
 		})
 		e.forwarder.forward = func(int, core.Endpoint) (*core.Answer, core.Outcome, error) {
-			passedOn.Add(1)
+			forwarded.Add(1)
 			return answer(200, strings.NewReader("done"))
 		}
-		_, _, err = e.send(c, "GET", "/orders") // is accepted after the other
+		_, _, err = e.send(c, "GET", "/orders") // accepted after the other connection
 		c.Assert(err, qt.IsNil)
 		c.Assert(e.Drain(context.Background()), qt.IsNil)
-		c.Assert(passedOn.Load(), qt.Equals, int64(1))
+		c.Assert(forwarded.Load(), qt.Equals, int64(1))
 	}
 }
--- a/io/callerhttp/choose_test.go
+++ b/io/callerhttp/choose_test.go
@@ -15,7 +15,7 @@
 	"parsleyport/io/callerhttp"
 )
 
-// candidateCounts counts how often each endpoint was offered to the picker.
+// candidateCounts is a picker that counts how often each endpoint was a candidate.
 type candidateCounts struct {
 	*fixedEndpoints
 	mu     sync.Mutex // guards counts
@@ -31,8 +31,8 @@
 	return p.fixedEndpoints.Pick(now, request, candidates)
 }
 
-// Guards against a release on trial whose calls are spread so thin that no fault under load shows, and against a part of the
-// endpoints where no move is open.
+// Guards against a canary release whose calls are spread over so many endpoints that faults under load don't show, and against using
+// only a part of the endpoints when no move is open.
 func TestCanaryEndpointsOfOpenMove(t *testing.T) {
 	c := qt.New(t)
 	for _, open := range []bool{true, false} {
@@ -60,15 +60,15 @@
 			_, _, err := e.send(c, "GET", "/orders")
 			c.Assert(err, qt.IsNil)
 		}
-		old, onTrial := 0, 0
+		old, canary := 0, 0
 		for node := range picker.counts {
 			if strings.HasPrefix(string(node), "v1") {
 				old++
 			} else {
-				onTrial++
+				canary++
 			}
 		}
 		c.Assert(old, qt.Equals, 10)
-		c.Assert(onTrial, qt.Equals, map[bool]int{true: 2, false: 10}[open])
+		c.Assert(canary, qt.Equals, map[bool]int{true: 2, false: 10}[open])
 	}
 }
--- a/io/callerhttp/framing_test.go
+++ b/io/callerhttp/framing_test.go
@@ -14,8 +14,8 @@
 	"parsleyport/core"
 )
 
-// Guards against requests whose end is in doubt, against a second request hidden in the first one's body, and against callers
-// whose bytes are no HTTP and who take the entry away from others.
+// Guards against request smuggling by ambiguous framing, where a second request is hidden in the body of the first, and against
+// input that is not HTTP and stops the server for other callers.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
@@ -52,7 +52,7 @@
 			c.Assert(err, qt.IsNil)
 			c.Check(response.StatusCode, qt.Equals, test.status)
 			_, err = http.ReadResponse(reader, nil)
-			c.Check(err, qt.IsNotNil) // the connection has ended
+			c.Check(err, qt.IsNotNil) // the server has closed the connection
 			c.Check(e.forwarder.attempts(), qt.Equals, before+test.forwarded)
 		})
 	}
--- a/io/callerhttp/hedge_test.go
+++ b/io/callerhttp/hedge_test.go
@@ -13,7 +13,7 @@
 	"parsleyport/io/callerhttp"
 )
 
-// stallingForwarder never answers the first attempt of a call while it is stuck, and answers all others at once.
+// stallingForwarder does not answer the first attempt of a call while stall is set. It answers all others at once.
 type stallingForwarder struct {
 	mu        sync.Mutex
 	stall     bool
@@ -38,15 +38,15 @@
 	return answer(http.StatusOK, strings.NewReader(string(to.Node)))
 }
 
-func (f *stallingForwarder) set(stuck, refuse bool) {
+func (f *stallingForwarder) set(stall, refuse bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stall, f.refuse = stuck, refuse
+	f.stall, f.refuse = stall, refuse
 	f.calls = nil
 }
 
-// Guards against a call that waits for one slow endpoint while another one could answer it, and against hedges that could
-// run a call twice, multiply through nested calls, or add to an overload.
+// Guards against a call that waits for one slow endpoint while another one could answer, and against hedges that run a call
+// twice, multiply through nested calls, or add to an overload.
 func TestSlowAttemptIsHedged(t *testing.T) {
 	c := qt.New(t)
 	f := &stallingForwarder{cancelled: make(chan core.NodeID, 10)}
@@ -66,26 +66,26 @@
 	e.endpoints.mu.Lock()
 	done := e.endpoints.done
 	e.endpoints.mu.Unlock()
-	unneeded := 0
+	discarded := 0
 	for _, each := range done[len(done)-2:] {
 		if each.Discarded {
 			c.Assert(each.Endpoint.Node, qt.Equals, core.NodeID("a"))
-			unneeded++
+			discarded++
 		}
 	}
-	c.Assert(unneeded, qt.Equals, 1)
+	c.Assert(discarded, qt.Equals, 1)
 
-	alone := func(method string, header ...string) {
+	assertNotHedged := func(method string, header ...string) {
 		f.set(true, false)
 		response, _, err := e.send(c, method, "/orders", append(header, "Parsleyport-Deadline-Ms", "200")...)
 		c.Assert(err, qt.IsNil)
 		c.Assert(response.Header.Get("Parsleyport-Outcome"), qt.Equals, "unknown")
 		c.Assert(f.calls, qt.HasLen, 1)
 	}
-	alone("POST")
-	alone("GET", "Parsleyport-Depth", "1")
+	assertNotHedged("POST")
+	assertNotHedged("GET", "Parsleyport-Depth", "1")
 	f.set(false, true)
 	_, _, err = e.send(c, "GET", "/orders")
 	c.Assert(err, qt.IsNil)
-	alone("GET")
+	assertNotHedged("GET")
 }
--- a/io/callerhttp/keyed_test.go
+++ b/io/callerhttp/keyed_test.go
@@ -19,10 +19,10 @@
 	"parsleyport/io/nodepeer"
 )
 
-// newService says that the service had no endpoint until now, so that its holders need not be older.
+// newService reports that the service is new, so that its key holders may be younger than the resend window.
 func newService(core.ServiceName) (time.Time, bool) { return time.Now(), true }
 
-// claimsOf returns the claims of an entry node that holds no keys itself.
+// claimsOf returns the claims of an entry node that holds no keys.
 func claimsOf(c *qt.C, dialer *nodepeer.Dialer, endpoints core.EndpointSource, since func(core.ServiceName) (time.Time, bool)) *nodepeer.Claims {
 	own, stop, err := nodepeer.NewServer(nodepeer.ServerOptions{Address: "127.0.0.1:0"})
 	c.Assert(err, qt.IsNil)
@@ -36,7 +36,7 @@
 	return claims
 }
 
-// Guards against a keyed request that runs twice when it is sent again, at the same time or later, to any entry node.
+// Guards against a keyed call that runs twice when it is resent to any entry node, at the same time or later.
 func TestKeyedCallRunsOnce(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
@@ -76,7 +76,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.Header.Get("Parsleyport-Cause"), qt.Equals, string(core.CauseDuplicateCall))
 
-	fresh := newKeyed(nil) // the holders are younger than the window, and nothing says that the service is too
+	fresh := newKeyed(nil) // the holders are younger than the resend window, and the service is not known to be new
 	response, _, err = fresh.send(c, "POST", "/orders", "Idempotency-Key", "new")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
@@ -84,8 +84,7 @@
 	c.Assert(runs.Load(), qt.Equals, int64(1))
 }
 
-// Guards against a keyed request that was not run and still blocks its resend, and against one that may have run and is
-// run again.
+// Guards against a keyed call that was not run and blocks its resend, and against a second run of one that may have run.
 func TestResendAfterFailedKeyedCall(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.NotFoundHandler())
@@ -104,7 +103,7 @@
 		first    func() (*core.Answer, core.Outcome, error)
 		outcome  string
 		resend   string
-		attempts int // of both
+		attempts int // of the call and its resend
 	}{
 		{key: "not-run", first: func() (*core.Answer, core.Outcome, error) { return notRun(core.CauseQueueFull) }, outcome: "not-run", resend: "answered", attempts: 4},
 		{key: "unknown", first: unknown, outcome: "unknown", resend: "unknown", attempts: 1},
@@ -130,7 +129,8 @@
 	}
 }
 
-// claimContextRecorder shows the context of the first claim, which ends when the entry node sees that the caller has gone.
+// claimContextRecorder passes on the context of the first claim, which ends when the entry node notices that the caller has
+// disconnected.
 type claimContextRecorder struct {
 	callerhttp.KeyClaimer
 	claimed chan context.Context
@@ -144,7 +144,7 @@
 	return w.KeyClaimer.Claim(ctx, call)
 }
 
-// Guards against losing the answer of a keyed request whose caller went away while it ran.
+// Guards against losing the answer of a keyed call whose caller disconnects while it runs.
 func TestKeyedCallCompletesAfterCallerDisconnects(t *testing.T) {
 	c := qt.New(t)
 	begun, finish, claimed := make(chan struct{}), make(chan struct{}), make(chan context.Context, 1)
--- a/io/callerhttp/path_test.go
+++ b/io/callerhttp/path_test.go
@@ -23,13 +23,13 @@
 	"parsleyport/io/nodepeer"
 )
 
-// fixedSource is a record.Source with one configuration.
+// fixedSource is a record.Source whose configuration never changes.
 type fixedSource struct{ configuration *record.Configuration }
 
 func (f fixedSource) Current() *record.Configuration { return f.configuration }
 func (f fixedSource) Changed() <-chan struct{}       { return nil }
 
-// fixedEndpoints is a core.EndpointSource and a core.Picker that takes the first candidate.
+// fixedEndpoints is a core.EndpointSource and a core.Picker that picks the first candidate.
 type fixedEndpoints struct {
 	mu        sync.Mutex
 	endpoints []core.Endpoint
@@ -78,7 +78,7 @@
 
 const allV1 = `{"upstream":"orders-v1","per-mille":1000}`
 
-// node is the part of a node beside a backend server.
+// node holds the servers of a node that has a backend server.
 type node struct {
 	backend *backendhttp.Server
 	peer    *nodepeer.Server
@@ -121,11 +121,11 @@
 	announceReady(t, backend, n, state, "a1")
 	done := make(chan struct{})
 	var repeats sync.WaitGroup
-	t.Cleanup(func() { // before the node is closed, to which an announcement may be on its way
+	t.Cleanup(func() { // runs before the node is closed, since an announcement may be in flight
 		close(done)
 		repeats.Wait()
 	})
-	repeats.Go(func() { // repeats the announcement, as a backend server does
+	repeats.Go(func() { // renews the lease, as a backend server does
 		ticker := time.NewTicker(time.Second)
 		defer ticker.Stop()
 		for {
@@ -174,7 +174,7 @@
 	return core.Endpoint{Node: name, Address: n.peer.Address(), Service: "orders", Release: "v1", Slots: 64, State: core.EndpointReady}
 }
 
-// Guards against a call that is changed, lost or mixed up with another on its way through two nodes.
+// Guards against calls that are changed, lost or mixed up on their way through two nodes.
 func TestCallThroughTwoNodesIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
@@ -194,7 +194,7 @@
 	var callers sync.WaitGroup
 	for i := range 60 {
 		callers.Go(func() {
-			sent := bytes.Repeat([]byte{byte('a' + i%26)}, i*i*300) // up to 1 MB, in one frame and in many
+			sent := bytes.Repeat([]byte{byte('a' + i%26)}, i*i*300) // up to 1 MB: one frame or many
 			request, err := http.NewRequest("POST", "http://"+entry.Address()+"/orders/a%2Fb?q="+fmt.Sprint(i), bytes.NewReader(sent))
 			c.Check(err, qt.IsNil)
 			request.Header = http.Header{"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-End": {"2"}}
@@ -221,14 +221,14 @@
 	c.Assert(runs.Load(), qt.Equals, int64(60))
 }
 
-// Guards against a single request that ends one backend server after another because its caller sends it again.
+// Guards against a request that crashes one backend server after another because its caller resends it.
 func TestCrashingRequestIsRefusedAfterTwoCrashes(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/deadly") {
 			runs.Add(1)
-			panic(http.ErrAbortHandler) // closes the connection, as the end of the process does
+			panic(http.ErrAbortHandler) // closes the connection, as a crash of the process does
 		}
 	}))
 	c.Cleanup(backend.Close)
@@ -259,7 +259,7 @@
 		c.Assert(err, qt.IsNil)
 		if run < 2 {
 			c.Assert(response.Header.Get("Parsleyport-Outcome"), qt.Equals, "unknown")
-			announceReady(t, backend, n, core.EndpointReady, fmt.Sprint(run)) // the process has been started again
+			announceReady(t, backend, n, core.EndpointReady, fmt.Sprint(run)) // the process has restarted
 			<-crashes
 			continue
 		}
--- a/io/callerhttp/server.go
+++ b/io/callerhttp/server.go
@@ -57,7 +57,8 @@
 	Listener net.Listener
 	// Source holds the configuration in force.
 	Source record.Source
-	// ConfigurationConfirmed reports whether the configuration is confirmed to be in force. Until it is, all calls are refused.
+	// ConfigurationConfirmed reports whether the configuration is at least as new as any that the node used before its restart. Until
+	// it is, all calls are refused.
 	ConfigurationConfirmed func() bool
 	// Endpoints lists the known endpoints of a service.
 	Endpoints core.EndpointSource
--- a/io/callerhttp/wait_test.go
+++ b/io/callerhttp/wait_test.go
@@ -20,7 +20,7 @@
 	"parsleyport/io/callerhttp"
 )
 
-// blockingListener accepts nothing.
+// blockingListener accepts no connections until it is closed.
 type blockingListener struct {
 	net.Listener
 	closed chan struct{}
@@ -30,14 +30,14 @@
 func (l *blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
 func (l *blockingListener) Close() error              { l.close(); return nil }
 
-// waitTestEntry is an entry without sockets, whose endpoints the test announces.
+// waitTestEntry is an entry without sockets, for tests in a synctest bubble. The test announces its endpoints.
 type waitTestEntry struct {
 	entry
-	c       *qt.C
-	changed chan struct{}
-	calls   sync.WaitGroup
-	known   atomic.Bool // the endpoints, to keyed calls
-	claims  atomic.Int64
+	c              *qt.C
+	changed        chan struct{}
+	calls          sync.WaitGroup
+	endpointsKnown atomic.Bool // result of Options.EndpointsKnown
+	claims         atomic.Int64
 }
 
 // Claim and Settle implement callerhttp.KeyClaimer.
@@ -57,7 +57,7 @@
 		e := &waitTestEntry{c: c, changed: make(chan struct{})}
 		e.entry = newEntry(c, allV1, func(o *callerhttp.Options) {
 			o.Listener, o.Keys = listener, e
-			o.EndpointsKnown = func(core.ServiceName) bool { return e.known.Load() }
+			o.EndpointsKnown = func(core.ServiceName) bool { return e.endpointsKnown.Load() }
 			o.Picker = balancer.New(balancer.Options{Seed: 1})
 			o.EndpointsChanged = func(core.ServiceName) <-chan struct{} {
 				e.endpoints.mu.Lock()
@@ -84,7 +84,7 @@
 	e.changed = make(chan struct{})
 }
 
-// call returns the answer and how long it took.
+// call sends a call to the handler and returns the response and the time that it took.
 func (e *waitTestEntry) call(header ...string) (*http.Response, time.Duration) {
 	request := httptest.NewRequest("POST", "/orders", nil)
 	for i := 0; i < len(header); i += 2 {
@@ -99,7 +99,7 @@
 	return core.Endpoint{Node: node, Sequence: 1, Service: "orders", Release: "v1", State: core.EndpointReady}
 }
 
-// Guards against callers who are refused while all nodes of a service restart within a second: the old endpoints answer
+// Guards against refusing calls while all nodes of a service restart within a second: the old endpoints answer
 // "no-backend-server" or are gone, and the new ones are not yet known.
 func TestCallWaitsForAnEndpoint(t *testing.T) {
 	for name, old := range map[string][]core.Endpoint{
@@ -121,8 +121,8 @@
 	}
 }
 
-// Guards against a backend server that is back within its lease, announces nothing new, and gets no call that waits; and
-// against a service with more dead endpoints than a call has free tries.
+// Guards against a waiting call that does not reach a backend server which restarted within its lease and so caused no new
+// announcement, and against refusing a call because the service has more dead endpoints than the call has free retries.
 func TestWaitingCallProbesUnusableEndpoints(t *testing.T) {
 	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		var dead []core.Endpoint
@@ -145,7 +145,7 @@
 }
 
 // Guards against a call that waits until its deadline, and against a service without backend servers whose waiting calls
-// take up the node.
+// block those of other services.
 func TestWaitsAreBounded(t *testing.T) {
 	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		e.announce()
@@ -165,8 +165,8 @@
 	})
 }
 
-// Guards against a keyed call whose entry node does not know all holders of the key: it could be granted and run twice. It
-// must not be claimed, and must not be refused as not run, since an earlier call with the key may have run.
+// Guards against a keyed call that runs twice because its entry node does not know all holders of the key. Until it does, the call
+// must not be claimed. It must not be refused as not run either, since an earlier call with the key may have run.
 func TestKeyedCallWaitsForAllKeyHolders(t *testing.T) {
 	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		e.announce(restarted("a"))
@@ -180,7 +180,7 @@
 		c.Assert(took, qt.Equals, 600*time.Millisecond)
 		c.Assert(e.claims.Load(), qt.Equals, int64(0))
 		time.Sleep(400 * time.Millisecond)
-		e.known.Store(true)
+		e.endpointsKnown.Store(true)
 		e.announce(restarted("a"))
 		e.calls.Wait()
 		c.Assert(e.claims.Load(), qt.Equals, int64(1))
--- a/io/callerhttp/watch_test.go
+++ b/io/callerhttp/watch_test.go
@@ -20,7 +20,7 @@
 	"parsleyport/io/callerhttp"
 )
 
-// lockedBuffer is a log that goroutines share.
+// lockedBuffer is a log buffer for concurrent writers.
 type lockedBuffer struct {
 	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
@@ -32,7 +32,7 @@
 	return b.buffer.Write(data)
 }
 
-// refusals returns the causes of the logged refusals, with their statuses.
+// refusals returns the logged refusals.
 func (b *lockedBuffer) refusals(c *qt.C) []logLine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,8 +54,8 @@
 	Status  int    `json:"status"`
 }
 
-// Guards against requests that are refused before they become calls and leave neither a line nor a count, and against counts of
-// answers that came from a backend server.
+// Guards against requests that are refused before they become calls and are neither logged nor counted, and against counting
+// answers of a backend server as refusals.
 func TestEarlyRefusalsAreLoggedAndCounted(t *testing.T) {
 	c := qt.New(t)
 	log, set := &lockedBuffer{}, metrics.NewSet()
@@ -83,7 +83,7 @@
 	c.Assert(set.GetOrCreateCounter(`parsleyport_caller_calls_total{outcome="not-run"}`).Get(), qt.Equals, uint64(3))
 }
 
-// exchange sends bytes on a connection of its own and returns the statuses of the answers.
+// exchange sends bytes on a new connection and returns the statuses of the responses.
 func exchange(c *qt.C, address, text string, answers int) []int {
 	connection, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
