--- a/io/backendhttp/admission.go
+++ b/io/backendhttp/admission.go
@@ -12,7 +12,7 @@
 type Admission interface {
 	// Acquire waits until the call may run, or returns a *core.Refusal; a call whose context ends while it waits is
 	// removed and refused. The returned function must be called once, when the call has ended.
-	Acquire(ctx context.Context, call *core.Call) (release func(Ending), refusal *core.Refusal)
+	Acquire(ctx context.Context, call *core.Call) (release func(CallResult), refusal *core.Refusal)
 	// SetSlots states how many calls the backend server runs at the same time.
 	SetSlots(slots int)
 	// Load describes the calls that run and wait, and how long those of a route usually take.
@@ -20,30 +20,30 @@
 }
 
 // Ending says how a call at the backend server ended.
-type Ending int
+type CallResult int
 
 // The endings of a call.
 const (
-	// EndingServed means that its duration is that of a complete run.
-	EndingServed Ending = iota
-	// EndingFailed means that its duration says nothing about the backend server's load.
-	EndingFailed
-	// EndingOverloaded means that the backend server answered that it has too much to do.
-	EndingOverloaded
+	// ResultServed means that its duration is that of a complete run.
+	ResultServed CallResult = iota
+	// ResultFailed means that its duration says nothing about the backend server's load.
+	ResultFailed
+	// ResultOverloaded means that the backend server answered that it has too much to do.
+	ResultOverloaded
 )
 
 const (
-	maxWaiting    = 1024
-	durationShare = 8 // weight of one call in the average of durations is 1/8
+	maxQueuedCalls        = 1024
+	holdTimeWeightDivisor = 8 // weight of one call in the average of durations is 1/8
 )
 
 // queue is an Admission that runs a fixed number of calls and keeps the others in order of arrival.
 type queue struct {
-	mu       sync.Mutex
-	slots    int
-	running  int
-	waiting  []*waiter
-	duration time.Duration // average time that a call holds its slot
+	mu           sync.Mutex
+	slots        int
+	running      int
+	waiting      []*waiter
+	meanHoldTime time.Duration // average time that a call holds its slot
 }
 
 type waiter struct {
@@ -63,7 +63,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.slots = max(slots, 1)
-	q.grant()
+	q.grantSlots()
 }
 
 // Load implements Admission.
@@ -74,23 +74,23 @@
 		Running:          q.running,
 		Waiting:          len(q.waiting),
 		Limit:            q.slots,
-		ServiceTime:      q.duration,
-		RouteServiceTime: q.duration,
+		ServiceTime:      q.meanHoldTime,
+		RouteServiceTime: q.meanHoldTime,
 	}
 }
 
 // Acquire implements Admission.
-func (q *queue) Acquire(ctx context.Context, call *core.Call) (func(Ending), *core.Refusal) {
-	w, refusal := q.enter(time.Now(), call.Deadline)
+func (q *queue) Acquire(ctx context.Context, call *core.Call) (func(CallResult), *core.Refusal) {
+	w, refusal := q.enqueue(time.Now(), call.Deadline)
 	if refusal != nil {
 		return nil, refusal
 	}
 	select {
 	case <-w.ready:
-		return q.releaser(), nil
+		return q.releaseFunc(), nil
 	case <-ctx.Done():
 	}
-	if q.leave(w) {
+	if q.remove(w) {
 		return nil, refusalOf(ctx)
 	}
 	q.release(0)
@@ -112,16 +112,16 @@
 	}
 }
 
-func (q *queue) enter(now, deadline time.Time) (*waiter, *core.Refusal) {
+func (q *queue) enqueue(now, deadline time.Time) (*waiter, *core.Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) >= maxWaiting {
+	if len(q.waiting) >= maxQueuedCalls {
 		return nil, &core.Refusal{
 			Cause: core.CauseQueueFull,
 		}
 	}
-	rounds := time.Duration(len(q.waiting) / q.slots)
-	if q.running >= q.slots && now.Add(rounds*q.duration).After(deadline) {
+	queuedRounds := time.Duration(len(q.waiting) / q.slots)
+	if q.running >= q.slots && now.Add(queuedRounds*q.meanHoldTime).After(deadline) {
 		return nil, &core.Refusal{
 			Cause: core.CauseDeadline,
 		}
@@ -130,12 +130,12 @@
 		ready: make(chan struct{}),
 	}
 	q.waiting = append(q.waiting, w)
-	q.grant()
+	q.grantSlots()
 	return w, nil
 }
 
 // grant needs the lock.
-func (q *queue) grant() {
+func (q *queue) grantSlots() {
 	for q.running < q.slots && len(q.waiting) > 0 {
 		w := q.waiting[0]
 		q.waiting = q.waiting[1:]
@@ -146,7 +146,7 @@
 }
 
 // leave returns false if the waiter has its slot already.
-func (q *queue) leave(w *waiter) bool {
+func (q *queue) remove(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if w.granted {
@@ -161,9 +161,9 @@
 	return true
 }
 
-func (q *queue) releaser() func(Ending) {
+func (q *queue) releaseFunc() func(CallResult) {
 	began := time.Now()
-	return func(Ending) { q.release(time.Since(began)) }
+	return func(CallResult) { q.release(time.Since(began)) }
 }
 
 func (q *queue) release(held time.Duration) {
@@ -171,7 +171,7 @@
 	defer q.mu.Unlock()
 	q.running--
 	if held > 0 {
-		q.duration += (held - q.duration) / durationShare
+		q.meanHoldTime += (held - q.meanHoldTime) / holdTimeWeightDivisor
 	}
-	q.grant()
+	q.grantSlots()
 }
--- a/io/backendhttp/answers_test.go
+++ b/io/backendhttp/answers_test.go
@@ -20,16 +20,16 @@
 	for _, wrong := range []core.Call{{Service: "orders", Release: "v2"}, {Service: "looms", Release: "v1"}} {
 		call := callFor("")
 		call.Service, call.Release = wrong.Service, wrong.Release
-		_, outcome, err := f.handle(c, call)
+		_, outcome, err := f.handleCall(c, call)
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(causeOf(err), qt.Equals, core.CauseNoBackend)
 	}
-	c.Assert(f.backend.runs.Load(), qt.Equals, int64(0))
+	c.Assert(f.backend.requests.Load(), qt.Equals, int64(0))
 }
 
 // Guards against the answer of an earlier call that is delivered to a later one, and against a call that is taken for run
 // though the backend server says that it has not run it.
-func TestAnswersBelongToTheirCalls(t *testing.T) {
+func TestStrayAnswersAreDropped(t *testing.T) {
 	c := qt.New(t)
 	stray := "HTTP/1.1 200 OK\r\nParsleyport-Call-Id: other\r\nContent-Length: 5\r\n\r\nwrong"
 	own := "HTTP/1.1 200 OK\r\nParsleyport-Call-Id: x\r\nContent-Length: 5\r\n\r\nright"
@@ -51,7 +51,7 @@
 			_ = conn.Close()
 		}
 		c.Assert(f.Announce(ready("r1")), qt.IsNil)
-		body, outcome, err := f.handle(c, callFor(""))
+		body, outcome, err := f.handleCall(c, callFor(""))
 		c.Assert(outcome, qt.Equals, test.outcome, qt.Commentf("%q: %v", test.answer, err))
 		c.Assert(body, qt.Equals, test.body)
 		c.Assert(causeOf(err), qt.Equals, test.cause)
@@ -64,17 +64,17 @@
 
 // Guards against an answer without a length that is refused where the end of the connection is its end, and against one that is
 // taken for whole where it may be a crash.
-func TestUnframedAnswersAreWholeOnlyIfAllowed(t *testing.T) {
+func TestCloseDelimitedAnswers(t *testing.T) {
 	c := qt.New(t)
 	for _, allowed := range []bool{false, true} {
 		f := start(t)
-		f.options.AllowUnframed = allowed
+		f.options.AllowCloseDelimited = allowed
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\nwhole")
 			_ = conn.Close()
 		}
 		c.Assert(f.Announce(ready("r1")), qt.IsNil)
-		body, _, err := f.handle(c, callFor(""))
+		body, _, err := f.handleCall(c, callFor(""))
 		c.Assert(body, qt.Equals, "whole")
 		c.Assert(err == nil, qt.Equals, allowed, qt.Commentf("%v", err))
 	}
--- a/io/backendhttp/backendhttp_test.go
+++ b/io/backendhttp/backendhttp_test.go
@@ -21,20 +21,20 @@
 	"parsleyport/core"
 )
 
-// quietListener accepts nothing.
-type quietListener struct{ closed chan struct{} }
+// blockingListener accepts nothing.
+type blockingListener struct{ closed chan struct{} }
 
-func (l quietListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l quietListener) Close() error              { close(l.closed); return nil }
-func (l quietListener) Addr() net.Addr            { return &net.TCPAddr{} }
+func (l blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l blockingListener) Close() error              { close(l.closed); return nil }
+func (l blockingListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
 // fakeBackend is a backend server on pipes that counts the requests it has read.
 type fakeBackend struct {
-	runs    atomic.Int64
-	refuse  bool
-	respond func(conn net.Conn, request *http.Request) // closes the connection if it returns false
-	mu      sync.Mutex
-	conns   []net.Conn
+	requests atomic.Int64
+	refuse   bool
+	respond  func(conn net.Conn, request *http.Request) // closes the connection if it returns false
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
 func (b *fakeBackend) dial(context.Context, string) (net.Conn, error) {
@@ -53,7 +53,7 @@
 				return
 			}
 			_, _ = io.ReadAll(request.Body)
-			b.runs.Add(1)
+			b.requests.Add(1)
 			if b.respond == nil {
 				fmt.Fprint(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				continue
@@ -87,7 +87,7 @@
 func start(t *testing.T) *fixture {
 	f := &fixture{backend: &fakeBackend{}}
 	server, stop, err := New(Options{
-		Listener: quietListener{closed: make(chan struct{})},
+		Listener: blockingListener{closed: make(chan struct{})},
 		Dial:     f.backend.dial,
 		OnChange: func(a Announcement) { f.mu.Lock(); f.states = append(f.states, a.State); f.mu.Unlock() },
 		OnCrash:  func(crash Crash) { f.mu.Lock(); f.crashes = append(f.crashes, crash); f.mu.Unlock() },
@@ -104,7 +104,7 @@
 	return &core.Call{ID: "x", Service: "orders", Release: "v1", Method: "POST", Target: "/a?b=c", Host: "h", Body: []byte(body), Deadline: time.Now().Add(2 * time.Second)}
 }
 
-func (f *fixture) handle(c *qt.C, call *core.Call) (string, core.Outcome, error) {
+func (f *fixture) handleCall(c *qt.C, call *core.Call) (string, core.Outcome, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), call.Deadline)
 	defer cancel()
 	answer, outcome, err := f.Handle(ctx, call)
@@ -125,21 +125,21 @@
 }
 
 // endings is an Admission that admits every call and notes how it ended.
-type endings []Ending
+type recordingAdmission []CallResult
 
-func (e *endings) Acquire(context.Context, *core.Call) (func(Ending), *core.Refusal) {
-	return func(ending Ending) { *e = append(*e, ending) }, nil
+func (e *recordingAdmission) Acquire(context.Context, *core.Call) (func(CallResult), *core.Refusal) {
+	return func(result CallResult) { *e = append(*e, result) }, nil
 }
 
-func (e *endings) Load(core.RouteName) core.Load { return core.Load{} }
+func (e *recordingAdmission) Load(core.RouteName) core.Load { return core.Load{} }
 
-func (e *endings) SetSlots(int) {}
+func (e *recordingAdmission) SetSlots(int) {}
 
 // Guards against a limiter that takes an overload answer for any failure, or the refusal of another node for overload.
-func TestOverloadIsAnEndingOfItsOwn(t *testing.T) {
+func TestResultsReportedToAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		var got endings
+		var got recordingAdmission
 		f := start(t)
 		f.admission = &got
 		f.announce(time.Now(), ready("1"))
@@ -147,42 +147,42 @@
 			f.backend.respond = func(conn net.Conn, _ *http.Request) {
 				fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 2\r\n\r\nno", head)
 			}
-			_, outcome, err := f.handle(c, callFor(""))
+			_, outcome, err := f.handleCall(c, callFor(""))
 			c.Assert(err, qt.IsNil)
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		}
-		c.Assert(got, qt.DeepEquals, endings{EndingServed, EndingOverloaded, EndingOverloaded, EndingFailed, EndingFailed, EndingServed})
+		c.Assert(got, qt.DeepEquals, recordingAdmission{ResultServed, ResultOverloaded, ResultOverloaded, ResultFailed, ResultFailed, ResultServed})
 	})
 }
 
 // Guards against a call that is reported as not run although the backend server has seen it, and the reverse.
-func TestOutcomesAreTrue(t *testing.T) {
+func TestOutcomesMatchWhatBackendServerReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := start(t)
 		for _, step := range []struct {
-			prepare func()
-			outcome core.Outcome
-			cause   core.RefusalCause
-			runs    int64
+			prepare  func()
+			outcome  core.Outcome
+			cause    core.RefusalCause
+			requests int64
 		}{
 			{prepare: func() {}, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
 			{prepare: func() { a := ready("1"); a.State = core.EndpointStarting; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
 			{prepare: func() { f.announce(time.Now(), ready("1")); f.backend.refuse = true }, outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused},
-			{prepare: func() { f.backend.refuse = false }, outcome: core.OutcomeAnswered, runs: 1},
-			{prepare: func() { f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() } }, outcome: core.OutcomeUnknown, runs: 2},
+			{prepare: func() { f.backend.refuse = false }, outcome: core.OutcomeAnswered, requests: 1},
+			{prepare: func() { f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() } }, outcome: core.OutcomeUnknown, requests: 2},
 			{prepare: func() {
 				f.backend.respond = func(net.Conn, *http.Request) { time.Sleep(time.Minute) }
-			}, outcome: core.OutcomeUnknown, runs: 3},
-			{prepare: func() { a := ready("1"); a.State = core.EndpointLeaving; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseLeaving, runs: 3},
-			{prepare: func() { time.Sleep(DefaultLease) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend, runs: 3},
+			}, outcome: core.OutcomeUnknown, requests: 3},
+			{prepare: func() { a := ready("1"); a.State = core.EndpointLeaving; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseLeaving, requests: 3},
+			{prepare: func() { time.Sleep(DefaultLease) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend, requests: 3},
 		} {
 			step.prepare()
 			synctest.Wait()
-			_, outcome, err := f.handle(c, callFor("body"))
+			_, outcome, err := f.handleCall(c, callFor("body"))
 			c.Assert(outcome, qt.Equals, step.outcome, qt.Commentf("error %v", err))
 			c.Assert(causeOf(err), qt.Equals, step.cause)
-			c.Assert(f.backend.runs.Load(), qt.Equals, step.runs)
+			c.Assert(f.backend.requests.Load(), qt.Equals, step.requests)
 		}
 		time.Sleep(time.Minute) // until the backend server that does not answer has done so
 		f.mu.Lock()
@@ -192,7 +192,7 @@
 }
 
 // Guards against a part of an answer that passes for the whole, with each way in which HTTP states a length.
-func TestCutAnswerIsAnError(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for response, whole := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfull":                                true,
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\npart":                                false,
@@ -207,11 +207,11 @@
 			f := start(t)
 			f.announce(time.Now(), ready("1"))
 			f.backend.respond = func(conn net.Conn, _ *http.Request) { fmt.Fprint(conn, response); conn.Close() }
-			got, outcome, err := f.handle(c, callFor(""))
+			got, outcome, err := f.handleCall(c, callFor(""))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			c.Assert(err == nil, qt.Equals, whole, qt.Commentf("response %q: error %v", response, err))
 			c.Assert(!whole || got == "full", qt.IsTrue)
-			c.Assert(f.begun, qt.Equals, 0)
+			c.Assert(f.activeCalls, qt.Equals, 0)
 		})
 	}
 }
@@ -230,7 +230,7 @@
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n"+closing+"Content-Length: 2\r\n\r\nok")
 			}
 			for range 2 {
-				_, outcome, err := f.handle(c, callFor(""))
+				_, outcome, err := f.handleCall(c, callFor(""))
 				c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 				c.Assert(err, qt.IsNil)
 			}
@@ -240,7 +240,7 @@
 }
 
 // Guards against a queued call that runs after it was cancelled, revoked or late, and against one that is never run.
-func TestQueueRemovesCancelledCalls(t *testing.T) {
+func TestQueueRemovesCancelledAndLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := start(t)
@@ -252,7 +252,7 @@
 		began := time.Now()
 		var calls sync.WaitGroup
 		calls.Go(func() {
-			_, outcome, _ := f.handle(c, callFor("running"))
+			_, outcome, _ := f.handleCall(c, callFor("running"))
 			c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 		synctest.Wait()
@@ -266,7 +266,7 @@
 		late := callFor("late")
 		late.Deadline = time.Now().Add(500 * time.Millisecond)
 		calls.Go(func() {
-			_, outcome, err := f.handle(c, late)
+			_, outcome, err := f.handleCall(c, late)
 			c.Check(outcome, qt.Equals, core.OutcomeNotRun)
 			c.Check(causeOf(err), qt.Equals, core.CauseDeadline)
 			c.Check(time.Since(began), qt.Equals, 500*time.Millisecond)
@@ -274,16 +274,16 @@
 		synctest.Wait()
 		cancel()
 		calls.Go(func() {
-			_, outcome, _ := f.handle(c, callFor("waiting"))
+			_, outcome, _ := f.handleCall(c, callFor("waiting"))
 			c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 		calls.Wait()
-		c.Assert(f.backend.runs.Load(), qt.Equals, int64(2))
+		c.Assert(f.backend.requests.Load(), qt.Equals, int64(2))
 	})
 }
 
 // Guards against a planned stop that cuts off a running or queued call, or that takes a new one.
-func TestDrainFinishesBegunCalls(t *testing.T) {
+func TestDrainCompletesActiveCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := start(t)
@@ -296,7 +296,7 @@
 		var calls sync.WaitGroup
 		for range 2 {
 			calls.Go(func() {
-				got, outcome, err := f.handle(c, callFor(""))
+				got, outcome, err := f.handleCall(c, callFor(""))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 				c.Check(err, qt.IsNil)
 				c.Check(got, qt.Equals, "ok")
@@ -309,17 +309,17 @@
 			c.Check(time.Since(began), qt.Equals, time.Second)
 		})
 		synctest.Wait()
-		_, outcome, err := f.handle(c, callFor("new"))
+		_, outcome, err := f.handleCall(c, callFor("new"))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(causeOf(err), qt.Equals, core.CauseLeaving)
 		calls.Wait()
-		c.Assert(f.backend.runs.Load(), qt.Equals, int64(2))
+		c.Assert(f.backend.requests.Load(), qt.Equals, int64(2))
 	})
 }
 
 // Guards against blaming a request for a connection that broke while the backend server's process lived on, and
 // against missing the ones that were running when it ended.
-func TestCrashesAreCounted(t *testing.T) {
+func TestOnlyCallsOfEndedRunsAreCrashes(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   func(f *fixture)
 		crashes int
@@ -333,10 +333,10 @@
 			c := qt.New(t)
 			f := start(t)
 			f.announce(time.Now(), ready("1"))
-			_, outcome, _ := f.handle(c, callFor("harmless"))
+			_, outcome, _ := f.handleCall(c, callFor("harmless"))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() }
-			_, outcome, _ = f.handle(c, callFor("deadly"))
+			_, outcome, _ = f.handleCall(c, callFor("deadly"))
 			c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 			test.after(f)
 			synctest.Wait()
@@ -364,7 +364,7 @@
 	server.announce(time.Now(), a)
 	f := &fixture{Server: server}
 	for range 20 {
-		got, outcome, err := f.handle(c, callFor("body"))
+		got, outcome, err := f.handleCall(c, callFor("body"))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered, qt.Commentf("error %v", err))
 		c.Assert(got, qt.Equals, "/a?b=c")
 		backend.CloseClientConnections()
@@ -373,16 +373,16 @@
 
 // Guards against calls that each wait on one more idle connection after the backend server has gone silent on all that
 // were open, and against idle connections that are given up although they have answered since.
-func TestSilentIdleConnectionsAreGivenUp(t *testing.T) {
+func TestSilentIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := start(t)
 		a := ready("1")
 		a.Slots = 4
 		f.announce(time.Now(), a)
-		var open sync.Map // connections that go silent
+		var silentConns sync.Map // connections that go silent
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
-			if _, silent := open.Load(conn); !silent {
+			if _, silent := silentConns.Load(conn); !silent {
 				time.Sleep(time.Millisecond)
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
@@ -392,7 +392,7 @@
 			var calls sync.WaitGroup
 			for range n {
 				calls.Go(func() {
-					if _, outcome, _ := f.handle(c, callFor("body")); outcome == core.OutcomeAnswered {
+					if _, outcome, _ := f.handleCall(c, callFor("body")); outcome == core.OutcomeAnswered {
 						answered.Add(1)
 					}
 				})
@@ -402,10 +402,10 @@
 		}
 		c.Assert(parallel(4), qt.Equals, int64(4))
 		for _, conn := range f.backend.conns {
-			open.Store(conn, true)
+			silentConns.Store(conn, true)
 		}
-		go f.handle(c, callFor("waits on a silent connection"))
-		time.Sleep(silenceLimit)
+		go f.handleCall(c, callFor("waits on a silent connection"))
+		time.Sleep(silenceTimeout)
 		c.Assert(parallel(3), qt.Equals, int64(3))
 		c.Assert(f.backend.conns, qt.HasLen, 4+3)
 		c.Assert(parallel(3), qt.Equals, int64(3))
@@ -414,7 +414,7 @@
 }
 
 // Guards against a malformed announcement that changes the announced state.
-func TestBadAnnouncementsChangeNothing(t *testing.T) {
+func TestInvalidAnnouncementsChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	server, stop, err := New(Options{Address: "127.0.0.1:0"})
 	c.Assert(err, qt.IsNil)
--- a/io/backendhttp/handle.go
+++ b/io/backendhttp/handle.go
@@ -43,12 +43,12 @@
 
 // logFailure says why a call was not answered, and by which state of the backend server.
 func (s *Server) logFailure(call *core.Call, load core.Load, outcome core.Outcome, cause error) {
-	event := s.calls.Info()
+	event := s.failureLog.Info()
 	if event == nil {
 		return
 	}
 	s.mu.Lock()
-	latest, until := s.latest, s.expires
+	latest, until := s.latest, s.leaseEnd
 	s.mu.Unlock()
 	event.Str("event", "call-not-answered").Str("call", string(call.ID)).Str("route", string(call.Route)).Str("outcome", string(outcome)).
 		Err(cause).Int64("left-ms", time.Until(call.Deadline).Milliseconds()).Str("run", latest.Run).Str("state", string(latest.State)).
@@ -57,12 +57,12 @@
 }
 
 func (s *Server) handle(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
-	if refusal := s.begin(call); refusal != nil {
+	if refusal := s.beginCall(call); refusal != nil {
 		return nil, core.OutcomeNotRun, refusal
 	}
 	release, refusal := s.admission.Acquire(ctx, call)
 	if refusal != nil {
-		s.end()
+		s.endCall()
 		return nil, core.OutcomeNotRun, refusal
 	}
 	x := &exchange{
@@ -73,37 +73,37 @@
 	}
 	answer, outcome, err := x.run()
 	if outcome != core.OutcomeAnswered {
-		x.end(EndingFailed)
+		x.end(ResultFailed)
 	}
 	return answer, outcome, err
 }
 
 // exchange is one call at the backend server; it holds its slot until the answer's body has ended.
 type exchange struct {
-	server   *Server
-	ctx      context.Context
-	call     *core.Call
-	release  func(Ending)
-	ended    sync.Once
-	conn     *backendConn
-	runID    string
-	stop     func() bool // stops the propagation of a cancellation; false if it has begun
-	written  bool        // the first byte may have been written
-	strayed  bool        // answers to other calls have arrived on the connection
-	reusable bool
+	server         *Server
+	ctx            context.Context
+	call           *core.Call
+	release        func(CallResult)
+	ended          sync.Once
+	conn           *backendConn
+	processRun     string
+	stopCancelling func() bool // stops the propagation of a cancellation; false if it has begun
+	written        bool        // the first byte may have been written
+	strayReceived  bool        // answers to other calls have arrived on the connection
+	reusable       bool
 }
 
-func (x *exchange) end(ending Ending) {
+func (x *exchange) end(result CallResult) {
 	x.ended.Do(func() {
-		x.release(ending)
-		x.server.end()
+		x.release(result)
+		x.server.endCall()
 	})
 }
 
 func (x *exchange) run() (*core.Answer, core.Outcome, error) {
 	s := x.server
 	s.mu.Lock()
-	target, refusal := s.target(x.call)
+	target, refusal := s.targetOf(x.call)
 	s.mu.Unlock()
 	if refusal == nil && x.ctx.Err() != nil {
 		refusal = refusalOf(x.ctx)
@@ -111,18 +111,18 @@
 	if refusal != nil {
 		return nil, core.OutcomeNotRun, refusal
 	}
-	request, err := requestOf(&s.options.Headers, x.call, target.Instance, time.Now())
+	request, err := newRequest(&s.options.Headers, x.call, target.Instance, time.Now())
 	if err != nil {
 		return nil, core.OutcomeNotRun, &core.Refusal{
 			Cause:  core.CauseMalformedCall,
 			Detail: err.Error(),
 		}
 	}
-	x.runID = target.Run
+	x.processRun = target.Run
 	if x.conn, err = s.pool.get(x.ctx, target.Address); err != nil {
 		return nil, core.OutcomeNotRun, x.connectRefusal(err)
 	}
-	return x.converse(request)
+	return x.roundTrip(request)
 }
 
 func (x *exchange) connectRefusal(err error) *core.Refusal {
@@ -141,13 +141,13 @@
 	return x.conn.Write(bytes)
 }
 
-func (x *exchange) converse(request *http.Request) (*core.Answer, core.Outcome, error) {
-	x.stop = context.AfterFunc(x.ctx, func() { _ = x.conn.Close() })
+func (x *exchange) roundTrip(request *http.Request) (*core.Answer, core.Outcome, error) {
+	x.stopCancelling = context.AfterFunc(x.ctx, func() { _ = x.conn.Close() })
 	if x.ctx.Err() != nil {
 		_ = x.conn.Close()
 		return nil, core.OutcomeNotRun, refusalOf(x.ctx)
 	}
-	x.server.handed.Inc()
+	x.server.sentCalls.Inc()
 	writer := x.conn.writer
 	writer.Reset(x)
 	defer writer.Reset(nil) // an idle connection keeps no call in memory
@@ -167,19 +167,19 @@
 	if readErr != nil {
 		return nil, core.OutcomeUnknown, x.fail(readErr)
 	}
-	x.server.pool.answered(x.conn)
-	x.reusable = err == nil && !response.Close && !x.strayed
-	answer := x.answer(response)
-	if refusal := x.notRun(response); refusal != nil {
+	x.server.pool.markAnswered(x.conn)
+	x.reusable = err == nil && !response.Close && !x.strayReceived
+	answer := x.newAnswer(response)
+	if refusal := x.notRunRefusal(response); refusal != nil {
 		x.discard(answer)
 		return nil, core.OutcomeNotRun, refusal
 	}
 	return answer, core.OutcomeAnswered, nil
 }
 
-// notRun returns why the backend server has not run the call, if it says so.
-func (x *exchange) notRun(response *http.Response) *core.Refusal {
-	if get(response.Header, x.server.options.Headers.NotRun) == "" {
+// notRunRefusal returns why the backend server has not run the call, if it says so.
+func (x *exchange) notRunRefusal(response *http.Response) *core.Refusal {
+	if headerValue(response.Header, x.server.options.Headers.NotRun) == "" {
 		return nil
 	}
 	refusal := &core.Refusal{
@@ -197,7 +197,7 @@
 
 // discard reads a short body, so that the connection can be used again, and gives the slot back.
 func (x *exchange) discard(answer *core.Answer) {
-	_, _ = io.CopyN(io.Discard, answer.Body, maxDiscarded+1)
+	_, _ = io.CopyN(io.Discard, answer.Body, maxDiscardedBytes+1)
 	_ = answer.Body.Close()
 }
 
@@ -217,8 +217,8 @@
 			return response, nil
 		}
 		// A late or second answer to an earlier call; this call's own may follow it.
-		x.strayed = true
-		x.server.strays.Inc()
+		x.strayReceived = true
+		x.server.strayAnswers.Inc()
 		if n, err := io.CopyN(io.Discard, response.Body, maxStrayBytes); n == maxStrayBytes || err != io.EOF {
 			return nil, errors.Annotatef(ErrBroken, "answer to another call")
 		}
@@ -227,11 +227,11 @@
 
 // isStray reports whether an answer names another call.
 func (x *exchange) isStray(response *http.Response) bool {
-	id := get(response.Header, x.server.options.Headers.CallID)
+	id := headerValue(response.Header, x.server.options.Headers.CallID)
 	return id != "" && id != string(x.call.ID)
 }
 
-func get(header http.Header, name string) string {
+func headerValue(header http.Header, name string) string {
 	if name == "" {
 		return ""
 	}
@@ -239,15 +239,15 @@
 }
 
 const (
-	// maxDiscarded is how much of a refusal's body is read to keep the connection; more would cost more than a new one.
-	maxDiscarded = 16 << 10
+	// maxDiscardedBytes is how much of a refusal's body is read to keep the connection; more would cost more than a new one.
+	maxDiscardedBytes = 16 << 10
 	// maxStrayBytes bounds the body of an answer to another call.
 	maxStrayBytes = 1 << 20
 )
 
 // abort closes the connection; it returns false if a cancellation has done so.
 func (x *exchange) abort() bool {
-	own := x.stop()
+	own := x.stopCancelling()
 	_ = x.conn.Close()
 	return own
 }
@@ -257,17 +257,17 @@
 	if !x.abort() {
 		return errors.Annotate(context.Cause(x.ctx), "call at the backend server")
 	}
-	x.server.broke(time.Now(), x.runID, x.call)
+	x.server.recordBrokenCall(time.Now(), x.processRun, x.call)
 	return errors.Annotate(ErrBroken, err.Error())
 }
 
-func (x *exchange) answer(response *http.Response) *core.Answer {
-	removeHopHeaders(response.Header)
+func (x *exchange) newAnswer(response *http.Response) *core.Answer {
+	removeHopByHopHeaders(response.Header)
 	body := &answerBody{
-		exchange: x,
-		reader:   response.Body,
-		ending:   x.endingOf(response),
-		unframed: response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody,
+		exchange:       x,
+		reader:         response.Body,
+		result:         x.resultOf(response),
+		closeDelimited: response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody,
 	}
 	return &core.Answer{
 		Status: response.StatusCode,
@@ -276,25 +276,25 @@
 	}
 }
 
-// endingOf tells the backend server's own overload from its other failures. An answer with an outcome is a refusal of
+// resultOf tells the backend server's own overload from its other failures. An answer with an outcome is a refusal of
 // a node that the backend server called and passes on; it says nothing about this backend server's load.
-func (x *exchange) endingOf(response *http.Response) Ending {
+func (x *exchange) resultOf(response *http.Response) CallResult {
 	switch {
-	case retry.Overloaded(response.StatusCode) && get(response.Header, x.server.options.Headers.Outcome) == "":
-		return EndingOverloaded
+	case retry.Overloaded(response.StatusCode) && headerValue(response.Header, x.server.options.Headers.Outcome) == "":
+		return ResultOverloaded
 	case response.StatusCode >= 500:
-		return EndingFailed
+		return ResultFailed
 	}
-	return EndingServed
+	return ResultServed
 }
 
 // answerBody gives the slot back at the end of the body and keeps the connection if it can be used again.
 type answerBody struct {
-	exchange *exchange
-	reader   io.ReadCloser
-	ending   Ending
-	unframed bool // the body has no length and ends with the connection
-	err      error
+	exchange       *exchange
+	reader         io.ReadCloser
+	result         CallResult
+	closeDelimited bool // the body has no length and ends with the connection
+	err            error
 }
 
 // Read implements io.Reader.
@@ -314,18 +314,18 @@
 	switch {
 	case err != io.EOF:
 		err = x.fail(err)
-	case b.unframed && !x.server.options.AllowUnframed:
+	case b.closeDelimited && !x.server.options.AllowCloseDelimited:
 		_ = x.abort()
 		err = ErrNoLength
-	case x.stop() && x.reusable && !b.unframed:
+	case x.stopCancelling() && x.reusable && !b.closeDelimited:
 		x.server.pool.put(x.conn)
 	default:
 		_ = x.conn.Close()
 	}
-	if err != io.EOF && b.ending == EndingServed {
-		b.ending = EndingFailed
+	if err != io.EOF && b.result == ResultServed {
+		b.result = ResultFailed
 	}
-	x.end(b.ending)
+	x.end(b.result)
 	return err
 }
 
@@ -334,12 +334,12 @@
 	if b.err == nil {
 		b.err = errors.New("body is closed")
 		_ = b.exchange.abort()
-		b.exchange.end(b.ending)
+		b.exchange.end(b.result)
 	}
 	return nil
 }
 
-func requestOf(names *core.HeaderNames, call *core.Call, instance string, now time.Time) (*http.Request, error) {
+func newRequest(names *core.HeaderNames, call *core.Call, instance string, now time.Time) (*http.Request, error) {
 	target, err := url.ParseRequestURI(call.Target)
 	if err != nil || !strings.HasPrefix(call.Target, "/") {
 		return nil, errors.Errorf("target is %q, expected a path", call.Target)
@@ -353,7 +353,7 @@
 	if header == nil {
 		header = make(http.Header)
 	}
-	removeHopHeaders(header)
+	removeHopByHopHeaders(header)
 	if _, exists := header["User-Agent"]; !exists {
 		header.Set("User-Agent", "") // else net/http writes its own
 	}
@@ -386,7 +386,7 @@
 	return request, nil
 }
 
-func removeHopHeaders(header http.Header) {
+func removeHopByHopHeaders(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
--- a/io/backendhttp/pool.go
+++ b/io/backendhttp/pool.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	connectLimit = time.Second
-	// idleLimit is below the usual keep-alive limit of backend servers (5 s and more), so that the pool closes first.
-	idleLimit = 4 * time.Second
-	maxIdle   = 256
-	// silenceLimit is how long a call may wait on a reused connection before idle connections that have shown no sign of
+	connectTimeout = time.Second
+	// maxIdleTime is below the usual keep-alive limit of backend servers (5 s and more), so that the pool closes first.
+	maxIdleTime        = 4 * time.Second
+	maxIdleConnections = 256
+	// silenceTimeout is how long a call may wait on a reused connection before idle connections that have shown no sign of
 	// life since then are given up. A new one costs about 1 ms, so a backend server that is only slow loses little by it.
-	silenceLimit = time.Second
+	silenceTimeout = time.Second
 )
 
 // backendConn is one HTTP/1.1 connection to the backend server.
 type backendConn struct {
 	net.Conn
-	pool    *pool
-	address string
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	idle    time.Time
+	pool      *pool
+	address   string
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	idleSince time.Time
 }
 
 // pool keeps idle connections; the most recently used one is taken first.
 type pool struct {
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
-	mu      sync.Mutex // guards the fields below
-	idle    []*backendConn
-	waiting map[*backendConn]time.Time // reused connections without an answer yet, by the time they were taken
+	mu             sync.Mutex // guards the fields below
+	idle           []*backendConn
+	awaitingAnswer map[*backendConn]time.Time // reused connections without an answer yet, by the time they were taken
 }
 
 func newPool(dial func(ctx context.Context, address string) (net.Conn, error)) *pool {
@@ -45,20 +45,20 @@
 		}
 	}
 	return &pool{
-		dial:    dial,
-		waiting: make(map[*backendConn]time.Time),
+		dial:           dial,
+		awaitingAnswer: make(map[*backendConn]time.Time),
 	}
 }
 
 // get returns a connection on which nothing has been written for this call.
 func (p *pool) get(ctx context.Context, address string) (*backendConn, error) {
 	for c := p.take(); c != nil; c = p.take() {
-		if c.address == address && time.Since(c.idle) < idleLimit && c.alive() {
+		if c.address == address && time.Since(c.idleSince) < maxIdleTime && c.alive() {
 			return c, nil
 		}
 		_ = c.Close()
 	}
-	ctx, cancel := context.WithTimeout(ctx, connectLimit)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -77,28 +77,28 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropSilent(now)
+	p.closeSilent(now)
 	if len(p.idle) == 0 {
 		return nil
 	}
 	c := p.idle[len(p.idle)-1]
 	p.idle = p.idle[:len(p.idle)-1]
-	p.waiting[c] = now
+	p.awaitingAnswer[c] = now
 	return c
 }
 
-// dropSilent closes the idle connections that were last used before a call that has waited for too long: the backend
+// closeSilent closes the idle connections that were last used before a call that has waited for too long: the backend
 // server may have gone silent on all connections that were open then.
-func (p *pool) dropSilent(now time.Time) {
-	for _, taken := range p.waiting {
-		if now.Sub(taken) >= silenceLimit {
-			p.keepIdle(func(c *backendConn) bool { return c.idle.After(taken) })
+func (p *pool) closeSilent(now time.Time) {
+	for _, taken := range p.awaitingAnswer {
+		if now.Sub(taken) >= silenceTimeout {
+			p.filterIdle(func(c *backendConn) bool { return c.idleSince.After(taken) })
 		}
 	}
 }
 
-// keepIdle closes the idle connections that are not to be kept.
-func (p *pool) keepIdle(keep func(*backendConn) bool) {
+// filterIdle closes the idle connections that are not to be kept.
+func (p *pool) filterIdle(keep func(*backendConn) bool) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if keep(c) {
@@ -112,23 +112,23 @@
 }
 
 // answered notes that a connection has shown a sign of life.
-func (p *pool) answered(c *backendConn) {
+func (p *pool) markAnswered(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waiting, c)
+	delete(p.awaitingAnswer, c)
 }
 
 // Close implements io.Closer.
 func (c *backendConn) Close() error {
-	c.pool.answered(c)
+	c.pool.markAnswered(c)
 	return c.Conn.Close()
 }
 
 func (p *pool) put(c *backendConn) {
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) >= maxIdle {
+	if len(p.idle) >= maxIdleConnections {
 		_ = c.Conn.Close()
 		return
 	}
@@ -140,7 +140,7 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keepIdle(func(c *backendConn) bool { return now.Sub(c.idle) < limit })
+	p.filterIdle(func(c *backendConn) bool { return now.Sub(c.idleSince) < limit })
 }
 
 // alive looks for an end of the connection, or for bytes that nobody asked for, without waiting. Without it, a call on
@@ -149,20 +149,20 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	system, ok := c.Conn.(syscall.Conn)
+	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := system.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	waiting := false
+	open := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, receiveErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waiting = receiveErr == syscall.EAGAIN
+		var next [1]byte
+		_, _, receiveErr := syscall.Recvfrom(int(descriptor), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = receiveErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && waiting
+	return err == nil && open
 }
--- a/io/backendhttp/server.go
+++ b/io/backendhttp/server.go
@@ -22,15 +22,15 @@
 
 const (
 	// DefaultLease is how long an announcement holds without being repeated.
-	DefaultLease = 3 * time.Second
-	watchEvery   = 250 * time.Millisecond
-	headerLimit  = 5 * time.Second
-	// crashMemory is how long a broken call waits for the end of the backend server's lease, which proves a crash.
-	crashMemory = 10 * time.Second
-	// failureLines about calls that were not answered are written in a second; the others are counted.
-	failureLines    = 25
-	maxBroken       = 1024
-	maxCrashReports = 64
+	DefaultLease       = 3 * time.Second
+	leaseCheckInterval = 250 * time.Millisecond
+	requestReadTimeout = 5 * time.Second
+	// brokenCallLifetime is how long a broken call waits for the end of the backend server's lease, which proves a crash.
+	brokenCallLifetime = 10 * time.Second
+	// failureLinesPerSecond about calls that were not answered are written in a second; the others are counted.
+	failureLinesPerSecond = 25
+	maxBrokenCalls        = 1024
+	maxQueuedCrashes      = 64
 )
 
 // Options configures a Server. OnChange gets the newest announced state after each change, one call at a time; the end
@@ -40,17 +40,17 @@
 type Options struct {
 	Headers core.HeaderNames // the zero value stands for the default names
 	Lease   time.Duration
-	// AllowUnframed takes the end of the connection for the end of an answer without a length. A backend server that closes
+	// AllowCloseDelimited takes the end of the connection for the end of an answer without a length. A backend server that closes
 	// its connections when it crashes must not be used so.
-	AllowUnframed bool
-	Address       string
-	Listener      net.Listener
-	Admission     Admission
-	OnChange      func(Announcement)
-	OnCrash       func(Crash)
-	Dial          func(ctx context.Context, address string) (net.Conn, error)
-	Logger        zerolog.Logger
-	Metrics       *metrics.Set
+	AllowCloseDelimited bool
+	Address             string
+	Listener            net.Listener
+	Admission           Admission
+	OnChange            func(Announcement)
+	OnCrash             func(Crash)
+	Dial                func(ctx context.Context, address string) (net.Conn, error)
+	Logger              zerolog.Logger
+	Metrics             *metrics.Set
 }
 
 // Crash is one end of a backend server's process while calls were running.
@@ -79,19 +79,19 @@
 	changed   chan struct{} // holds one token when the state has changed
 	crashes   *ring.Ring[Crash]
 
-	handed  *metrics.Counter
-	crashed *metrics.Counter
-	strays  *metrics.Counter
-	calls   zerolog.Logger // about calls that were not answered
+	sentCalls    *metrics.Counter
+	crashedCalls *metrics.Counter
+	strayAnswers *metrics.Counter
+	failureLog   zerolog.Logger // about calls that were not answered
 
-	mu        sync.Mutex
-	announced *Announcement // nil without a lease
-	latest    Announcement  // as reported to OnChange
-	expires   time.Time
-	leaving   bool
-	begun     int
-	idle      chan struct{} // closed when leaving and no call is left
-	broken    []brokenCall
+	mu          sync.Mutex
+	announced   *Announcement // nil without a lease
+	latest      Announcement  // as reported to OnChange
+	leaseEnd    time.Time
+	draining    bool
+	activeCalls int
+	drained     chan struct{} // closed when leaving and no call is left
+	brokenCalls []brokenCall
 }
 
 type brokenCall struct {
@@ -119,34 +119,34 @@
 		options.Lease = DefaultLease
 	}
 	s := &Server{
-		options:   options,
-		admission: options.Admission,
-		pool:      newPool(options.Dial),
-		listener:  listener,
-		done:      make(chan struct{}),
-		changed:   make(chan struct{}, 1),
-		crashes:   ring.New[Crash](maxCrashReports),
-		handed:    options.Metrics.GetOrCreateCounter("parsleyport_backend_calls_total"),
-		crashed:   options.Metrics.GetOrCreateCounter("parsleyport_backend_crashed_calls_total"),
-		strays:    options.Metrics.GetOrCreateCounter("parsleyport_backend_stray_answers_total"),
-		calls:     loglimit.New(options.Logger, options.Metrics, "not-answered", failureLines),
-		idle:      make(chan struct{}),
+		options:      options,
+		admission:    options.Admission,
+		pool:         newPool(options.Dial),
+		listener:     listener,
+		done:         make(chan struct{}),
+		changed:      make(chan struct{}, 1),
+		crashes:      ring.New[Crash](maxQueuedCrashes),
+		sentCalls:    options.Metrics.GetOrCreateCounter("parsleyport_backend_calls_total"),
+		crashedCalls: options.Metrics.GetOrCreateCounter("parsleyport_backend_crashed_calls_total"),
+		strayAnswers: options.Metrics.GetOrCreateCounter("parsleyport_backend_stray_answers_total"),
+		failureLog:   loglimit.New(options.Logger, options.Metrics, "not-answered", failureLinesPerSecond),
+		drained:      make(chan struct{}),
 	}
 	if s.admission == nil {
 		s.admission = NewQueue(1)
 	}
 	s.http = &http.Server{
 		Handler:           s.routes(),
-		ReadHeaderTimeout: headerLimit,
-		ReadTimeout:       headerLimit,
+		ReadHeaderTimeout: requestReadTimeout,
+		ReadTimeout:       requestReadTimeout,
 		MaxHeaderBytes:    maxAnnouncementBytes,
 		ErrorLog:          log.New(options.Logger, "", 0),
 	}
 	if listener != nil {
 		s.tasks.Go(func() { _ = s.http.Serve(listener) }) // ends with http.ErrServerClosed
 	}
-	s.tasks.Go(s.watch)
-	s.tasks.Go(s.report)
+	s.tasks.Go(s.expireLeases)
+	s.tasks.Go(s.runCallbacks)
 	return s, s.close, nil
 }
 
@@ -229,11 +229,11 @@
 	s.mu.Lock()
 	previous := s.announced
 	s.announced = &a
-	s.expires = now.Add(s.options.Lease)
+	s.leaseEnd = now.Add(s.options.Lease)
 	if previous != nil && previous.Run != a.Run {
-		s.crash(now, previous.Run)
+		s.reportCrash(now, previous.Run)
 	}
-	s.change(a)
+	s.setLatest(a)
 	s.mu.Unlock()
 	if previous == nil || previous.Slots != a.Slots {
 		s.admission.SetSlots(a.Slots)
@@ -249,17 +249,17 @@
 	if s.announced == nil {
 		return
 	}
-	gone := *s.announced
+	ended := *s.announced
 	s.announced = nil
-	s.crash(now, gone.Run)
-	gone.State = core.EndpointLeaving
-	s.change(gone)
-	s.options.Logger.Info().Str("run", gone.Run).Str("reason", reason).Msg("backend server gone")
+	s.reportCrash(now, ended.Run)
+	ended.State = core.EndpointLeaving
+	s.setLatest(ended)
+	s.options.Logger.Info().Str("run", ended.Run).Str("reason", reason).Msg("backend server gone")
 }
 
 // change needs the lock.
-func (s *Server) change(a Announcement) {
-	if s.leaving {
+func (s *Server) setLatest(a Announcement) {
+	if s.draining {
 		a.State = core.EndpointLeaving
 	}
 	if s.latest == a {
@@ -273,8 +273,8 @@
 }
 
 // watch ends the lease of a backend server that has stopped announcing itself.
-func (s *Server) watch() {
-	ticker := time.NewTicker(watchEvery)
+func (s *Server) expireLeases() {
+	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -282,18 +282,18 @@
 			return
 		case now := <-ticker.C:
 			s.mu.Lock()
-			expired := s.announced != nil && !now.Before(s.expires)
+			expired := s.announced != nil && !now.Before(s.leaseEnd)
 			s.mu.Unlock()
 			if expired {
 				s.endLease(now, "lease ran out")
 			}
-			s.pool.prune(idleLimit)
+			s.pool.prune(maxIdleTime)
 		}
 	}
 }
 
 // report calls the callbacks, so that a slow one delays no announcement and no call.
-func (s *Server) report() {
+func (s *Server) runCallbacks() {
 	for {
 		select {
 		case <-s.done:
@@ -316,54 +316,54 @@
 // Drain reports leaving, refuses new calls, and returns when all begun calls have ended, or the context's error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
-	if !s.leaving {
-		s.leaving = true
+	if !s.draining {
+		s.draining = true
 		if s.latest.Service != "" {
-			s.change(s.latest)
+			s.setLatest(s.latest)
 		}
-		s.signalIdle()
+		s.signalDrained()
 	}
 	s.mu.Unlock()
 	select {
-	case <-s.idle:
+	case <-s.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// signalIdle needs the lock.
-func (s *Server) signalIdle() {
-	if !s.leaving || s.begun > 0 {
+// signalDrained needs the lock.
+func (s *Server) signalDrained() {
+	if !s.draining || s.activeCalls > 0 {
 		return
 	}
 	select {
-	case <-s.idle:
+	case <-s.drained:
 	default:
-		close(s.idle)
+		close(s.drained)
 	}
 }
 
 // begin counts a call that may be queued, or says why it may not.
-func (s *Server) begin(call *core.Call) *core.Refusal {
+func (s *Server) beginCall(call *core.Call) *core.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving {
+	if s.draining {
 		return &core.Refusal{
 			Cause: core.CauseLeaving,
 		}
 	}
-	if _, refusal := s.target(call); refusal != nil {
+	if _, refusal := s.targetOf(call); refusal != nil {
 		return refusal
 	}
-	s.begun++
+	s.activeCalls++
 	return nil
 }
 
 // target needs the lock; it returns the backend server that takes the call now. An entry node may have chosen it for the
 // service or the release that it had before.
-func (s *Server) target(call *core.Call) (Announcement, *core.Refusal) {
-	if s.announced == nil || !time.Now().Before(s.expires) {
+func (s *Server) targetOf(call *core.Call) (Announcement, *core.Refusal) {
+	if s.announced == nil || !time.Now().Before(s.leaseEnd) {
 		return Announcement{}, &core.Refusal{
 			Cause: core.CauseNoBackend,
 		}
@@ -388,21 +388,21 @@
 	return *s.announced, nil
 }
 
-func (s *Server) end() {
+func (s *Server) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun--
-	s.signalIdle()
+	s.activeCalls--
+	s.signalDrained()
 }
 
 // broke records a call whose connection broke while it ran. It counts as a crash only with the end of that run.
-func (s *Server) broke(now time.Time, run string, call *core.Call) {
+func (s *Server) recordBrokenCall(now time.Time, run string, call *core.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.broken) >= maxBroken {
-		s.broken = s.broken[1:]
+	if len(s.brokenCalls) >= maxBrokenCalls {
+		s.brokenCalls = s.brokenCalls[1:]
 	}
-	s.broken = append(s.broken, brokenCall{
+	s.brokenCalls = append(s.brokenCalls, brokenCall{
 		call: CrashedCall{
 			Fingerprint: idempotency.FingerprintOf(call),
 			Service:     call.Service,
@@ -413,28 +413,28 @@
 		at:  now,
 	})
 	if s.announced == nil || s.announced.Run != run {
-		s.crash(now, run)
+		s.reportCrash(now, run)
 	}
 }
 
 // crash needs the lock; it reports the broken calls of a run that has ended.
-func (s *Server) crash(now time.Time, run string) {
-	report := Crash{
+func (s *Server) reportCrash(now time.Time, run string) {
+	crash := Crash{
 		Run: run,
 	}
-	kept := s.broken[:0]
-	for _, each := range s.broken {
+	others := s.brokenCalls[:0]
+	for _, each := range s.brokenCalls {
 		switch {
-		case now.Sub(each.at) > crashMemory:
+		case now.Sub(each.at) > brokenCallLifetime:
 		case each.run == run:
-			report.Calls = append(report.Calls, each.call)
+			crash.Calls = append(crash.Calls, each.call)
 		default:
-			kept = append(kept, each)
+			others = append(others, each)
 		}
 	}
-	s.broken = kept
-	if len(report.Calls) > 0 {
-		s.crashed.Add(len(report.Calls))
-		s.crashes.TryPush(report)
+	s.brokenCalls = others
+	if len(crash.Calls) > 0 {
+		s.crashedCalls.Add(len(crash.Calls))
+		s.crashes.TryPush(crash)
 	}
 }
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -89,7 +89,7 @@
 }
 
 // Acquire implements backendhttp.Admission.
-func (a *admission) Acquire(ctx context.Context, call *core.Call) (func(backendhttp.Ending), *core.Refusal) {
+func (a *admission) Acquire(ctx context.Context, call *core.Call) (func(backendhttp.CallResult), *core.Refusal) {
 	ticket, turn := a.arrive(call)
 	select {
 	case refusal := <-turn:
@@ -123,22 +123,22 @@
 	return ticket, turn
 }
 
-func (a *admission) admitted(ticket limiter.Ticket, refusal *core.Refusal) (func(backendhttp.Ending), *core.Refusal) {
+func (a *admission) admitted(ticket limiter.Ticket, refusal *core.Refusal) (func(backendhttp.CallResult), *core.Refusal) {
 	if refusal != nil {
 		return nil, refusal
 	}
 	startedAt := time.Now()
-	return func(ending backendhttp.Ending) { a.finish(ticket, startedAt, ending) }, nil
+	return func(ending backendhttp.CallResult) { a.finish(ticket, startedAt, ending) }, nil
 }
 
-func (a *admission) finish(ticket limiter.Ticket, startedAt time.Time, ending backendhttp.Ending) {
+func (a *admission) finish(ticket limiter.Ticket, startedAt time.Time, ending backendhttp.CallResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	a.follow(a.limiter.Finish(now, ticket, limiter.Result{
 		Latency:    now.Sub(startedAt),
-		Overloaded: ending == backendhttp.EndingOverloaded,
-		Failed:     ending == backendhttp.EndingFailed,
+		Overloaded: ending == backendhttp.ResultOverloaded,
+		Failed:     ending == backendhttp.ResultFailed,
 	}))
 }
 
--- a/io/node/admission_test.go
+++ b/io/node/admission_test.go
@@ -40,9 +40,9 @@
 		_, refusal = a.Acquire(ctx, call(time.Minute))
 		c.Assert(refusal.Cause, qt.Equals, core.CauseRevoked)
 
-		time.AfterFunc(time.Second, func() { release(backendhttp.EndingServed) })
+		time.AfterFunc(time.Second, func() { release(backendhttp.ResultServed) })
 		second, refusal := a.Acquire(context.Background(), call(time.Minute))
 		c.Assert(refusal == nil, qt.IsTrue)
-		second(backendhttp.EndingServed)
+		second(backendhttp.ResultServed)
 	})
 }
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -50,15 +50,15 @@
 	})
 	p.cleanups.add(stopAdmission)
 	server, cleanup, err := backendhttp.New(backendhttp.Options{
-		Headers:       p.options.Headers,
-		Lease:         p.options.BackendLease,
-		AllowUnframed: p.options.AllowUnframed,
-		Address:       p.settings.BackendAddress,
-		Admission:     admission,
-		OnChange:      func(a backendhttp.Announcement) { p.announce(subscriber, a) },
-		OnCrash:       func(crash backendhttp.Crash) { p.reportCrash(subscriber, crash) },
-		Logger:        p.log,
-		Metrics:       p.metrics,
+		Headers:             p.options.Headers,
+		Lease:               p.options.BackendLease,
+		AllowCloseDelimited: p.options.AllowUnframed,
+		Address:             p.settings.BackendAddress,
+		Admission:           admission,
+		OnChange:            func(a backendhttp.Announcement) { p.announce(subscriber, a) },
+		OnCrash:             func(crash backendhttp.Crash) { p.reportCrash(subscriber, crash) },
+		Logger:              p.log,
+		Metrics:             p.metrics,
 	})
 	return keep(p, server, cleanup, err)
 }
