--- a/io/backendhttp/admission.go
+++ b/io/backendhttp/admission.go
@@ -8,42 +8,42 @@
 	"parsleyport/core"
 )
 
-// Admission decides when a call may run at the backend server.
+// Admission decides when a call may run at the backend server (admission control).
 type Admission interface {
-	// Acquire waits until the call may run, or returns a *core.Refusal; a call whose context ends while it waits is
-	// removed and refused. The returned function must be called once, when the call has ended.
+	// Acquire waits until the call may run, or returns a refusal. A call whose context ends while it waits leaves the queue and is
+	// refused. The caller must call the returned function exactly once, when the call has ended.
 	Acquire(ctx context.Context, call *core.Call) (release func(CallResult), refusal *core.Refusal)
-	// SetSlots states how many calls the backend server runs at the same time.
+	// SetSlots sets the number of calls that the backend server runs concurrently.
 	SetSlots(slots int)
-	// Load describes the calls that run and wait, and how long those of a route usually take.
+	// Load returns the numbers of running and waiting calls, and the usual service time of calls and of those of a route.
 	Load(route core.RouteName) core.Load
 }
 
-// Ending says how a call at the backend server ended.
+// CallResult tells an Admission how a call at the backend server ended.
 type CallResult int
 
-// The endings of a call.
+// Results of a call.
 const (
-	// ResultServed means that its duration is that of a complete run.
+	// ResultServed means that the call was served completely, so that its duration is a sample of the service time.
 	ResultServed CallResult = iota
-	// ResultFailed means that its duration says nothing about the backend server's load.
+	// ResultFailed means that the call failed, so that its duration says nothing about the backend server's load.
 	ResultFailed
-	// ResultOverloaded means that the backend server answered that it has too much to do.
+	// ResultOverloaded means that the backend server answered that it is overloaded.
 	ResultOverloaded
 )
 
 const (
 	maxQueuedCalls        = 1024
-	holdTimeWeightDivisor = 8 // weight of one call in the average of durations is 1/8
+	holdTimeWeightDivisor = 8 // a call has a weight of 1/8 in the exponential moving average of hold times
 )
 
-// queue is an Admission that runs a fixed number of calls and keeps the others in order of arrival.
+// queue is an Admission with a fixed concurrency limit and a FIFO queue.
 type queue struct {
 	mu           sync.Mutex
 	slots        int
 	running      int
 	waiting      []*waiter
-	meanHoldTime time.Duration // average time that a call holds its slot
+	meanHoldTime time.Duration // exponential moving average of the time that a call holds its slot
 }
 
 type waiter struct {
@@ -51,7 +51,7 @@
 	granted bool
 }
 
-// NewQueue returns an Admission with a fixed number of slots and a bounded queue in order of arrival.
+// NewQueue returns an Admission with a fixed number of slots, at least one, and a bounded FIFO queue.
 func NewQueue(slots int) Admission {
 	return &queue{
 		slots: max(slots, 1),
@@ -97,7 +97,7 @@
 	return nil, refusalOf(ctx)
 }
 
-// refusalOf says why a call whose context has ended was not run.
+// refusalOf returns the refusal of a call whose context ended before it ran.
 func refusalOf(ctx context.Context) *core.Refusal {
 	cause := context.Cause(ctx)
 	if cause == context.DeadlineExceeded {
@@ -134,7 +134,7 @@
 	return w, nil
 }
 
-// grant needs the lock.
+// grantSlots gives free slots to the calls that wait longest. q.mu must be held.
 func (q *queue) grantSlots() {
 	for q.running < q.slots && len(q.waiting) > 0 {
 		w := q.waiting[0]
@@ -145,7 +145,7 @@
 	}
 }
 
-// leave returns false if the waiter has its slot already.
+// remove takes a waiter out of the queue. It returns false if the waiter has a slot already.
 func (q *queue) remove(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/io/backendhttp/announcement.go
+++ b/io/backendhttp/announcement.go
@@ -8,15 +8,21 @@
 	"parsleyport/core"
 )
 
-// Announcement is what the backend server says of itself; Run changes with each start of its process.
+// Announcement is the state that the backend server announces to its node.
 type Announcement struct {
-	Service core.ServiceName   `json:"service"`
-	Release core.Release       `json:"release"`
-	Address string             `json:"address"`
-	Slots   int                `json:"slots"`
-	State   core.EndpointState `json:"state"`
-	Run     string             `json:"run"`
-	// Instance is the name by which the backend server knows calls that are meant for another one; empty if it does not.
+	// Service is the service that the backend server implements.
+	Service core.ServiceName `json:"service"`
+	// Release is the release of the service that the backend server runs.
+	Release core.Release `json:"release"`
+	// Address is the IP address and port at which the backend server takes calls.
+	Address string `json:"address"`
+	// Slots is the number of calls that the backend server runs concurrently.
+	Slots int `json:"slots"`
+	// State is starting, ready or leaving.
+	State core.EndpointState `json:"state"`
+	// Run identifies the process: it changes with each start.
+	Run string `json:"run"`
+	// Instance is sent with each call, so that the backend server can refuse calls for another instance. Empty if it does not check.
 	Instance string `json:"instance,omitempty"`
 }
 
@@ -24,11 +30,11 @@
 	maxSlots     = 10_000
 	maxNameBytes = 128
 	maxRunBytes  = 128
-	// maxAnnouncementBytes bounds the request body.
+	// maxAnnouncementBytes bounds the request body and the request header.
 	maxAnnouncementBytes = 4 << 10
 )
 
-// Check returns which field is wrong and what was expected.
+// Check returns an error that names the first invalid field and the expected values.
 func (a Announcement) Check() error {
 	if a.Service == "" || len(a.Service) > maxNameBytes {
 		return errors.Errorf("service is %q, expected 1 to %d bytes", a.Service, maxNameBytes)
--- a/io/backendhttp/answers_test.go
+++ b/io/backendhttp/answers_test.go
@@ -11,8 +11,8 @@
 	"parsleyport/core"
 )
 
-// Guards against a call that reaches a backend server of another service or release, because its entry node chose the node
-// before the backend server beside it was replaced.
+// Guards against a call that runs at a backend server of another service or release, because its entry node chose the node
+// before its backend server was replaced.
 func TestCallForAnotherReleaseIsNotRun(t *testing.T) {
 	c := qt.New(t)
 	f := start(t)
@@ -27,8 +27,8 @@
 	c.Assert(f.backend.requests.Load(), qt.Equals, int64(0))
 }
 
-// Guards against the answer of an earlier call that is delivered to a later one, and against a call that is taken for run
-// though the backend server says that it has not run it.
+// Guards against delivering the answer of an earlier call to a later one, and against treating a call as run although the backend
+// server states that it has not run it.
 func TestStrayAnswersAreDropped(t *testing.T) {
 	c := qt.New(t)
 	stray := "HTTP/1.1 200 OK\r\nParsleyport-Call-Id: other\r\nContent-Length: 5\r\n\r\nwrong"
@@ -62,8 +62,8 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nParsleyport-Call-Id: x\r\nParsleyport-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", status, http.StatusText(status))
 }
 
-// Guards against an answer without a length that is refused where the end of the connection is its end, and against one that is
-// taken for whole where it may be a crash.
+// Guards against refusing an answer without a length where close-delimited answers are allowed, and against accepting one as complete
+// where the connection may have been closed by a crash.
 func TestCloseDelimitedAnswers(t *testing.T) {
 	c := qt.New(t)
 	for _, allowed := range []bool{false, true} {
--- a/io/backendhttp/backendhttp_test.go
+++ b/io/backendhttp/backendhttp_test.go
@@ -21,18 +21,18 @@
 	"parsleyport/core"
 )
 
-// blockingListener accepts nothing.
+// blockingListener accepts no connections until it is closed.
 type blockingListener struct{ closed chan struct{} }
 
 func (l blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
 func (l blockingListener) Close() error              { close(l.closed); return nil }
 func (l blockingListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
-// fakeBackend is a backend server on pipes that counts the requests it has read.
+// fakeBackend is a backend server on pipes that counts the requests that it has read.
 type fakeBackend struct {
 	requests atomic.Int64
 	refuse   bool
-	respond  func(conn net.Conn, request *http.Request) // closes the connection if it returns false
+	respond  func(conn net.Conn, request *http.Request) // writes the answer; nil means a short 200
 	mu       sync.Mutex
 	conns    []net.Conn
 }
@@ -124,7 +124,7 @@
 	return ""
 }
 
-// endings is an Admission that admits every call and notes how it ended.
+// recordingAdmission is an Admission that admits every call and records the results.
 type recordingAdmission []CallResult
 
 func (e *recordingAdmission) Acquire(context.Context, *core.Call) (func(CallResult), *core.Refusal) {
@@ -135,7 +135,8 @@
 
 func (e *recordingAdmission) SetSlots(int) {}
 
-// Guards against a limiter that takes an overload answer for any failure, or the refusal of another node for overload.
+// Guards against a limiter that gets an overload answer reported as a mere failure, or an overload refusal of another node as
+// overload of its own backend server.
 func TestResultsReportedToAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -155,7 +156,7 @@
 	})
 }
 
-// Guards against a call that is reported as not run although the backend server has seen it, and the reverse.
+// Guards against the outcome not-run for a call that the backend server has received, and the reverse.
 func TestOutcomesMatchWhatBackendServerReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -184,14 +185,14 @@
 			c.Assert(causeOf(err), qt.Equals, step.cause)
 			c.Assert(f.backend.requests.Load(), qt.Equals, step.requests)
 		}
-		time.Sleep(time.Minute) // until the backend server that does not answer has done so
+		time.Sleep(time.Minute) // until the stalled handler has returned
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		c.Assert(f.states, qt.DeepEquals, []core.EndpointState{core.EndpointStarting, core.EndpointReady, core.EndpointLeaving})
 	})
 }
 
-// Guards against a part of an answer that passes for the whole, with each way in which HTTP states a length.
+// Guards against a truncated answer that passes for a complete one, for each way in which HTTP delimits a body.
 func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for response, whole := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfull":                                true,
@@ -216,7 +217,7 @@
 	}
 }
 
-// Guards against a call that is written to a connection which the backend server is about to close.
+// Guards against writing a call to a connection that the backend server is about to close.
 func TestClosingConnectionIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -239,14 +240,14 @@
 	})
 }
 
-// Guards against a queued call that runs after it was cancelled, revoked or late, and against one that is never run.
+// Guards against a queued call that runs after it was cancelled, revoked or late, and against one that never runs.
 func TestQueueRemovesCancelledAndLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := start(t)
 		f.announce(time.Now(), ready("1"))
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
-			time.Sleep(800 * time.Millisecond) // two of them end before the deadline of 2 s
+			time.Sleep(800 * time.Millisecond) // two of them end within the deadline of 2 s
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 		began := time.Now()
@@ -282,7 +283,7 @@
 	})
 }
 
-// Guards against a planned stop that cuts off a running or queued call, or that takes a new one.
+// Guards against a planned stop that cuts off a running or queued call, or accepts a new one.
 func TestDrainCompletesActiveCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -317,15 +318,15 @@
 	})
 }
 
-// Guards against blaming a request for a connection that broke while the backend server's process lived on, and
-// against missing the ones that were running when it ended.
+// Guards against blaming a request for a broken connection although the backend server's process did not end, and against missing
+// the requests that were running when it did.
 func TestOnlyCallsOfEndedRunsAreCrashes(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   func(f *fixture)
 		crashes int
 	}{
 		"new run":       {after: func(f *fixture) { f.announce(time.Now(), ready("2")) }, crashes: 1},
-		"lease ran out": {after: func(*fixture) { time.Sleep(DefaultLease + time.Second) }, crashes: 1},
+		"lease expired": {after: func(*fixture) { time.Sleep(DefaultLease + time.Second) }, crashes: 1},
 		"withdrawn":     {after: func(f *fixture) { f.endLease(time.Now(), "withdrawn") }, crashes: 1},
 		"same run":      {after: func(f *fixture) { f.announce(time.Now(), ready("1")) }, crashes: 0},
 	} {
@@ -351,7 +352,7 @@
 	}
 }
 
-// Guards against an unknown outcome for each call that meets a connection which the backend server has closed.
+// Guards against the outcome unknown for calls on an idle connection that the backend server has closed.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.RequestURI) }))
@@ -371,8 +372,8 @@
 	}
 }
 
-// Guards against calls that each wait on one more idle connection after the backend server has gone silent on all that
-// were open, and against idle connections that are given up although they have answered since.
+// Guards against calls that each wait on another idle connection after the backend server has stopped answering on all that were
+// open, and against closing idle connections that have answered since.
 func TestSilentIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -380,7 +381,7 @@
 		a := ready("1")
 		a.Slots = 4
 		f.announce(time.Now(), a)
-		var silentConns sync.Map // connections that go silent
+		var silentConns sync.Map // connections on which the backend server stops answering
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			if _, silent := silentConns.Load(conn); !silent {
 				time.Sleep(time.Millisecond)
@@ -413,7 +414,7 @@
 	})
 }
 
-// Guards against a malformed announcement that changes the announced state.
+// Guards against an invalid announcement that changes the announced state.
 func TestInvalidAnnouncementsChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	server, stop, err := New(Options{Address: "127.0.0.1:0"})
--- a/io/backendhttp/doc.go
+++ b/io/backendhttp/doc.go
@@ -1,6 +1,6 @@
-// Package backendhttp is a node's side of its local backend server: the endpoint at which the backend server announces
-// itself, and the core.Backend that queues calls and hands them over by HTTP.
+// Package backendhttp connects a node to its local backend server. It serves the HTTP interface at which the backend server
+// announces itself, and implements core.Backend, which queues calls and sends them over HTTP.
 //
-// It has its own pool of HTTP/1.1 connections because http.Transport resends requests by itself, and because the outcome
-// of a call depends on whether any byte of it may have been written.
+// It has its own pool of HTTP/1.1 connections for two reasons: http.Transport retries requests by itself, and the outcome of a call
+// depends on whether any byte of it may have been written.
 package backendhttp
--- a/io/backendhttp/handle.go
+++ b/io/backendhttp/handle.go
@@ -17,15 +17,15 @@
 	"parsleyport/core/retry"
 )
 
-// Errors of an answer.
+// Errors of Handle, and of reading the body of an answer.
 const (
-	// ErrNoLength means that the answer's body ends with the connection, so that a crash would look like its end.
+	// ErrNoLength means that the answer's body is delimited by the end of the connection, so that a crash could not be told from its end.
 	ErrNoLength = errors.ConstError("backend server's answer states no length")
 	// ErrBroken means that the connection broke before the answer was complete.
 	ErrBroken = errors.ConstError("connection to the backend server broke")
 )
 
-// Handle implements core.Backend. The context must live until the answer's body is closed.
+// Handle implements core.Backend. The context must not end before the answer's body is closed.
 func (s *Server) Handle(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 	answer, outcome, err := s.handle(ctx, call)
 	load := s.admission.Load(call.Route)
@@ -41,7 +41,7 @@
 	return answer, outcome, err
 }
 
-// logFailure says why a call was not answered, and by which state of the backend server.
+// logFailure logs a call that was not answered, with the state and the load of the backend server.
 func (s *Server) logFailure(call *core.Call, load core.Load, outcome core.Outcome, cause error) {
 	event := s.failureLog.Info()
 	if event == nil {
@@ -78,7 +78,7 @@
 	return answer, outcome, err
 }
 
-// exchange is one call at the backend server; it holds its slot until the answer's body has ended.
+// exchange is a call that runs at the backend server. It holds its slot until the end of the answer's body.
 type exchange struct {
 	server         *Server
 	ctx            context.Context
@@ -87,9 +87,9 @@
 	ended          sync.Once
 	conn           *backendConn
 	processRun     string
-	stopCancelling func() bool // stops the propagation of a cancellation; false if it has begun
-	written        bool        // the first byte may have been written
-	strayReceived  bool        // answers to other calls have arrived on the connection
+	stopCancelling func() bool // unregisters the close on cancellation; false if that has begun
+	written        bool        // at least one byte of the call may have been written
+	strayReceived  bool        // answers to other calls were received on the connection
 	reusable       bool
 }
 
@@ -135,7 +135,7 @@
 	}
 }
 
-// Write implements io.Writer and notes that the backend server may have seen something of the call.
+// Write implements io.Writer. It notes that the backend server may have received a part of the call.
 func (x *exchange) Write(bytes []byte) (int, error) {
 	x.written = true
 	return x.conn.Write(bytes)
@@ -150,7 +150,7 @@
 	x.server.sentCalls.Inc()
 	writer := x.conn.writer
 	writer.Reset(x)
-	defer writer.Reset(nil) // an idle connection keeps no call in memory
+	defer writer.Reset(nil) // so that an idle connection does not keep the call in memory
 	err := request.Write(writer)
 	if err == nil {
 		err = writer.Flush()
@@ -162,7 +162,7 @@
 			Detail: err.Error(),
 		}
 	}
-	// A backend server may answer before it has read the whole request, so the answer is read even after a failed write.
+	// The answer is read even after a failed write, since a backend server may answer before it has read the whole request.
 	response, readErr := x.readResponse(request)
 	if readErr != nil {
 		return nil, core.OutcomeUnknown, x.fail(readErr)
@@ -177,7 +177,7 @@
 	return answer, core.OutcomeAnswered, nil
 }
 
-// notRunRefusal returns why the backend server has not run the call, if it says so.
+// notRunRefusal returns a refusal if the answer states that the backend server has not run the call.
 func (x *exchange) notRunRefusal(response *http.Response) *core.Refusal {
 	if headerValue(response.Header, x.server.options.Headers.NotRun) == "" {
 		return nil
@@ -195,7 +195,7 @@
 	return refusal
 }
 
-// discard reads a short body, so that the connection can be used again, and gives the slot back.
+// discard reads a short body to its end, so that the connection can be reused, and releases the slot.
 func (x *exchange) discard(answer *core.Answer) {
 	_, _ = io.CopyN(io.Discard, answer.Body, maxDiscardedBytes+1)
 	_ = answer.Body.Close()
@@ -216,7 +216,7 @@
 		if !x.isStray(response) {
 			return response, nil
 		}
-		// A late or second answer to an earlier call; this call's own may follow it.
+		// This is a late or duplicate answer to an earlier call. The answer to this call may follow.
 		x.strayReceived = true
 		x.server.strayAnswers.Inc()
 		if n, err := io.CopyN(io.Discard, response.Body, maxStrayBytes); n == maxStrayBytes || err != io.EOF {
@@ -225,7 +225,7 @@
 	}
 }
 
-// isStray reports whether an answer names another call.
+// isStray reports whether an answer has the ID of another call.
 func (x *exchange) isStray(response *http.Response) bool {
 	id := headerValue(response.Header, x.server.options.Headers.CallID)
 	return id != "" && id != string(x.call.ID)
@@ -239,20 +239,21 @@
 }
 
 const (
-	// maxDiscardedBytes is how much of a refusal's body is read to keep the connection; more would cost more than a new one.
+	// maxDiscardedBytes bounds what is read of a refusal's body to keep the connection. Reading more would cost more than a new
+	// connection.
 	maxDiscardedBytes = 16 << 10
-	// maxStrayBytes bounds the body of an answer to another call.
+	// maxStrayBytes bounds what is read of the body of an answer to another call.
 	maxStrayBytes = 1 << 20
 )
 
-// abort closes the connection; it returns false if a cancellation has done so.
+// abort closes the connection. It returns false if a cancellation has closed it already.
 func (x *exchange) abort() bool {
 	own := x.stopCancelling()
 	_ = x.conn.Close()
 	return own
 }
 
-// fail ends the connection and returns the error of the exchange.
+// fail closes the connection and returns the error of the call. Unless the call was cancelled, it is recorded as broken.
 func (x *exchange) fail(err error) error {
 	if !x.abort() {
 		return errors.Annotate(context.Cause(x.ctx), "call at the backend server")
@@ -276,8 +277,8 @@
 	}
 }
 
-// resultOf tells the backend server's own overload from its other failures. An answer with an outcome is a refusal of
-// a node that the backend server called and passes on; it says nothing about this backend server's load.
+// resultOf returns the result of a call for the admission. An overload answer with an outcome header comes from a node that the
+// backend server called and is passed on; it says nothing about the load of this backend server.
 func (x *exchange) resultOf(response *http.Response) CallResult {
 	switch {
 	case retry.Overloaded(response.StatusCode) && headerValue(response.Header, x.server.options.Headers.Outcome) == "":
@@ -288,7 +289,7 @@
 	return ResultServed
 }
 
-// answerBody gives the slot back at the end of the body and keeps the connection if it can be used again.
+// answerBody releases the slot at the end of the body, and returns the connection to the pool if it can be reused.
 type answerBody struct {
 	exchange       *exchange
 	reader         io.ReadCloser
@@ -329,7 +330,7 @@
 	return err
 }
 
-// Close implements io.Closer; closing before the end cancels the call.
+// Close implements io.Closer. Closing the body before its end cancels the call.
 func (b *answerBody) Close() error {
 	if b.err == nil {
 		b.err = errors.New("body is closed")
@@ -346,7 +347,7 @@
 	}
 	if !strings.HasPrefix(call.Target, "//") {
 		target = &url.URL{
-			Opaque: call.Target, // keeps the caller's way of escaping
+			Opaque: call.Target, // keeps the caller's escaping
 		}
 	}
 	header := call.Header.Clone()
@@ -355,7 +356,7 @@
 	}
 	removeHopByHopHeaders(header)
 	if _, exists := header["User-Agent"]; !exists {
-		header.Set("User-Agent", "") // else net/http writes its own
+		header.Set("User-Agent", "") // otherwise net/http adds its own
 	}
 	for name, value := range map[string]string{
 		names.CallID:           string(call.ID),
--- a/io/backendhttp/pool.go
+++ b/io/backendhttp/pool.go
@@ -11,15 +11,15 @@
 
 const (
 	connectTimeout = time.Second
-	// maxIdleTime is below the usual keep-alive limit of backend servers (5 s and more), so that the pool closes first.
+	// maxIdleTime is below the usual keep-alive timeout of backend servers (5 s or more), so that the pool closes a connection first.
 	maxIdleTime        = 4 * time.Second
 	maxIdleConnections = 256
-	// silenceTimeout is how long a call may wait on a reused connection before idle connections that have shown no sign of
-	// life since then are given up. A new one costs about 1 ms, so a backend server that is only slow loses little by it.
+	// silenceTimeout is how long a call may wait for an answer on a reused connection before the idle connections that were last used
+	// earlier are closed. A new connection costs about 1 ms, so this costs little if the backend server is only slow.
 	silenceTimeout = time.Second
 )
 
-// backendConn is one HTTP/1.1 connection to the backend server.
+// backendConn is an HTTP/1.1 connection to the backend server.
 type backendConn struct {
 	net.Conn
 	pool      *pool
@@ -29,13 +29,13 @@
 	idleSince time.Time
 }
 
-// pool keeps idle connections; the most recently used one is taken first.
+// pool keeps idle connections and reuses the most recently used one first.
 type pool struct {
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu             sync.Mutex // guards the fields below
 	idle           []*backendConn
-	awaitingAnswer map[*backendConn]time.Time // reused connections without an answer yet, by the time they were taken
+	awaitingAnswer map[*backendConn]time.Time // when reused connections without an answer yet were taken
 }
 
 func newPool(dial func(ctx context.Context, address string) (net.Conn, error)) *pool {
@@ -50,7 +50,7 @@
 	}
 }
 
-// get returns a connection on which nothing has been written for this call.
+// get returns an idle or a new connection. A failure of get means that no byte of the call was written.
 func (p *pool) get(ctx context.Context, address string) (*backendConn, error) {
 	for c := p.take(); c != nil; c = p.take() {
 		if c.address == address && time.Since(c.idleSince) < maxIdleTime && c.alive() {
@@ -87,8 +87,8 @@
 	return c
 }
 
-// closeSilent closes the idle connections that were last used before a call that has waited for too long: the backend
-// server may have gone silent on all connections that were open then.
+// closeSilent closes the idle connections that were last used before a call that waits for longer than silenceTimeout. The backend
+// server may have stopped answering on all connections that were open then. p.mu must be held.
 func (p *pool) closeSilent(now time.Time) {
 	for _, taken := range p.awaitingAnswer {
 		if now.Sub(taken) >= silenceTimeout {
@@ -97,7 +97,7 @@
 	}
 }
 
-// filterIdle closes the idle connections that are not to be kept.
+// filterIdle closes the idle connections for which keep returns false. p.mu must be held.
 func (p *pool) filterIdle(keep func(*backendConn) bool) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
@@ -111,7 +111,7 @@
 	p.idle = kept
 }
 
-// answered notes that a connection has shown a sign of life.
+// markAnswered notes that a connection has answered or was closed.
 func (p *pool) markAnswered(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// prune closes the connections that have been idle for too long.
+// prune closes the connections that have been idle for at least the limit.
 func (p *pool) prune(limit time.Duration) {
 	now := time.Now()
 	p.mu.Lock()
@@ -143,8 +143,8 @@
 	p.filterIdle(func(c *backendConn) bool { return now.Sub(c.idleSince) < limit })
 }
 
-// alive looks for an end of the connection, or for bytes that nobody asked for, without waiting. Without it, a call on
-// a connection that the backend server has closed would end as unknown.
+// alive checks without blocking that the connection is open and has no unexpected data. Without this check, a call on a connection
+// that the backend server has closed would end with the outcome unknown.
 func (c *backendConn) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/io/backendhttp/server.go
+++ b/io/backendhttp/server.go
@@ -21,53 +21,67 @@
 )
 
 const (
-	// DefaultLease is how long an announcement holds without being repeated.
+	// DefaultLease is how long an announcement is valid unless it is repeated.
 	DefaultLease       = 3 * time.Second
 	leaseCheckInterval = 250 * time.Millisecond
 	requestReadTimeout = 5 * time.Second
-	// brokenCallLifetime is how long a broken call waits for the end of the backend server's lease, which proves a crash.
+	// brokenCallLifetime is how long a broken call is kept until a new run or the end of the lease proves a crash.
 	brokenCallLifetime = 10 * time.Second
-	// failureLinesPerSecond about calls that were not answered are written in a second; the others are counted.
+	// failureLinesPerSecond bounds the log lines about calls that were not answered; lines above it are only counted.
 	failureLinesPerSecond = 25
 	maxBrokenCalls        = 1024
 	maxQueuedCrashes      = 64
 )
 
-// Options configures a Server. OnChange gets the newest announced state after each change, one call at a time; the end
-// of a lease and a planned stop are reported as leaving. OnCrash gets the calls that ran in a crash. Listener replaces
-// Address, Dial replaces a TCP dial, and Admission defaults to NewQueue. Without Address and Listener, announcements come
-// through Announce only. Lease zero stands for DefaultLease.
+// Options configures a Server. Without Address and Listener, announcements are made only through Announce.
 type Options struct {
-	Headers core.HeaderNames // the zero value stands for the default names
-	Lease   time.Duration
-	// AllowCloseDelimited takes the end of the connection for the end of an answer without a length. A backend server that closes
-	// its connections when it crashes must not be used so.
+	// Headers names the HTTP headers; the zero value stands for the default names.
+	Headers core.HeaderNames
+	// Lease is how long an announcement is valid unless it is repeated. Zero means DefaultLease.
+	Lease time.Duration
+	// AllowCloseDelimited accepts answers without a length, which end with the connection. It must not be set for a backend server
+	// whose connections are closed when it crashes, since a truncated answer would pass for a complete one.
 	AllowCloseDelimited bool
-	Address             string
-	Listener            net.Listener
-	Admission           Admission
-	OnChange            func(Announcement)
-	OnCrash             func(Crash)
-	Dial                func(ctx context.Context, address string) (net.Conn, error)
-	Logger              zerolog.Logger
-	Metrics             *metrics.Set
+	// Address is the TCP address for announcements.
+	Address string
+	// Listener replaces Address if it is set.
+	Listener net.Listener
+	// Admission is the admission control. Nil means NewQueue with one slot until the first announcement.
+	Admission Admission
+	// OnChange is called with the latest state after changes, one call at a time. The end of the lease and the start of Drain are
+	// reported with the state leaving. It may be nil.
+	OnChange func(Announcement)
+	// OnCrash is called with the calls that were running in a crash. It may be nil.
+	OnCrash func(Crash)
+	// Dial connects to the backend server. Nil means a TCP dial.
+	Dial func(ctx context.Context, address string) (net.Conn, error)
+	// Logger gets a line when a backend server comes or goes, and for calls that were not answered.
+	Logger zerolog.Logger
+	// Metrics gets the server's metrics. If it is nil, a private set is used.
+	Metrics *metrics.Set
 }
 
-// Crash is one end of a backend server's process while calls were running.
+// Crash is the end of a backend server's process while calls were running.
 type Crash struct {
-	Run   string
+	// Run is the run of the process that ended, as it was announced.
+	Run string
+	// Calls holds the calls whose connections broke.
 	Calls []CrashedCall
 }
 
 // CrashedCall is a call that was running in a crash.
 type CrashedCall struct {
+	// Fingerprint identifies requests that are equal.
 	Fingerprint idempotency.Fingerprint
-	Service     core.ServiceName
-	Route       core.RouteName
-	Release     core.Release
+	// Service is the service of the call.
+	Service core.ServiceName
+	// Route is the route of the call.
+	Route core.RouteName
+	// Release is the release that crashed.
+	Release core.Release
 }
 
-// Server is the node's side of the local backend server; it is a core.Backend.
+// Server is a node's connection to its local backend server. It implements core.Backend.
 type Server struct {
 	options   Options
 	admission Admission
@@ -76,21 +90,21 @@
 	http      *http.Server
 	tasks     sync.WaitGroup
 	done      chan struct{}
-	changed   chan struct{} // holds one token when the state has changed
+	changed   chan struct{} // has one element while a change has not been reported to OnChange
 	crashes   *ring.Ring[Crash]
 
 	sentCalls    *metrics.Counter
 	crashedCalls *metrics.Counter
 	strayAnswers *metrics.Counter
-	failureLog   zerolog.Logger // about calls that were not answered
+	failureLog   zerolog.Logger // for calls that were not answered
 
 	mu          sync.Mutex
-	announced   *Announcement // nil without a lease
-	latest      Announcement  // as reported to OnChange
+	announced   *Announcement // nil if there is no lease
+	latest      Announcement  // the state for OnChange
 	leaseEnd    time.Time
 	draining    bool
 	activeCalls int
-	drained     chan struct{} // closed when leaving and no call is left
+	drained     chan struct{} // closed when the server is draining and no call is active
 	brokenCalls []brokenCall
 }
 
@@ -100,7 +114,7 @@
 	at   time.Time
 }
 
-// New listens for announcements; the clean-up function closes everything and waits for the goroutines.
+// New listens for announcements. The clean-up function closes all connections and waits for the server's goroutines.
 func New(options Options) (*Server, func(), error) {
 	listener := options.Listener
 	if listener == nil && options.Address != "" {
@@ -150,7 +164,7 @@
 	return s, s.close, nil
 }
 
-// Address returns the address at which the backend server announces itself.
+// Address returns the address for announcements, or an empty string if there is no listener.
 func (s *Server) Address() string {
 	if s.listener == nil {
 		return ""
@@ -165,7 +179,7 @@
 	s.pool.prune(0)
 }
 
-// Current returns the announced state; false means that there is no lease.
+// Current returns the announced state, or false if there is no lease.
 func (s *Server) Current() (Announcement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +202,7 @@
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	config := huma.DefaultConfig("parsleyport backend announcements", "1")
-	config.CreateHooks = nil // no $schema key in answers
+	config.CreateHooks = nil // otherwise answers have a $schema key
 	api := humago.New(mux, config)
 	huma.Register(api, huma.Operation{
 		OperationID:   "announce",
@@ -216,7 +230,7 @@
 	return mux
 }
 
-// Announce takes what the backend server says of itself; it returns what is wrong with it.
+// Announce starts or renews the lease of the backend server. It returns the error of Announcement.Check.
 func (s *Server) Announce(a Announcement) error {
 	if err := a.Check(); err != nil {
 		return err
@@ -254,10 +268,10 @@
 	s.reportCrash(now, ended.Run)
 	ended.State = core.EndpointLeaving
 	s.setLatest(ended)
-	s.options.Logger.Info().Str("run", ended.Run).Str("reason", reason).Msg("backend server gone")
+	s.options.Logger.Info().Str("run", ended.Run).Str("reason", reason).Msg("backend server's lease ended")
 }
 
-// change needs the lock.
+// setLatest schedules a call of OnChange if the state has changed. s.mu must be held.
 func (s *Server) setLatest(a Announcement) {
 	if s.draining {
 		a.State = core.EndpointLeaving
@@ -272,7 +286,7 @@
 	}
 }
 
-// watch ends the lease of a backend server that has stopped announcing itself.
+// expireLeases ends the lease of a backend server that no longer announces itself, and closes idle connections.
 func (s *Server) expireLeases() {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
@@ -285,14 +299,14 @@
 			expired := s.announced != nil && !now.Before(s.leaseEnd)
 			s.mu.Unlock()
 			if expired {
-				s.endLease(now, "lease ran out")
+				s.endLease(now, "lease expired")
 			}
 			s.pool.prune(maxIdleTime)
 		}
 	}
 }
 
-// report calls the callbacks, so that a slow one delays no announcement and no call.
+// runCallbacks calls OnChange and OnCrash on a goroutine of its own, so that a slow callback delays no announcement and no call.
 func (s *Server) runCallbacks() {
 	for {
 		select {
@@ -313,7 +327,7 @@
 	}
 }
 
-// Drain reports leaving, refuses new calls, and returns when all begun calls have ended, or the context's error.
+// Drain reports the state leaving and refuses new calls. It returns when all active calls have ended, or the context's error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	if !s.draining {
@@ -332,7 +346,7 @@
 	}
 }
 
-// signalDrained needs the lock.
+// signalDrained closes s.drained if the drain is complete. s.mu must be held.
 func (s *Server) signalDrained() {
 	if !s.draining || s.activeCalls > 0 {
 		return
@@ -344,7 +358,7 @@
 	}
 }
 
-// begin counts a call that may be queued, or says why it may not.
+// beginCall counts a call as active, or returns the reason to refuse it.
 func (s *Server) beginCall(call *core.Call) *core.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -360,8 +374,8 @@
 	return nil
 }
 
-// target needs the lock; it returns the backend server that takes the call now. An entry node may have chosen it for the
-// service or the release that it had before.
+// targetOf returns the backend server for a call, or a refusal if none can take it now. The entry node may have chosen this node for
+// an earlier service or release of its backend server. s.mu must be held.
 func (s *Server) targetOf(call *core.Call) (Announcement, *core.Refusal) {
 	if s.announced == nil || !time.Now().Before(s.leaseEnd) {
 		return Announcement{}, &core.Refusal{
@@ -395,7 +409,7 @@
 	s.signalDrained()
 }
 
-// broke records a call whose connection broke while it ran. It counts as a crash only with the end of that run.
+// recordBrokenCall records a call whose connection broke while it ran. It is reported as a crash only if the process has ended.
 func (s *Server) recordBrokenCall(now time.Time, run string, call *core.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -417,7 +431,7 @@
 	}
 }
 
-// crash needs the lock; it reports the broken calls of a run that has ended.
+// reportCrash reports the broken calls of a run that has ended to OnCrash. s.mu must be held.
 func (s *Server) reportCrash(now time.Time, run string) {
 	crash := Crash{
 		Run: run,
