--- a/io/httpserver/doc.go
+++ b/io/httpserver/doc.go
@@ -1,3 +1,3 @@
-// Package httpserver starts the HTTP servers that answer operators, monitoring and backend servers, and stops them without a
-// request that is left unanswered.
+// Package httpserver runs the HTTP servers for operators, monitoring and backend servers, and stops them without leaving a request
+// unanswered.
 package httpserver
--- a/io/httpserver/httpserver.go
+++ b/io/httpserver/httpserver.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// unreadLimit is how long a server that stops waits for the first requests on the connections that it has accepted: a few
-	// round trips between data centres.
-	unreadLimit = 500 * time.Millisecond
-	unreadCheck = 10 * time.Millisecond
+	// unreadRequestTimeout limits how long a stopping server waits for the first requests on the connections that it has accepted.
+	// It covers a few round trips between data centres.
+	unreadRequestTimeout = 500 * time.Millisecond
+	unreadPollInterval   = 10 * time.Millisecond
 )
 
-// Serve serves on a listener until the clean-up function is called, which accepts no more connections and cuts requests that
-// have not ended after the limit. It sets the server's ConnState.
-func Serve(server *http.Server, listener net.Listener, limit time.Duration, log zerolog.Logger) func() {
+// Serve serves on a listener until the returned clean-up function is called. The clean-up function closes the listener, waits for the
+// requests in progress, and cuts off those that have not ended after stopTimeout. Serve sets the server's ConnState.
+func Serve(server *http.Server, listener net.Listener, stopTimeout time.Duration, log zerolog.Logger) func() {
 	unread := unreadConnections{
-		held: make(map[net.Conn]struct{}),
+		connections: make(map[net.Conn]struct{}),
 	}
-	server.ConnState = unread.change
+	server.ConnState = unread.track
 	shared := &onceListener{
 		Listener: listener,
 		close:    sync.OnceValue(listener.Close),
@@ -35,55 +35,56 @@
 	go func() {
 		defer close(served)
 		if err := server.Serve(shared); !errors.Is(err, http.ErrServerClosed) && !stopping.Load() {
-			log.Error().Err(err).Str("event", "interface-lost").Str("address", listener.Addr().String()).Msg("HTTP server has ended")
+			log.Error().Err(err).Str("event", "interface-lost").Str("address", listener.Addr().String()).Msg("HTTP server failed")
 		}
 	}()
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
 		stopping.Store(true)
-		// Once Shutdown has begun, net/http closes a connection whose request it has just read without an answer.
+		// The listener is closed first: once Shutdown has begun, net/http closes a connection whose request it has just read, without
+		// an answer.
 		if err := shared.Close(); err != nil {
-			log.Warn().Err(err).Str("address", listener.Addr().String()).Msg("listener not closed")
+			log.Warn().Err(err).Str("address", listener.Addr().String()).Msg("failed to close the listener")
 		}
-		for until := time.Now().Add(min(limit, unreadLimit)); unread.any() && time.Now().Before(until); {
-			time.Sleep(unreadCheck)
+		for until := time.Now().Add(min(stopTimeout, unreadRequestTimeout)); unread.exist() && time.Now().Before(until); {
+			time.Sleep(unreadPollInterval)
 		}
 		if err := server.Shutdown(ctx); err != nil {
-			log.Warn().Err(err).Str("address", listener.Addr().String()).Msg("requests under way were cut")
-			_ = server.Close() // what it reports is that of the connections it cuts
+			log.Warn().Err(err).Str("address", listener.Addr().String()).Msg("requests in progress were cut off")
+			_ = server.Close() // its error concerns only the connections that it cuts off
 		}
 		<-served
 	}
 }
 
-// unreadConnections are those whose first request has not been read.
+// unreadConnections tracks the connections whose first request has not been read.
 type unreadConnections struct {
-	mu   sync.Mutex // guards held
-	held map[net.Conn]struct{}
+	mu          sync.Mutex // guards connections
+	connections map[net.Conn]struct{}
 }
 
-func (u *unreadConnections) change(connection net.Conn, state http.ConnState) {
+func (u *unreadConnections) track(connection net.Conn, state http.ConnState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if state == http.StateNew {
-		u.held[connection] = struct{}{}
+		u.connections[connection] = struct{}{}
 		return
 	}
-	delete(u.held, connection)
+	delete(u.connections, connection)
 }
 
-func (u *unreadConnections) any() bool {
+func (u *unreadConnections) exist() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.held) > 0
+	return len(u.connections) > 0
 }
 
-// onceListener may be closed again.
+// onceListener is a listener with an idempotent Close.
 type onceListener struct {
 	net.Listener
 	close func() error
 }
 
-// Close stops to accept connections; those accepted stay.
+// Close stops accepting connections; accepted ones stay open.
 func (l *onceListener) Close() error { return l.close() }
--- a/io/httpserver/httpserver_test.go
+++ b/io/httpserver/httpserver_test.go
@@ -14,15 +14,15 @@
 	"parsleyport/io/httpserver"
 )
 
-// Guards against a planned stop that closes a connection without an answer, while its first request is being read or while the
-// handler is at work, and against one that takes longer than its limit.
-func TestStopAnswersRequestsUnderWay(t *testing.T) {
+// Guards against a planned stop that closes a connection without an answer while its first request is being read or handled, and
+// against a stop that exceeds its time limit.
+func TestStopAnswersRequestsInProgress(t *testing.T) {
 	const (
 		whole = "GET / HTTP/1.1\r\nHost: n\r\n\r\n"
 		limit = 2 * time.Second
 	)
 	for name, test := range map[string]struct {
-		before   string // of the request, sent before the stop
+		before   string // part of the request that is sent before the stop
 		answered bool
 	}{
 		"being read":   {before: whole[:10], answered: true},
@@ -49,7 +49,7 @@
 			if test.before == whole {
 				<-begun
 			}
-			later, err := http.Get("http://" + listener.Addr().String() + "/accepted") // after the caller's connection
+			later, err := http.Get("http://" + listener.Addr().String() + "/accepted") // accepted after the caller's connection
 			c.Assert(err, qt.IsNil)
 			c.Assert(later.Body.Close(), qt.IsNil)
 			stopped := make(chan time.Time, 1)
@@ -58,7 +58,7 @@
 			for {
 				other, err := net.Dial("tcp", listener.Addr().String())
 				if err != nil {
-					break // no more connections are taken
+					break // the listener is closed
 				}
 				c.Assert(other.Close(), qt.IsNil)
 				time.Sleep(time.Millisecond)
--- a/io/loglimit/doc.go
+++ b/io/loglimit/doc.go
@@ -1,3 +1,3 @@
-// Package loglimit makes loggers: with the time of each line, and with a bound on the lines about calls, of which it counts those
-// that it leaves out.
+// Package loglimit wraps loggers: one wrapper adds the time to each line, the other limits the rate of lines about calls and counts
+// the dropped ones.
 package loglimit
--- a/io/loglimit/loglimit.go
+++ b/io/loglimit/loglimit.go
@@ -7,28 +7,28 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes at most a number of lines in a second; the others are counted by kind in
+// New returns a logger that writes about linesPerSecond lines a second at most. It counts the dropped ones by kind in the metric
 // parsleyport_log_lines_left_out_total.
-func New(log zerolog.Logger, set *metrics.Set, kind string, lines uint32) zerolog.Logger {
+func New(log zerolog.Logger, set *metrics.Set, kind string, linesPerSecond uint32) zerolog.Logger {
 	return log.Sample(&sampler{
 		burst: zerolog.BurstSampler{
-			Burst:  lines,
+			Burst:  linesPerSecond,
 			Period: time.Second,
 		},
-		leftOut: set.GetOrCreateCounter(`parsleyport_log_lines_left_out_total{kind="` + kind + `"}`),
+		dropped: set.GetOrCreateCounter(`parsleyport_log_lines_left_out_total{kind="` + kind + `"}`),
 	})
 }
 
 type sampler struct {
 	burst   zerolog.BurstSampler
-	leftOut *metrics.Counter
+	dropped *metrics.Counter
 }
 
 // Sample implements zerolog.Sampler.
 func (s *sampler) Sample(level zerolog.Level) bool {
 	kept := s.burst.Sample(level)
 	if !kept {
-		s.leftOut.Inc()
+		s.dropped.Inc()
 	}
 	return kept
 }
--- a/io/loglimit/loglimit_test.go
+++ b/io/loglimit/loglimit_test.go
@@ -11,7 +11,7 @@
 	"parsleyport/io/loglimit"
 )
 
-// Guards against a log that grows with the load, and against lines that vanish without a trace.
+// Guards against a log that grows with the load, and against dropped lines that are not counted.
 func TestLinesAreBoundedAndCounted(t *testing.T) {
 	c := qt.New(t)
 	var written bytes.Buffer
@@ -26,8 +26,8 @@
 	c.Assert(leftOut, qt.Equals, uint64(100-lines))
 }
 
-// Guards against times that do not tell the order of lines within a second.
-func TestLinesHaveMilliseconds(t *testing.T) {
+// Guards against timestamps that do not show the order of lines within a second.
+func TestTimestampsHaveMilliseconds(t *testing.T) {
 	c := qt.New(t)
 	var written bytes.Buffer
 	log := loglimit.WithTime(zerolog.New(&written))
