--- a/io/backendhttp/admission.go
+++ b/io/backendhttp/admission.go
@@ -162,8 +162,8 @@
 }
 
 func (q *queue) releaseFunc() func(CallResult) {
-	began := time.Now()
-	return func(CallResult) { q.release(time.Since(began)) }
+	startedAt := time.Now()
+	return func(CallResult) { q.release(time.Since(startedAt)) }
 }
 
 func (q *queue) release(held time.Duration) {
--- a/io/backendhttp/answers_test.go
+++ b/io/backendhttp/answers_test.go
@@ -15,10 +15,10 @@
 // before its backend server was replaced.
 func TestCallForAnotherReleaseIsNotRun(t *testing.T) {
 	c := qt.New(t)
-	f := start(t)
-	c.Assert(f.Announce(ready("r1")), qt.IsNil)
+	f := startFixture(t)
+	c.Assert(f.Announce(readyAnnouncement("r1")), qt.IsNil)
 	for _, wrong := range []core.Call{{Service: "orders", Release: "v2"}, {Service: "looms", Release: "v1"}} {
-		call := callFor("")
+		call := newTestCall("")
 		call.Service, call.Release = wrong.Service, wrong.Release
 		_, outcome, err := f.handleCall(c, call)
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
@@ -45,13 +45,13 @@
 		{answer: notRun(http.StatusServiceUnavailable), outcome: core.OutcomeNotRun, cause: core.CauseOverloaded},
 		{answer: notRun(http.StatusMisdirectedRequest), outcome: core.OutcomeNotRun, cause: core.CauseMisdirected},
 	} {
-		f := start(t)
+		f := startFixture(t)
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, test.answer)
 			_ = conn.Close()
 		}
-		c.Assert(f.Announce(ready("r1")), qt.IsNil)
-		body, outcome, err := f.handleCall(c, callFor(""))
+		c.Assert(f.Announce(readyAnnouncement("r1")), qt.IsNil)
+		body, outcome, err := f.handleCall(c, newTestCall(""))
 		c.Assert(outcome, qt.Equals, test.outcome, qt.Commentf("%q: %v", test.answer, err))
 		c.Assert(body, qt.Equals, test.body)
 		c.Assert(causeOf(err), qt.Equals, test.cause)
@@ -67,14 +67,14 @@
 func TestCloseDelimitedAnswers(t *testing.T) {
 	c := qt.New(t)
 	for _, allowed := range []bool{false, true} {
-		f := start(t)
+		f := startFixture(t)
 		f.options.AllowCloseDelimited = allowed
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\nwhole")
 			_ = conn.Close()
 		}
-		c.Assert(f.Announce(ready("r1")), qt.IsNil)
-		body, _, err := f.handleCall(c, callFor(""))
+		c.Assert(f.Announce(readyAnnouncement("r1")), qt.IsNil)
+		body, _, err := f.handleCall(c, newTestCall(""))
 		c.Assert(body, qt.Equals, "whole")
 		c.Assert(err == nil, qt.Equals, allowed, qt.Commentf("%v", err))
 	}
--- a/io/backendhttp/backendhttp_test.go
+++ b/io/backendhttp/backendhttp_test.go
@@ -80,11 +80,11 @@
 	crashes []Crash
 }
 
-func ready(run string) Announcement {
+func readyAnnouncement(run string) Announcement {
 	return Announcement{Service: "orders", Release: "v1", Address: "127.0.0.1:1", Slots: 1, State: core.EndpointReady, Run: run}
 }
 
-func start(t *testing.T) *fixture {
+func startFixture(t *testing.T) *fixture {
 	f := &fixture{backend: &fakeBackend{}}
 	server, stop, err := New(Options{
 		Listener: blockingListener{closed: make(chan struct{})},
@@ -100,7 +100,7 @@
 	return f
 }
 
-func callFor(body string) *core.Call {
+func newTestCall(body string) *core.Call {
 	return &core.Call{ID: "x", Service: "orders", Release: "v1", Method: "POST", Target: "/a?b=c", Host: "h", Body: []byte(body), Deadline: time.Now().Add(2 * time.Second)}
 }
 
@@ -127,13 +127,13 @@
 // recordingAdmission is an Admission that admits every call and records the results.
 type recordingAdmission []CallResult
 
-func (e *recordingAdmission) Acquire(context.Context, *core.Call) (func(CallResult), *core.Refusal) {
-	return func(result CallResult) { *e = append(*e, result) }, nil
+func (a *recordingAdmission) Acquire(context.Context, *core.Call) (func(CallResult), *core.Refusal) {
+	return func(result CallResult) { *a = append(*a, result) }, nil
 }
 
-func (e *recordingAdmission) Load(core.RouteName) core.Load { return core.Load{} }
+func (a *recordingAdmission) Load(core.RouteName) core.Load { return core.Load{} }
 
-func (e *recordingAdmission) SetSlots(int) {}
+func (a *recordingAdmission) SetSlots(int) {}
 
 // Guards against a limiter that gets an overload answer reported as a mere failure, or an overload refusal of another node as
 // overload of its own backend server.
@@ -141,14 +141,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var got recordingAdmission
-		f := start(t)
+		f := startFixture(t)
 		f.admission = &got
-		f.announce(time.Now(), ready("1"))
+		f.announce(time.Now(), readyAnnouncement("1"))
 		for _, head := range []string{"200 OK", "503 Busy", "429 Busy", "503 Busy\r\nParsleyport-Outcome: not-run", "500 Bad", "404 None"} {
 			f.backend.respond = func(conn net.Conn, _ *http.Request) {
 				fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 2\r\n\r\nno", head)
 			}
-			_, outcome, err := f.handleCall(c, callFor(""))
+			_, outcome, err := f.handleCall(c, newTestCall(""))
 			c.Assert(err, qt.IsNil)
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		}
@@ -160,7 +160,7 @@
 func TestOutcomesMatchWhatBackendServerReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
+		f := startFixture(t)
 		for _, step := range []struct {
 			prepare  func()
 			outcome  core.Outcome
@@ -168,19 +168,19 @@
 			requests int64
 		}{
 			{prepare: func() {}, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
-			{prepare: func() { a := ready("1"); a.State = core.EndpointStarting; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
-			{prepare: func() { f.announce(time.Now(), ready("1")); f.backend.refuse = true }, outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused},
+			{prepare: func() { a := readyAnnouncement("1"); a.State = core.EndpointStarting; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
+			{prepare: func() { f.announce(time.Now(), readyAnnouncement("1")); f.backend.refuse = true }, outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused},
 			{prepare: func() { f.backend.refuse = false }, outcome: core.OutcomeAnswered, requests: 1},
 			{prepare: func() { f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() } }, outcome: core.OutcomeUnknown, requests: 2},
 			{prepare: func() {
 				f.backend.respond = func(net.Conn, *http.Request) { time.Sleep(time.Minute) }
 			}, outcome: core.OutcomeUnknown, requests: 3},
-			{prepare: func() { a := ready("1"); a.State = core.EndpointLeaving; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseLeaving, requests: 3},
+			{prepare: func() { a := readyAnnouncement("1"); a.State = core.EndpointLeaving; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseLeaving, requests: 3},
 			{prepare: func() { time.Sleep(DefaultLease) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend, requests: 3},
 		} {
 			step.prepare()
 			synctest.Wait()
-			_, outcome, err := f.handleCall(c, callFor("body"))
+			_, outcome, err := f.handleCall(c, newTestCall("body"))
 			c.Assert(outcome, qt.Equals, step.outcome, qt.Commentf("error %v", err))
 			c.Assert(causeOf(err), qt.Equals, step.cause)
 			c.Assert(f.backend.requests.Load(), qt.Equals, step.requests)
@@ -205,10 +205,10 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			f := start(t)
-			f.announce(time.Now(), ready("1"))
+			f := startFixture(t)
+			f.announce(time.Now(), readyAnnouncement("1"))
 			f.backend.respond = func(conn net.Conn, _ *http.Request) { fmt.Fprint(conn, response); conn.Close() }
-			got, outcome, err := f.handleCall(c, callFor(""))
+			got, outcome, err := f.handleCall(c, newTestCall(""))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			c.Assert(err == nil, qt.Equals, whole, qt.Commentf("response %q: error %v", response, err))
 			c.Assert(!whole || got == "full", qt.IsTrue)
@@ -221,8 +221,8 @@
 func TestClosingConnectionIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		f.announce(time.Now(), ready("1"))
+		f := startFixture(t)
+		f.announce(time.Now(), readyAnnouncement("1"))
 		for closing, dials := range map[string]int{"": 1, "Connection: close\r\n": 2} {
 			f.backend.kill()
 			f.pool.prune(0)
@@ -231,7 +231,7 @@
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n"+closing+"Content-Length: 2\r\n\r\nok")
 			}
 			for range 2 {
-				_, outcome, err := f.handleCall(c, callFor(""))
+				_, outcome, err := f.handleCall(c, newTestCall(""))
 				c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 				c.Assert(err, qt.IsNil)
 			}
@@ -244,8 +244,8 @@
 func TestQueueRemovesCancelledAndLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		f.announce(time.Now(), ready("1"))
+		f := startFixture(t)
+		f.announce(time.Now(), readyAnnouncement("1"))
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			time.Sleep(800 * time.Millisecond) // two of them end within the deadline of 2 s
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -253,18 +253,18 @@
 		began := time.Now()
 		var calls sync.WaitGroup
 		calls.Go(func() {
-			_, outcome, _ := f.handleCall(c, callFor("running"))
+			_, outcome, _ := f.handleCall(c, newTestCall("running"))
 			c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 		synctest.Wait()
 		ctx, cancel := context.WithCancel(context.Background())
 		calls.Go(func() {
-			_, outcome, err := f.Handle(ctx, callFor("cancelled"))
+			_, outcome, err := f.Handle(ctx, newTestCall("cancelled"))
 			c.Check(outcome, qt.Equals, core.OutcomeNotRun)
 			c.Check(causeOf(err), qt.Equals, core.CauseRevoked)
 			c.Check(time.Since(began), qt.Equals, time.Duration(0))
 		})
-		late := callFor("late")
+		late := newTestCall("late")
 		late.Deadline = time.Now().Add(500 * time.Millisecond)
 		calls.Go(func() {
 			_, outcome, err := f.handleCall(c, late)
@@ -275,7 +275,7 @@
 		synctest.Wait()
 		cancel()
 		calls.Go(func() {
-			_, outcome, _ := f.handleCall(c, callFor("waiting"))
+			_, outcome, _ := f.handleCall(c, newTestCall("waiting"))
 			c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 		calls.Wait()
@@ -287,8 +287,8 @@
 func TestDrainCompletesActiveCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		f.announce(time.Now(), ready("1"))
+		f := startFixture(t)
+		f.announce(time.Now(), readyAnnouncement("1"))
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no")
 			time.Sleep(500 * time.Millisecond)
@@ -297,7 +297,7 @@
 		var calls sync.WaitGroup
 		for range 2 {
 			calls.Go(func() {
-				got, outcome, err := f.handleCall(c, callFor(""))
+				got, outcome, err := f.handleCall(c, newTestCall(""))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 				c.Check(err, qt.IsNil)
 				c.Check(got, qt.Equals, "ok")
@@ -310,7 +310,7 @@
 			c.Check(time.Since(began), qt.Equals, time.Second)
 		})
 		synctest.Wait()
-		_, outcome, err := f.handleCall(c, callFor("new"))
+		_, outcome, err := f.handleCall(c, newTestCall("new"))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(causeOf(err), qt.Equals, core.CauseLeaving)
 		calls.Wait()
@@ -325,19 +325,19 @@
 		after   func(f *fixture)
 		crashes int
 	}{
-		"new run":       {after: func(f *fixture) { f.announce(time.Now(), ready("2")) }, crashes: 1},
+		"new run":       {after: func(f *fixture) { f.announce(time.Now(), readyAnnouncement("2")) }, crashes: 1},
 		"lease expired": {after: func(*fixture) { time.Sleep(DefaultLease + time.Second) }, crashes: 1},
 		"withdrawn":     {after: func(f *fixture) { f.endLease(time.Now(), "withdrawn") }, crashes: 1},
-		"same run":      {after: func(f *fixture) { f.announce(time.Now(), ready("1")) }, crashes: 0},
+		"same run":      {after: func(f *fixture) { f.announce(time.Now(), readyAnnouncement("1")) }, crashes: 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			f := start(t)
-			f.announce(time.Now(), ready("1"))
-			_, outcome, _ := f.handleCall(c, callFor("harmless"))
+			f := startFixture(t)
+			f.announce(time.Now(), readyAnnouncement("1"))
+			_, outcome, _ := f.handleCall(c, newTestCall("harmless"))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() }
-			_, outcome, _ = f.handleCall(c, callFor("deadly"))
+			_, outcome, _ = f.handleCall(c, newTestCall("deadly"))
 			c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 			test.after(f)
 			synctest.Wait()
@@ -360,12 +360,12 @@
 	server, stop, err := New(Options{Address: "127.0.0.1:0"})
 	c.Assert(err, qt.IsNil)
 	defer stop()
-	a := ready("1")
+	a := readyAnnouncement("1")
 	a.Address = backend.Listener.Addr().String()
 	server.announce(time.Now(), a)
 	f := &fixture{Server: server}
 	for range 20 {
-		got, outcome, err := f.handleCall(c, callFor("body"))
+		got, outcome, err := f.handleCall(c, newTestCall("body"))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered, qt.Commentf("error %v", err))
 		c.Assert(got, qt.Equals, "/a?b=c")
 		backend.CloseClientConnections()
@@ -377,8 +377,8 @@
 func TestSilentIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		a := ready("1")
+		f := startFixture(t)
+		a := readyAnnouncement("1")
 		a.Slots = 4
 		f.announce(time.Now(), a)
 		var silentConns sync.Map // connections on which the backend server stops answering
@@ -393,7 +393,7 @@
 			var calls sync.WaitGroup
 			for range n {
 				calls.Go(func() {
-					if _, outcome, _ := f.handleCall(c, callFor("body")); outcome == core.OutcomeAnswered {
+					if _, outcome, _ := f.handleCall(c, newTestCall("body")); outcome == core.OutcomeAnswered {
 						answered.Add(1)
 					}
 				})
@@ -405,7 +405,7 @@
 		for _, conn := range f.backend.conns {
 			silentConns.Store(conn, true)
 		}
-		go f.handleCall(c, callFor("waits on a silent connection"))
+		go f.handleCall(c, newTestCall("waits on a silent connection"))
 		time.Sleep(silenceTimeout)
 		c.Assert(parallel(3), qt.Equals, int64(3))
 		c.Assert(f.backend.conns, qt.HasLen, 4+3)
--- a/io/backendhttp/handle.go
+++ b/io/backendhttp/handle.go
@@ -19,7 +19,8 @@
 
 // Errors of Handle, and of reading the body of an answer.
 const (
-	// ErrNoLength means that the answer's body is delimited by the end of the connection, so that a crash could not be told from its end.
+	// ErrNoLength means that the answer's body is delimited by the end of the connection, so that a crash could not be told from
+	// the end of the answer.
 	ErrNoLength = errors.ConstError("backend server's answer states no length")
 	// ErrBroken means that the connection broke before the answer was complete.
 	ErrBroken = errors.ConstError("connection to the backend server broke")
@@ -48,11 +49,11 @@
 		return
 	}
 	s.mu.Lock()
-	latest, until := s.latest, s.leaseEnd
+	latest, leaseEnd := s.latest, s.leaseEnd
 	s.mu.Unlock()
 	event.Str("event", "call-not-answered").Str("call", string(call.ID)).Str("route", string(call.Route)).Str("outcome", string(outcome)).
 		Err(cause).Int64("left-ms", time.Until(call.Deadline).Milliseconds()).Str("run", latest.Run).Str("state", string(latest.State)).
-		Int64("lease-left-ms", time.Until(until).Milliseconds()).Int("running", load.Running).Int("waiting", load.Waiting).
+		Int64("lease-left-ms", time.Until(leaseEnd).Milliseconds()).Int("running", load.Running).Int("waiting", load.Waiting).
 		Int("slots", load.Limit).Int64("service-ms", load.ServiceTime.Milliseconds()).Msg("call not answered by the local backend server")
 }
 
--- a/io/backendhttp/server.go
+++ b/io/backendhttp/server.go
@@ -109,9 +109,9 @@
 }
 
 type brokenCall struct {
-	call CrashedCall
-	run  string
-	at   time.Time
+	call     CrashedCall
+	run      string
+	brokenAt time.Time
 }
 
 // New listens for announcements. The clean-up function closes all connections and waits for the server's goroutines.
@@ -423,8 +423,8 @@
 			Route:       call.Route,
 			Release:     call.Release,
 		},
-		run: run,
-		at:  now,
+		run:      run,
+		brokenAt: now,
 	})
 	if s.announced == nil || s.announced.Run != run {
 		s.reportCrash(now, run)
@@ -439,7 +439,7 @@
 	others := s.brokenCalls[:0]
 	for _, each := range s.brokenCalls {
 		switch {
-		case now.Sub(each.at) > brokenCallLifetime:
+		case now.Sub(each.brokenAt) > brokenCallLifetime:
 		case each.run == run:
 			crash.Calls = append(crash.Calls, each.call)
 		default:
--- a/io/callerhttp/calllog.go
+++ b/io/callerhttp/calllog.go
@@ -49,7 +49,7 @@
 	}
 	event.Str("event", "call").Str("call", string(q.call.ID)).Str("route", string(q.route.Name)).Str("service", string(q.route.Service)).
 		Uint64("revision", uint64(q.configuration.Revision())).Str("outcome", string(last.outcome)).Int("status", status).
-		Int("attempts", q.attemptCount).Int64("took-ms", now.Sub(q.began).Milliseconds()).Int64("left-ms", q.call.Deadline.Sub(now).Milliseconds()).
+		Int("attempts", q.attemptCount).Int64("took-ms", now.Sub(q.arrivedAt).Milliseconds()).Int64("left-ms", q.call.Deadline.Sub(now).Milliseconds()).
 		Bool("late", late)
 	if last.endpoint.Node != "" {
 		event.Str("endpoint", string(last.endpoint.Node)).Str("release", string(last.release)).Int("running", last.load.Running).
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -20,24 +20,24 @@
 }
 
 // includes reports whether an endpoint belongs to the release.
-func (h releaseShare) includes(endpoint core.Endpoint) bool {
-	if h.release != core.OtherReleases {
-		return endpoint.Release == h.release
+func (r releaseShare) includes(endpoint core.Endpoint) bool {
+	if r.release != core.OtherReleases {
+		return endpoint.Release == r.release
 	}
-	return !slices.ContainsFunc(h.allWeights, func(w core.Weight) bool { return core.Release(w.Upstream) == endpoint.Release })
+	return !slices.ContainsFunc(r.allWeights, func(w core.Weight) bool { return core.Release(w.Upstream) == endpoint.Release })
 }
 
 // endpoints returns the endpoints that get calls of the release. A canary release with less than half of the traffic gets only a
 // part of its endpoints, so that these see a realistic load.
-func (h releaseShare) endpoints(ready []core.Endpoint, shares []releaseShare) []core.Endpoint {
-	own, others := lo.FilterReject(ready, func(e core.Endpoint, _ int) bool { return h.includes(e) })
-	if !h.canary || h.perMille >= core.FullShare/2 {
+func (r releaseShare) endpoints(ready []core.Endpoint, shares []releaseShare) []core.Endpoint {
+	own, others := lo.FilterReject(ready, func(e core.Endpoint, _ int) bool { return r.includes(e) })
+	if !r.canary || r.perMille >= core.FullShare/2 {
 		return own
 	}
-	taking := lo.CountBy(others, func(e core.Endpoint) bool {
+	otherEndpoints := lo.CountBy(others, func(e core.Endpoint) bool {
 		return slices.ContainsFunc(shares, func(each releaseShare) bool { return each.includes(e) })
 	})
-	return rollout.CanaryEndpoints(h.release, own, taking, h.perMille)
+	return rollout.CanaryEndpoints(r.release, own, otherEndpoints, r.perMille)
 }
 
 // chooseEndpoint draws a release by weight and picks one of its endpoints. If the release has none, it falls back only to releases
@@ -46,8 +46,8 @@
 	shares := s.releaseShares(q)
 	ready := s.readyEndpoints(q.route.Service)
 	for len(shares) > 0 {
-		at := drawShare(shares, func(n core.PerMille) core.PerMille { return rand.N(n) })
-		chosen := shares[at]
+		index := drawShare(shares, func(n core.PerMille) core.PerMille { return rand.N(n) })
+		chosen := shares[index]
 		candidates := candidatesOf(chosen.endpoints(ready, shares), history)
 		if len(candidates) > 0 {
 			endpoint, found := s.options.Picker.Pick(now, core.PickRequest{
@@ -96,12 +96,12 @@
 	for _, each := range shares {
 		sum += each.perMille
 	}
-	point := draw(sum)
+	position := draw(sum)
 	for i, each := range shares {
-		if point < each.perMille {
+		if position < each.perMille {
 			return i
 		}
-		point -= each.perMille
+		position -= each.perMille
 	}
 	return len(shares) - 1
 }
@@ -130,20 +130,20 @@
 }
 
 // forgetOldestUnusable lets the endpoint that was first found unusable be tried again.
-func (p *attemptHistory) forgetOldestUnusable() {
-	if len(p.unusable) == 0 {
+func (h *attemptHistory) forgetOldestUnusable() {
+	if len(h.unusable) == 0 {
 		return
 	}
-	node := p.unusable[0].Node
+	node := h.unusable[0].Node
 	same := func(each core.Endpoint) bool { return each.Node == node }
-	p.unusable, p.tried = slices.DeleteFunc(p.unusable, same), slices.DeleteFunc(p.tried, same)
+	h.unusable, h.tried = slices.DeleteFunc(h.unusable, same), slices.DeleteFunc(h.tried, same)
 }
 
 // triedNodes returns the nodes of the candidates that the call has tried.
-func (p attemptHistory) triedNodes(candidates []core.Endpoint) []core.NodeID {
+func (h attemptHistory) triedNodes(candidates []core.Endpoint) []core.NodeID {
 	var nodes []core.NodeID
 	for _, endpoint := range candidates {
-		if containsUnchanged(p.tried, endpoint) {
+		if containsUnchanged(h.tried, endpoint) {
 			nodes = append(nodes, endpoint.Node)
 		}
 	}
--- a/io/callerhttp/hedge.go
+++ b/io/callerhttp/hedge.go
@@ -128,9 +128,9 @@
 func (h *hedge) resolve(first attemptResult) attemptResult {
 	s := h.server
 	h.mu.Lock()
-	begun, won := h.started, h.won
-	h.discarded = !begun || !won && succeeded(first)
-	if begun && h.discarded {
+	started, won := h.started, h.won
+	h.discarded = !started || !won && succeeded(first)
+	if started && h.discarded {
 		h.cancel()
 		select {
 		case second := <-h.results:
@@ -197,7 +197,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	hedging := s.hedging[q.route.Service]
+	hedging := s.hedgingStates[q.route.Service]
 	if hedging == nil {
 		return 0, false
 	}
@@ -208,7 +208,7 @@
 func (s *Server) takeHedge(service core.ServiceName, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hedging[service].Allowed(now) && s.budgetOf(service).TakeHedge(now)
+	return s.hedgingStates[service].Allowed(now) && s.budgetOf(service).TakeHedge(now)
 }
 
 // recordAttempt updates the statistics about latency and overload of a service, which decide on hedging.
@@ -216,13 +216,13 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	hedging := s.hedging[service]
+	hedging := s.hedgingStates[service]
 	if hedging == nil {
-		if len(s.hedging) >= maxTrackedServices {
-			clear(s.hedging) // most entries then belong to services that no longer exist
+		if len(s.hedgingStates) >= maxTrackedServices {
+			clear(s.hedgingStates) // most entries then belong to services that no longer exist
 		}
 		hedging = &retry.Hedging{}
-		s.hedging[service] = hedging
+		s.hedgingStates[service] = hedging
 	}
 	switch {
 	case r.outcome == core.OutcomeAnswered && retry.Overloaded(r.answer.Status):
--- a/io/callerhttp/request.go
+++ b/io/callerhttp/request.go
@@ -33,7 +33,7 @@
 	call             *core.Call
 	session          string
 	attempts         retry.Attempts
-	began            time.Time
+	arrivedAt        time.Time
 	weights          []core.Weight
 	attemptCount     int  // including attempts that found no endpoint
 	capacityRefusals int  // that were retried without cost to the retry budget
@@ -48,7 +48,7 @@
 }
 
 // parse validates a request except for its body and builds the call. After a refusal nothing of the request has been run.
-func (s *Server) parse(r *http.Request, configuration *record.Configuration, now time.Time) (*request, *core.Refusal) {
+func (s *Server) parseRequest(r *http.Request, configuration *record.Configuration, now time.Time) (*request, *core.Refusal) {
 	names := &s.options.Headers
 	if slices.Contains(strings.Split(r.URL.Path, "/"), "..") {
 		return nil, newRefusal(core.CauseMalformedCall, "path has a parent segment, which could lead to another route")
@@ -97,7 +97,7 @@
 		call:          call,
 		session:       headerValue(r.Header, names.Session),
 		attempts:      retry.NewAttempts(attempts, numbers.attempts),
-		began:         now,
+		arrivedAt:     now,
 		weights:       configuration.Weights(route.Service),
 	}, nil
 }
@@ -148,12 +148,12 @@
 	for _, share := range route.Split {
 		sum += share.Weight
 	}
-	point := draw(sum)
+	position := draw(sum)
 	for _, share := range route.Split {
-		if point < share.Weight {
+		if position < share.Weight {
 			return share.Service
 		}
-		point -= share.Weight
+		position -= share.Weight
 	}
 	return route.Split[0].Service
 }
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -56,7 +56,7 @@
 		s.refuseEarly(w, r, newRefusal(core.CauseNotConfirmed, ""))
 		return
 	}
-	q, refused := s.parse(r, configuration, now)
+	q, refused := s.parseRequest(r, configuration, now)
 	if refused != nil {
 		s.refuseEarly(w, r, refused)
 		return
@@ -101,9 +101,9 @@
 	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGracePeriod)) // fails only on a closed connection
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	s.mu.Lock()
-	s.budgetOf(q.route.Service).RecordCall(q.began)
+	s.budgetOf(q.route.Service).RecordCall(q.arrivedAt)
 	s.mu.Unlock()
-	defer s.latency.UpdateDuration(q.began)
+	defer s.latency.UpdateDuration(q.arrivedAt)
 	defer s.endWait(q)
 	s.options.SubscribeEndpoints(q.route.Service)
 	if s.options.Keys != nil && q.call.IdempotencyKey != "" && !q.call.Idempotent {
@@ -138,7 +138,7 @@
 // not-run. If one was answered with a failure and later ones were not answered, it returns that answer.
 func (s *Server) attemptCall(ctx context.Context, q *request) attemptResult {
 	var history attemptHistory
-	mayHaveRun := error(nil)
+	unknownErr := error(nil)
 	var last, answered attemptResult
 	for {
 		if callerDisconnected(ctx) {
@@ -158,7 +158,7 @@
 		class := s.classify(ctx, q, &last)
 		switch last.outcome {
 		case core.OutcomeUnknown:
-			mayHaveRun = last.err
+			unknownErr = last.err
 		case core.OutcomeAnswered:
 			answered = last
 		}
@@ -181,8 +181,8 @@
 	if last.outcome != core.OutcomeAnswered && answered.answer != nil {
 		return answered
 	}
-	if last.outcome == core.OutcomeNotRun && mayHaveRun != nil {
-		last.outcome, last.err = core.OutcomeUnknown, mayHaveRun
+	if last.outcome == core.OutcomeNotRun && unknownErr != nil {
+		last.outcome, last.err = core.OutcomeUnknown, unknownErr
 	}
 	return last
 }
@@ -244,22 +244,22 @@
 // budgetOf returns the retry budget of a service. It drops all budgets when there are too many, since most then belong to services
 // that no longer exist. s.mu must be held.
 func (s *Server) budgetOf(service core.ServiceName) *retry.Budget {
-	budget := s.budgets[service]
+	budget := s.retryBudgets[service]
 	if budget == nil {
-		if len(s.budgets) >= maxTrackedServices {
-			clear(s.budgets)
+		if len(s.retryBudgets) >= maxTrackedServices {
+			clear(s.retryBudgets)
 		}
 		budget = retry.NewBudget(s.options.RetryBudget)
-		s.budgets[service] = budget
+		s.retryBudgets[service] = budget
 	}
 	return budget
 }
 
 // attemptOnce makes one attempt, hedged if that is allowed. It returns false if no endpoint is available.
 func (s *Server) attemptOnce(ctx context.Context, q *request, history attemptHistory) (attemptResult, bool) {
-	began := time.Now()
+	startedAt := time.Now()
 	q.attemptCount++
-	endpoint, found := s.chooseEndpoint(q, history, began)
+	endpoint, found := s.chooseEndpoint(q, history, startedAt)
 	if !found {
 		return attemptResult{
 			outcome: core.OutcomeNotRun,
@@ -267,7 +267,7 @@
 		}, false
 	}
 	var last attemptResult
-	if delay, hedged := s.hedgeDelay(q, began); hedged {
+	if delay, hedged := s.hedgeDelay(q, startedAt); hedged {
 		last = s.attemptHedged(ctx, q, history, endpoint, delay)
 	} else {
 		last = s.forward(ctx, q, startAttempt(q, endpoint), endpoint)
@@ -287,7 +287,7 @@
 }
 
 func (s *Server) forward(ctx context.Context, q *request, call *core.Call, endpoint core.Endpoint) attemptResult {
-	began := time.Now()
+	startedAt := time.Now()
 	answer, outcome, err := s.options.Forwarder.Forward(ctx, endpoint, call)
 	last := attemptResult{
 		answer:   answer,
@@ -295,7 +295,7 @@
 		release:  endpoint.Release,
 		outcome:  outcome,
 		err:      err,
-		latency:  time.Since(began),
+		latency:  time.Since(startedAt),
 		load:     reportedLoad(answer, err),
 	}
 	s.recordAttempt(q.route.Service, last)
--- a/io/callerhttp/server.go
+++ b/io/callerhttp/server.go
@@ -104,7 +104,7 @@
 	DrainPeriod time.Duration
 	// RefusalPeriod follows DrainPeriod: the server still listens, but refuses calls, which might not end before it stops.
 	RefusalPeriod time.Duration
-	// Logger gets one line for a refused, failed or late call, and for a sample of the others.
+	// Logger gets a line for each refused, failed, late or retried call, up to a rate limit, and for a sample of the others.
 	Logger zerolog.Logger
 	// Metrics gets the server's metrics. If it is nil, a private set is used.
 	Metrics *metrics.Set
@@ -124,12 +124,12 @@
 	activeRequests     atomic.Int64
 	bufferedBodyBytes  atomic.Int64
 
-	mu       sync.Mutex // guards the fields up to closed
-	budgets  map[core.ServiceName]*retry.Budget
-	hedging  map[core.ServiceName]*retry.Hedging
-	timeouts map[core.RouteName]*timeoutEstimate
-	waiting  waitingCalls
-	closed   bool
+	mu            sync.Mutex // guards the fields up to closed
+	retryBudgets  map[core.ServiceName]*retry.Budget
+	hedgingStates map[core.ServiceName]*retry.Hedging
+	timeouts      map[core.RouteName]*timeoutEstimate
+	waiting       waitingCalls
+	closed        bool
 
 	callLog        callLog
 	hedges         *metrics.Counter
@@ -180,8 +180,8 @@
 	s := &Server{
 		options:        options,
 		callLog:        newCallLog(options.Logger, options.Metrics),
-		budgets:        make(map[core.ServiceName]*retry.Budget),
-		hedging:        make(map[core.ServiceName]*retry.Hedging),
+		retryBudgets:   make(map[core.ServiceName]*retry.Budget),
+		hedgingStates:  make(map[core.ServiceName]*retry.Hedging),
 		timeouts:       make(map[core.RouteName]*timeoutEstimate),
 		hedges:         options.Metrics.GetOrCreateCounter("parsleyport_caller_hedges_total"),
 		retries:        options.Metrics.GetOrCreateCounter("parsleyport_caller_retries_total"),
@@ -280,7 +280,7 @@
 func waitWhile(ctx context.Context, limit time.Duration, condition func() bool) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for until := time.Now().Add(limit); condition() && time.Now().Before(until); {
+	for deadline := time.Now().Add(limit); condition() && time.Now().Before(deadline); {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/io/callerhttp/timeoutestimate.go
+++ b/io/callerhttp/timeoutestimate.go
@@ -32,21 +32,21 @@
 		p.longest[0], p.windowEnd = 0, now.Add(timeoutWindow)
 	}
 	p.longest[0] = max(p.longest[0], remaining)
-	usual := (1 - timeoutSpreadRatio) * float64(max(p.longest[0], p.longest[1]))
-	return max(0, time.Duration(usual)-remaining)
+	usualTimeout := (1 - timeoutSpreadRatio) * float64(max(p.longest[0], p.longest[1]))
+	return max(0, time.Duration(usualTimeout)-remaining)
 }
 
 // elapsedBefore returns a lower bound of the time that has passed since the first attempt of a caller of the route.
 func (s *Server) elapsedBefore(route core.RouteName, now time.Time, remaining time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.timeouts[route]
-	if known == nil {
+	estimate := s.timeouts[route]
+	if estimate == nil {
 		if len(s.timeouts) >= maxTimeoutEstimates {
 			clear(s.timeouts)
 		}
-		known = &timeoutEstimate{}
-		s.timeouts[route] = known
+		estimate = &timeoutEstimate{}
+		s.timeouts[route] = estimate
 	}
-	return known.elapsed(now, remaining)
+	return estimate.elapsed(now, remaining)
 }
--- a/io/callerhttp/wait.go
+++ b/io/callerhttp/wait.go
@@ -62,11 +62,11 @@
 
 // waitDeadline returns the time at which a call that has found no endpoint is refused.
 func (q *request) waitDeadline() time.Time {
-	until := q.began.Add(q.call.Deadline.Sub(q.began) / maxWaitDenominator * maxWaitNumerator)
+	deadline := q.arrivedAt.Add(q.call.Deadline.Sub(q.arrivedAt) / maxWaitDenominator * maxWaitNumerator)
 	if q.call.StartBy.IsZero() {
-		return until
+		return deadline
 	}
-	return earliest(until, q.call.StartBy)
+	return earliest(deadline, q.call.StartBy)
 }
 
 // mayWait reports whether a call may wait for an endpoint after its last attempt. After a capacity refusal it may not: it would only
@@ -88,8 +88,8 @@
 			q.attempts.RestoreFreeRetry()
 			return true
 		}
-		over, changedInTime := waitForChange(ctx, q, changed)
-		if over {
+		expired, changedInTime := waitForChange(ctx, q, changed)
+		if expired {
 			return false
 		}
 		if !changedInTime {
@@ -115,19 +115,20 @@
 		if s.options.EndpointsKnown(service) {
 			return true
 		}
-		if over, _ := waitForChange(ctx, q, changed); over {
+		if expired, _ := waitForChange(ctx, q, changed); expired {
 			return false
 		}
 	}
 }
 
-// waitForChange waits for a change of the endpoints, for at most probeInterval. The result over means that the call may wait no longer.
-func waitForChange(ctx context.Context, q *request, changed <-chan struct{}) (over, changedInTime bool) {
-	left := time.Until(q.waitDeadline())
-	if left <= 0 {
+// waitForChange waits for a change of the endpoints, for at most probeInterval. The result expired means that
+// the call may wait no longer.
+func waitForChange(ctx context.Context, q *request, changed <-chan struct{}) (expired, changedInTime bool) {
+	remaining := time.Until(q.waitDeadline())
+	if remaining <= 0 {
 		return true, false
 	}
-	timer := time.NewTimer(min(left, probeInterval))
+	timer := time.NewTimer(min(remaining, probeInterval))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -142,16 +143,16 @@
 // allowRetry reports whether another attempt may be made. A call that has used up its free retries on nodes that accept no calls
 // goes on at probeInterval.
 func (s *Server) allowRetry(ctx context.Context, q *request, class retry.Class) bool {
-	take := func() bool { return s.takeRetryBudget(q.route.Service) }
-	if q.attempts.AllowRetry(class, take) {
+	takeBudget := func() bool { return s.takeRetryBudget(q.route.Service) }
+	if q.attempts.AllowRetry(class, takeBudget) {
 		return true
 	}
 	if class != retry.RetryFree || s.options.EndpointsChanged == nil || !s.beginWait(q) {
 		return false
 	}
-	if over, _ := waitForChange(ctx, q, nil); over {
+	if expired, _ := waitForChange(ctx, q, nil); expired {
 		return false
 	}
 	q.attempts.RestoreFreeRetry()
-	return q.attempts.AllowRetry(class, take)
+	return q.attempts.AllowRetry(class, takeBudget)
 }
--- a/io/callerhttp/watch.go
+++ b/io/callerhttp/watch.go
@@ -127,13 +127,13 @@
 	if err != nil {
 		return true // closed by this process
 	}
-	left := false
+	disconnected := false
 	err = raw.Control(func(descriptor uintptr) {
 		next := make([]byte, 1)
 		n, _, err := syscall.Recvfrom(int(descriptor), next, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		left = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
+		disconnected = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 	})
-	return left || err != nil
+	return disconnected || err != nil
 }
 
 // markAnswered notes that the handler's answer has been sent.
--- a/io/httpserver/httpserver.go
+++ b/io/httpserver/httpserver.go
@@ -26,7 +26,7 @@
 		connections: make(map[net.Conn]struct{}),
 	}
 	server.ConnState = unread.track
-	shared := &onceListener{
+	closeOnce := &onceListener{
 		Listener: listener,
 		close:    sync.OnceValue(listener.Close),
 	}
@@ -34,7 +34,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		if err := server.Serve(shared); !errors.Is(err, http.ErrServerClosed) && !stopping.Load() {
+		if err := server.Serve(closeOnce); !errors.Is(err, http.ErrServerClosed) && !stopping.Load() {
 			log.Error().Err(err).Str("event", "interface-lost").Str("address", listener.Addr().String()).Msg("HTTP server failed")
 		}
 	}()
@@ -44,10 +44,10 @@
 		stopping.Store(true)
 		// The listener is closed first: once Shutdown has begun, net/http closes a connection whose request it has just read, without
 		// an answer.
-		if err := shared.Close(); err != nil {
+		if err := closeOnce.Close(); err != nil {
 			log.Warn().Err(err).Str("address", listener.Addr().String()).Msg("failed to close the listener")
 		}
-		for until := time.Now().Add(min(stopTimeout, unreadRequestTimeout)); unread.exist() && time.Now().Before(until); {
+		for deadline := time.Now().Add(min(stopTimeout, unreadRequestTimeout)); unread.exist() && time.Now().Before(deadline); {
 			time.Sleep(unreadPollInterval)
 		}
 		if err := server.Shutdown(ctx); err != nil {
