--- a/io/backendhttp/admission.go
+++ b/io/backendhttp/admission.go
@@ -8,42 +8,42 @@
 	"parsleyport/core"
 )
 
-// Admission decides when a call may run at the backend server.
+// Admission decides when a call may run at the backend server (admission control).
 type Admission interface {
-	// Acquire waits until the call may run, or returns a *core.Refusal; a call whose context ends while it waits is
-	// removed and refused. The returned function must be called once, when the call has ended.
-	Acquire(ctx context.Context, call *core.Call) (release func(Ending), refusal *core.Refusal)
-	// SetSlots states how many calls the backend server runs at the same time.
+	// Acquire waits until the call may run, or returns a refusal. A call whose context ends while it waits leaves the queue and is
+	// refused. The caller must call the returned function exactly once, when the call has ended.
+	Acquire(ctx context.Context, call *core.Call) (release func(CallResult), refusal *core.Refusal)
+	// SetSlots sets the number of calls that the backend server runs concurrently.
 	SetSlots(slots int)
-	// Load describes the calls that run and wait, and how long those of a route usually take.
+	// Load returns the numbers of running and waiting calls, and the usual service time of calls and of those of a route.
 	Load(route core.RouteName) core.Load
 }
 
-// Ending says how a call at the backend server ended.
-type Ending int
+// CallResult tells an Admission how a call at the backend server ended.
+type CallResult int
 
-// The endings of a call.
+// Results of a call.
 const (
-	// EndingServed means that its duration is that of a complete run.
-	EndingServed Ending = iota
-	// EndingFailed means that its duration says nothing about the backend server's load.
-	EndingFailed
-	// EndingOverloaded means that the backend server answered that it has too much to do.
-	EndingOverloaded
+	// ResultServed means that the call was served completely, so that its duration is a sample of the service time.
+	ResultServed CallResult = iota
+	// ResultFailed means that the call failed, so that its duration says nothing about the backend server's load.
+	ResultFailed
+	// ResultOverloaded means that the backend server answered that it is overloaded.
+	ResultOverloaded
 )
 
 const (
-	maxWaiting    = 1024
-	durationShare = 8 // weight of one call in the average of durations is 1/8
+	maxQueuedCalls        = 1024
+	holdTimeWeightDivisor = 8 // a call has a weight of 1/8 in the exponential moving average of hold times
 )
 
-// queue is an Admission that runs a fixed number of calls and keeps the others in order of arrival.
+// queue is an Admission with a fixed concurrency limit and a FIFO queue.
 type queue struct {
-	mu       sync.Mutex
-	slots    int
-	running  int
-	waiting  []*waiter
-	duration time.Duration // average time that a call holds its slot
+	mu           sync.Mutex
+	slots        int
+	running      int
+	waiting      []*waiter
+	meanHoldTime time.Duration // exponential moving average of the time that a call holds its slot
 }
 
 type waiter struct {
@@ -51,7 +51,7 @@
 	granted bool
 }
 
-// NewQueue returns an Admission with a fixed number of slots and a bounded queue in order of arrival.
+// NewQueue returns an Admission with a fixed number of slots, at least one, and a bounded FIFO queue.
 func NewQueue(slots int) Admission {
 	return &queue{
 		slots: max(slots, 1),
@@ -63,7 +63,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.slots = max(slots, 1)
-	q.grant()
+	q.grantSlots()
 }
 
 // Load implements Admission.
@@ -74,30 +74,30 @@
 		Running:          q.running,
 		Waiting:          len(q.waiting),
 		Limit:            q.slots,
-		ServiceTime:      q.duration,
-		RouteServiceTime: q.duration,
+		ServiceTime:      q.meanHoldTime,
+		RouteServiceTime: q.meanHoldTime,
 	}
 }
 
 // Acquire implements Admission.
-func (q *queue) Acquire(ctx context.Context, call *core.Call) (func(Ending), *core.Refusal) {
-	w, refusal := q.enter(time.Now(), call.Deadline)
+func (q *queue) Acquire(ctx context.Context, call *core.Call) (func(CallResult), *core.Refusal) {
+	w, refusal := q.enqueue(time.Now(), call.Deadline)
 	if refusal != nil {
 		return nil, refusal
 	}
 	select {
 	case <-w.ready:
-		return q.releaser(), nil
+		return q.releaseFunc(), nil
 	case <-ctx.Done():
 	}
-	if q.leave(w) {
+	if q.remove(w) {
 		return nil, refusalOf(ctx)
 	}
 	q.release(0)
 	return nil, refusalOf(ctx)
 }
 
-// refusalOf says why a call whose context has ended was not run.
+// refusalOf returns the refusal of a call whose context ended before it ran.
 func refusalOf(ctx context.Context) *core.Refusal {
 	cause := context.Cause(ctx)
 	if cause == context.DeadlineExceeded {
@@ -112,16 +112,16 @@
 	}
 }
 
-func (q *queue) enter(now, deadline time.Time) (*waiter, *core.Refusal) {
+func (q *queue) enqueue(now, deadline time.Time) (*waiter, *core.Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) >= maxWaiting {
+	if len(q.waiting) >= maxQueuedCalls {
 		return nil, &core.Refusal{
 			Cause: core.CauseQueueFull,
 		}
 	}
-	rounds := time.Duration(len(q.waiting) / q.slots)
-	if q.running >= q.slots && now.Add(rounds*q.duration).After(deadline) {
+	queuedRounds := time.Duration(len(q.waiting) / q.slots)
+	if q.running >= q.slots && now.Add(queuedRounds*q.meanHoldTime).After(deadline) {
 		return nil, &core.Refusal{
 			Cause: core.CauseDeadline,
 		}
@@ -130,12 +130,12 @@
 		ready: make(chan struct{}),
 	}
 	q.waiting = append(q.waiting, w)
-	q.grant()
+	q.grantSlots()
 	return w, nil
 }
 
-// grant needs the lock.
-func (q *queue) grant() {
+// grantSlots gives free slots to the calls that wait longest. q.mu must be held.
+func (q *queue) grantSlots() {
 	for q.running < q.slots && len(q.waiting) > 0 {
 		w := q.waiting[0]
 		q.waiting = q.waiting[1:]
@@ -145,8 +145,8 @@
 	}
 }
 
-// leave returns false if the waiter has its slot already.
-func (q *queue) leave(w *waiter) bool {
+// remove takes a waiter out of the queue. It returns false if the waiter has a slot already.
+func (q *queue) remove(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if w.granted {
@@ -161,9 +161,9 @@
 	return true
 }
 
-func (q *queue) releaser() func(Ending) {
-	began := time.Now()
-	return func(Ending) { q.release(time.Since(began)) }
+func (q *queue) releaseFunc() func(CallResult) {
+	startedAt := time.Now()
+	return func(CallResult) { q.release(time.Since(startedAt)) }
 }
 
 func (q *queue) release(held time.Duration) {
@@ -171,7 +171,7 @@
 	defer q.mu.Unlock()
 	q.running--
 	if held > 0 {
-		q.duration += (held - q.duration) / durationShare
+		q.meanHoldTime += (held - q.meanHoldTime) / holdTimeWeightDivisor
 	}
-	q.grant()
+	q.grantSlots()
 }
--- a/io/backendhttp/backendhttp_test.go
+++ b/io/backendhttp/backendhttp_test.go
@@ -21,20 +21,20 @@
 	"parsleyport/core"
 )
 
-// quietListener accepts nothing.
-type quietListener struct{ closed chan struct{} }
+// blockingListener accepts no connections until it is closed.
+type blockingListener struct{ closed chan struct{} }
 
-func (l quietListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l quietListener) Close() error              { close(l.closed); return nil }
-func (l quietListener) Addr() net.Addr            { return &net.TCPAddr{} }
+func (l blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l blockingListener) Close() error              { close(l.closed); return nil }
+func (l blockingListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
-// fakeBackend is a backend server on pipes that counts the requests it has read.
+// fakeBackend is a backend server on pipes that counts the requests that it has read.
 type fakeBackend struct {
-	runs    atomic.Int64
-	refuse  bool
-	respond func(conn net.Conn, request *http.Request) // closes the connection if it returns false
-	mu      sync.Mutex
-	conns   []net.Conn
+	requests atomic.Int64
+	refuse   bool
+	respond  func(conn net.Conn, request *http.Request) // writes the answer; nil means a short 200
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
 func (b *fakeBackend) dial(context.Context, string) (net.Conn, error) {
@@ -53,7 +53,7 @@
 				return
 			}
 			_, _ = io.ReadAll(request.Body)
-			b.runs.Add(1)
+			b.requests.Add(1)
 			if b.respond == nil {
 				fmt.Fprint(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				continue
@@ -80,14 +80,14 @@
 	crashes []Crash
 }
 
-func ready(run string) Announcement {
+func readyAnnouncement(run string) Announcement {
 	return Announcement{Service: "orders", Release: "v1", Address: "127.0.0.1:1", Slots: 1, State: core.EndpointReady, Run: run}
 }
 
-func start(t *testing.T) *fixture {
+func startFixture(t *testing.T) *fixture {
 	f := &fixture{backend: &fakeBackend{}}
 	server, stop, err := New(Options{
-		Listener: quietListener{closed: make(chan struct{})},
+		Listener: blockingListener{closed: make(chan struct{})},
 		Dial:     f.backend.dial,
 		OnChange: func(a Announcement) { f.mu.Lock(); f.states = append(f.states, a.State); f.mu.Unlock() },
 		OnCrash:  func(crash Crash) { f.mu.Lock(); f.crashes = append(f.crashes, crash); f.mu.Unlock() },
@@ -100,11 +100,11 @@
 	return f
 }
 
-func callFor(body string) *core.Call {
+func newTestCall(body string) *core.Call {
 	return &core.Call{ID: "x", Service: "orders", Release: "v1", Method: "POST", Target: "/a?b=c", Host: "h", Body: []byte(body), Deadline: time.Now().Add(2 * time.Second)}
 }
 
-func (f *fixture) handle(c *qt.C, call *core.Call) (string, core.Outcome, error) {
+func (f *fixture) handleCall(c *qt.C, call *core.Call) (string, core.Outcome, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), call.Deadline)
 	defer cancel()
 	answer, outcome, err := f.Handle(ctx, call)
@@ -124,75 +124,76 @@
 	return ""
 }
 
-// endings is an Admission that admits every call and notes how it ended.
-type endings []Ending
+// recordingAdmission is an Admission that admits every call and records the results.
+type recordingAdmission []CallResult
 
-func (e *endings) Acquire(context.Context, *core.Call) (func(Ending), *core.Refusal) {
-	return func(ending Ending) { *e = append(*e, ending) }, nil
+func (a *recordingAdmission) Acquire(context.Context, *core.Call) (func(CallResult), *core.Refusal) {
+	return func(result CallResult) { *a = append(*a, result) }, nil
 }
 
-func (e *endings) Load(core.RouteName) core.Load { return core.Load{} }
+func (a *recordingAdmission) Load(core.RouteName) core.Load { return core.Load{} }
 
-func (e *endings) SetSlots(int) {}
+func (a *recordingAdmission) SetSlots(int) {}
 
-// Guards against a limiter that takes an overload answer for any failure, or the refusal of another node for overload.
-func TestOverloadIsAnEndingOfItsOwn(t *testing.T) {
+// Guards against a limiter that gets an overload answer reported as a mere failure, or an overload refusal of another node as
+// overload of its own backend server.
+func TestResultsReportedToAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		var got endings
-		f := start(t)
+		var got recordingAdmission
+		f := startFixture(t)
 		f.admission = &got
-		f.announce(time.Now(), ready("1"))
+		f.announce(time.Now(), readyAnnouncement("1"))
 		for _, head := range []string{"200 OK", "503 Busy", "429 Busy", "503 Busy\r\nParsleyport-Outcome: not-run", "500 Bad", "404 None"} {
 			f.backend.respond = func(conn net.Conn, _ *http.Request) {
 				fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 2\r\n\r\nno", head)
 			}
-			_, outcome, err := f.handle(c, callFor(""))
+			_, outcome, err := f.handleCall(c, newTestCall(""))
 			c.Assert(err, qt.IsNil)
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		}
-		c.Assert(got, qt.DeepEquals, endings{EndingServed, EndingOverloaded, EndingOverloaded, EndingFailed, EndingFailed, EndingServed})
+		c.Assert(got, qt.DeepEquals, recordingAdmission{ResultServed, ResultOverloaded, ResultOverloaded, ResultFailed, ResultFailed, ResultServed})
 	})
 }
 
-// Guards against a call that is reported as not run although the backend server has seen it, and the reverse.
-func TestOutcomesAreTrue(t *testing.T) {
+// Guards against the outcome not-run for a call that the backend server has received, and the reverse.
+func TestOutcomesMatchWhatBackendServerReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
+		f := startFixture(t)
 		for _, step := range []struct {
-			prepare func()
-			outcome core.Outcome
-			cause   core.RefusalCause
-			runs    int64
+			prepare  func()
+			outcome  core.Outcome
+			cause    core.RefusalCause
+			requests int64
 		}{
 			{prepare: func() {}, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
-			{prepare: func() { a := ready("1"); a.State = core.EndpointStarting; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
-			{prepare: func() { f.announce(time.Now(), ready("1")); f.backend.refuse = true }, outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused},
-			{prepare: func() { f.backend.refuse = false }, outcome: core.OutcomeAnswered, runs: 1},
-			{prepare: func() { f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() } }, outcome: core.OutcomeUnknown, runs: 2},
+			{prepare: func() { a := readyAnnouncement("1"); a.State = core.EndpointStarting; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend},
+			{prepare: func() { f.announce(time.Now(), readyAnnouncement("1")); f.backend.refuse = true }, outcome: core.OutcomeNotRun, cause: core.CauseBackendRefused},
+			{prepare: func() { f.backend.refuse = false }, outcome: core.OutcomeAnswered, requests: 1},
+			{prepare: func() { f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() } }, outcome: core.OutcomeUnknown, requests: 2},
 			{prepare: func() {
 				f.backend.respond = func(net.Conn, *http.Request) { time.Sleep(time.Minute) }
-			}, outcome: core.OutcomeUnknown, runs: 3},
-			{prepare: func() { a := ready("1"); a.State = core.EndpointLeaving; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseLeaving, runs: 3},
-			{prepare: func() { time.Sleep(DefaultLease) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend, runs: 3},
+			}, outcome: core.OutcomeUnknown, requests: 3},
+			{prepare: func() { a := readyAnnouncement("1"); a.State = core.EndpointLeaving; f.announce(time.Now(), a) }, outcome: core.OutcomeNotRun, cause: core.CauseLeaving, requests: 3},
+			{prepare: func() { time.Sleep(DefaultLease) }, outcome: core.OutcomeNotRun, cause: core.CauseNoBackend, requests: 3},
 		} {
 			step.prepare()
 			synctest.Wait()
-			_, outcome, err := f.handle(c, callFor("body"))
+			_, outcome, err := f.handleCall(c, newTestCall("body"))
 			c.Assert(outcome, qt.Equals, step.outcome, qt.Commentf("error %v", err))
 			c.Assert(causeOf(err), qt.Equals, step.cause)
-			c.Assert(f.backend.runs.Load(), qt.Equals, step.runs)
+			c.Assert(f.backend.requests.Load(), qt.Equals, step.requests)
 		}
-		time.Sleep(time.Minute) // until the backend server that does not answer has done so
+		time.Sleep(time.Minute) // until the stalled handler has returned
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		c.Assert(f.states, qt.DeepEquals, []core.EndpointState{core.EndpointStarting, core.EndpointReady, core.EndpointLeaving})
 	})
 }
 
-// Guards against a part of an answer that passes for the whole, with each way in which HTTP states a length.
-func TestCutAnswerIsAnError(t *testing.T) {
+// Guards against a truncated answer that passes for a complete one, for each way in which HTTP delimits a body.
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for response, whole := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfull":                                true,
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\npart":                                false,
@@ -204,24 +205,24 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			f := start(t)
-			f.announce(time.Now(), ready("1"))
+			f := startFixture(t)
+			f.announce(time.Now(), readyAnnouncement("1"))
 			f.backend.respond = func(conn net.Conn, _ *http.Request) { fmt.Fprint(conn, response); conn.Close() }
-			got, outcome, err := f.handle(c, callFor(""))
+			got, outcome, err := f.handleCall(c, newTestCall(""))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			c.Assert(err == nil, qt.Equals, whole, qt.Commentf("response %q: error %v", response, err))
 			c.Assert(!whole || got == "full", qt.IsTrue)
-			c.Assert(f.begun, qt.Equals, 0)
+			c.Assert(f.activeCalls, qt.Equals, 0)
 		})
 	}
 }
 
-// Guards against a call that is written to a connection which the backend server is about to close.
+// Guards against writing a call to a connection that the backend server is about to close.
 func TestClosingConnectionIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		f.announce(time.Now(), ready("1"))
+		f := startFixture(t)
+		f.announce(time.Now(), readyAnnouncement("1"))
 		for closing, dials := range map[string]int{"": 1, "Connection: close\r\n": 2} {
 			f.backend.kill()
 			f.pool.prune(0)
@@ -230,7 +231,7 @@
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n"+closing+"Content-Length: 2\r\n\r\nok")
 			}
 			for range 2 {
-				_, outcome, err := f.handle(c, callFor(""))
+				_, outcome, err := f.handleCall(c, newTestCall(""))
 				c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 				c.Assert(err, qt.IsNil)
 			}
@@ -239,34 +240,34 @@
 	})
 }
 
-// Guards against a queued call that runs after it was cancelled, revoked or late, and against one that is never run.
-func TestQueueRemovesCancelledCalls(t *testing.T) {
+// Guards against a queued call that runs after it was cancelled, revoked or late, and against one that never runs.
+func TestQueueRemovesCancelledAndLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		f.announce(time.Now(), ready("1"))
+		f := startFixture(t)
+		f.announce(time.Now(), readyAnnouncement("1"))
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
-			time.Sleep(800 * time.Millisecond) // two of them end before the deadline of 2 s
+			time.Sleep(800 * time.Millisecond) // two of them end within the deadline of 2 s
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 		began := time.Now()
 		var calls sync.WaitGroup
 		calls.Go(func() {
-			_, outcome, _ := f.handle(c, callFor("running"))
+			_, outcome, _ := f.handleCall(c, newTestCall("running"))
 			c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 		synctest.Wait()
 		ctx, cancel := context.WithCancel(context.Background())
 		calls.Go(func() {
-			_, outcome, err := f.Handle(ctx, callFor("cancelled"))
+			_, outcome, err := f.Handle(ctx, newTestCall("cancelled"))
 			c.Check(outcome, qt.Equals, core.OutcomeNotRun)
 			c.Check(causeOf(err), qt.Equals, core.CauseRevoked)
 			c.Check(time.Since(began), qt.Equals, time.Duration(0))
 		})
-		late := callFor("late")
+		late := newTestCall("late")
 		late.Deadline = time.Now().Add(500 * time.Millisecond)
 		calls.Go(func() {
-			_, outcome, err := f.handle(c, late)
+			_, outcome, err := f.handleCall(c, late)
 			c.Check(outcome, qt.Equals, core.OutcomeNotRun)
 			c.Check(causeOf(err), qt.Equals, core.CauseDeadline)
 			c.Check(time.Since(began), qt.Equals, 500*time.Millisecond)
@@ -274,20 +275,20 @@
 		synctest.Wait()
 		cancel()
 		calls.Go(func() {
-			_, outcome, _ := f.handle(c, callFor("waiting"))
+			_, outcome, _ := f.handleCall(c, newTestCall("waiting"))
 			c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 		calls.Wait()
-		c.Assert(f.backend.runs.Load(), qt.Equals, int64(2))
+		c.Assert(f.backend.requests.Load(), qt.Equals, int64(2))
 	})
 }
 
-// Guards against a planned stop that cuts off a running or queued call, or that takes a new one.
-func TestDrainFinishesBegunCalls(t *testing.T) {
+// Guards against a planned stop that cuts off a running or queued call, or accepts a new one.
+func TestDrainCompletesActiveCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		f.announce(time.Now(), ready("1"))
+		f := startFixture(t)
+		f.announce(time.Now(), readyAnnouncement("1"))
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no")
 			time.Sleep(500 * time.Millisecond)
@@ -296,7 +297,7 @@
 		var calls sync.WaitGroup
 		for range 2 {
 			calls.Go(func() {
-				got, outcome, err := f.handle(c, callFor(""))
+				got, outcome, err := f.handleCall(c, newTestCall(""))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 				c.Check(err, qt.IsNil)
 				c.Check(got, qt.Equals, "ok")
@@ -309,34 +310,34 @@
 			c.Check(time.Since(began), qt.Equals, time.Second)
 		})
 		synctest.Wait()
-		_, outcome, err := f.handle(c, callFor("new"))
+		_, outcome, err := f.handleCall(c, newTestCall("new"))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(causeOf(err), qt.Equals, core.CauseLeaving)
 		calls.Wait()
-		c.Assert(f.backend.runs.Load(), qt.Equals, int64(2))
+		c.Assert(f.backend.requests.Load(), qt.Equals, int64(2))
 	})
 }
 
-// Guards against blaming a request for a connection that broke while the backend server's process lived on, and
-// against missing the ones that were running when it ended.
-func TestCrashesAreCounted(t *testing.T) {
+// Guards against blaming a request for a broken connection although the backend server's process did not end, and against missing
+// the requests that were running when it did.
+func TestOnlyCallsOfEndedRunsAreCrashes(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   func(f *fixture)
 		crashes int
 	}{
-		"new run":       {after: func(f *fixture) { f.announce(time.Now(), ready("2")) }, crashes: 1},
-		"lease ran out": {after: func(*fixture) { time.Sleep(DefaultLease + time.Second) }, crashes: 1},
+		"new run":       {after: func(f *fixture) { f.announce(time.Now(), readyAnnouncement("2")) }, crashes: 1},
+		"lease expired": {after: func(*fixture) { time.Sleep(DefaultLease + time.Second) }, crashes: 1},
 		"withdrawn":     {after: func(f *fixture) { f.endLease(time.Now(), "withdrawn") }, crashes: 1},
-		"same run":      {after: func(f *fixture) { f.announce(time.Now(), ready("1")) }, crashes: 0},
+		"same run":      {after: func(f *fixture) { f.announce(time.Now(), readyAnnouncement("1")) }, crashes: 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			f := start(t)
-			f.announce(time.Now(), ready("1"))
-			_, outcome, _ := f.handle(c, callFor("harmless"))
+			f := startFixture(t)
+			f.announce(time.Now(), readyAnnouncement("1"))
+			_, outcome, _ := f.handleCall(c, newTestCall("harmless"))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 			f.backend.respond = func(conn net.Conn, _ *http.Request) { conn.Close() }
-			_, outcome, _ = f.handle(c, callFor("deadly"))
+			_, outcome, _ = f.handleCall(c, newTestCall("deadly"))
 			c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 			test.after(f)
 			synctest.Wait()
@@ -351,7 +352,7 @@
 	}
 }
 
-// Guards against an unknown outcome for each call that meets a connection which the backend server has closed.
+// Guards against the outcome unknown for calls on an idle connection that the backend server has closed.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.RequestURI) }))
@@ -359,30 +360,30 @@
 	server, stop, err := New(Options{Address: "127.0.0.1:0"})
 	c.Assert(err, qt.IsNil)
 	defer stop()
-	a := ready("1")
+	a := readyAnnouncement("1")
 	a.Address = backend.Listener.Addr().String()
 	server.announce(time.Now(), a)
 	f := &fixture{Server: server}
 	for range 20 {
-		got, outcome, err := f.handle(c, callFor("body"))
+		got, outcome, err := f.handleCall(c, newTestCall("body"))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered, qt.Commentf("error %v", err))
 		c.Assert(got, qt.Equals, "/a?b=c")
 		backend.CloseClientConnections()
 	}
 }
 
-// Guards against calls that each wait on one more idle connection after the backend server has gone silent on all that
-// were open, and against idle connections that are given up although they have answered since.
-func TestSilentIdleConnectionsAreGivenUp(t *testing.T) {
+// Guards against calls that each wait on another idle connection after the backend server has stopped answering on all that were
+// open, and against closing idle connections that have answered since.
+func TestSilentIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := start(t)
-		a := ready("1")
+		f := startFixture(t)
+		a := readyAnnouncement("1")
 		a.Slots = 4
 		f.announce(time.Now(), a)
-		var open sync.Map // connections that go silent
+		var silentConns sync.Map // connections on which the backend server stops answering
 		f.backend.respond = func(conn net.Conn, _ *http.Request) {
-			if _, silent := open.Load(conn); !silent {
+			if _, silent := silentConns.Load(conn); !silent {
 				time.Sleep(time.Millisecond)
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
@@ -392,7 +393,7 @@
 			var calls sync.WaitGroup
 			for range n {
 				calls.Go(func() {
-					if _, outcome, _ := f.handle(c, callFor("body")); outcome == core.OutcomeAnswered {
+					if _, outcome, _ := f.handleCall(c, newTestCall("body")); outcome == core.OutcomeAnswered {
 						answered.Add(1)
 					}
 				})
@@ -402,10 +403,10 @@
 		}
 		c.Assert(parallel(4), qt.Equals, int64(4))
 		for _, conn := range f.backend.conns {
-			open.Store(conn, true)
+			silentConns.Store(conn, true)
 		}
-		go f.handle(c, callFor("waits on a silent connection"))
-		time.Sleep(silenceLimit)
+		go f.handleCall(c, newTestCall("waits on a silent connection"))
+		time.Sleep(silenceTimeout)
 		c.Assert(parallel(3), qt.Equals, int64(3))
 		c.Assert(f.backend.conns, qt.HasLen, 4+3)
 		c.Assert(parallel(3), qt.Equals, int64(3))
@@ -413,8 +414,8 @@
 	})
 }
 
-// Guards against a malformed announcement that changes the announced state.
-func TestBadAnnouncementsChangeNothing(t *testing.T) {
+// Guards against an invalid announcement that changes the announced state.
+func TestInvalidAnnouncementsChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	server, stop, err := New(Options{Address: "127.0.0.1:0"})
 	c.Assert(err, qt.IsNil)
--- a/io/callerhttp/bench_test.go
+++ b/io/callerhttp/bench_test.go
@@ -26,7 +26,7 @@
 	return backend.URL + "/orders", "http://" + entry.Address() + "/orders", client
 }
 
-func get(b *testing.B, client *http.Client, url string) {
+func getOK(b *testing.B, client *http.Client, url string) {
 	response, err := client.Get(url)
 	if err != nil {
 		b.Error(err)
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkAddedLatency compares calls through two nodes with direct calls that alternate with them.
+// BenchmarkAddedLatency compares the latency of calls through two nodes with that of direct calls. The two alternate.
 func BenchmarkAddedLatency(b *testing.B) {
 	directURL, pathURL, client := benchPath(b)
 	var mu sync.Mutex
@@ -49,9 +49,9 @@
 		callers.Go(func() {
 			for range b.N {
 				began := time.Now()
-				get(b, client, directURL)
+				getOK(b, client, directURL)
 				between := time.Now()
-				get(b, client, pathURL)
+				getOK(b, client, pathURL)
 				ended := time.Now()
 				mu.Lock()
 				_ = direct.RecordValue(between.Sub(began).Microseconds())
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkCallsPerSecond measures the throughput of callers, two nodes and backend server in one process.
+// BenchmarkCallsPerSecond measures the throughput with the callers, two nodes and the backend server in one process.
 func BenchmarkCallsPerSecond(b *testing.B) {
 	for _, name := range []string{"direct", "path"} {
 		b.Run(name, func(b *testing.B) {
@@ -81,7 +81,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					get(b, client, url)
+					getOK(b, client, url)
 				}
 			})
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -11,102 +11,102 @@
 	"parsleyport/core/rollout"
 )
 
-// share is the part of a service's traffic that a release gets at this node.
-type share struct {
-	release  core.Release
-	perMille core.PerMille
-	trial    bool          // a move to the release has not ended
-	named    []core.Weight // with core.OtherReleases: all weights, whose releases it does not stand for
+// releaseShare is the share of a service's traffic that a release gets from this node.
+type releaseShare struct {
+	release    core.Release
+	perMille   core.PerMille
+	canary     bool          // target of an open move
+	allWeights []core.Weight // excluded releases if the release is core.OtherReleases
 }
 
-// has reports whether an endpoint belongs to the share's release.
-func (h share) has(endpoint core.Endpoint) bool {
-	if h.release != core.OtherReleases {
-		return endpoint.Release == h.release
+// includes reports whether an endpoint belongs to the release.
+func (r releaseShare) includes(endpoint core.Endpoint) bool {
+	if r.release != core.OtherReleases {
+		return endpoint.Release == r.release
 	}
-	return !slices.ContainsFunc(h.named, func(w core.Weight) bool { return core.Release(w.Upstream) == endpoint.Release })
+	return !slices.ContainsFunc(r.allWeights, func(w core.Weight) bool { return core.Release(w.Upstream) == endpoint.Release })
 }
 
-// endpoints returns those that take the share's calls. A release on trial gets them on a part of its endpoints until it has
-// half of the calls.
-func (h share) endpoints(ready []core.Endpoint, shares []share) []core.Endpoint {
-	own, others := lo.FilterReject(ready, func(e core.Endpoint, _ int) bool { return h.has(e) })
-	if !h.trial || h.perMille >= core.FullShare/2 {
+// endpoints returns the endpoints that get calls of the release. A canary release with less than half of the traffic gets only a
+// part of its endpoints, so that these see a realistic load.
+func (r releaseShare) endpoints(ready []core.Endpoint, shares []releaseShare) []core.Endpoint {
+	own, others := lo.FilterReject(ready, func(e core.Endpoint, _ int) bool { return r.includes(e) })
+	if !r.canary || r.perMille >= core.FullShare/2 {
 		return own
 	}
-	taking := lo.CountBy(others, func(e core.Endpoint) bool {
-		return slices.ContainsFunc(shares, func(each share) bool { return each.has(e) })
+	otherEndpoints := lo.CountBy(others, func(e core.Endpoint) bool {
+		return slices.ContainsFunc(shares, func(each releaseShare) bool { return each.includes(e) })
 	})
-	return rollout.CanaryEndpoints(h.release, own, taking, h.perMille)
+	return rollout.CanaryEndpoints(r.release, own, otherEndpoints, r.perMille)
 }
 
-// choose picks a release by weight and an endpoint of it. If the release has no endpoint, another one may take its place
-// only if its share is at least as large, so that a release under trial never gets more than its share.
-func (s *Server) choose(q *request, past past, now time.Time) (core.Endpoint, bool) {
-	shares := s.shares(q)
-	ready := s.ready(q.route.Service)
+// chooseEndpoint draws a release by weight and picks one of its endpoints. If the release has none, it falls back only to releases
+// with at least the same share, so that a canary release never gets more than its share.
+func (s *Server) chooseEndpoint(q *request, history attemptHistory, now time.Time) (core.Endpoint, bool) {
+	shares := s.releaseShares(q)
+	ready := s.readyEndpoints(q.route.Service)
 	for len(shares) > 0 {
-		at := drawShare(shares, func(n core.PerMille) core.PerMille { return rand.N(n) })
-		chosen := shares[at]
-		candidates := candidatesOf(chosen.endpoints(ready, shares), past)
+		index := drawShare(shares, func(n core.PerMille) core.PerMille { return rand.N(n) })
+		chosen := shares[index]
+		candidates := candidatesOf(chosen.endpoints(ready, shares), history)
 		if len(candidates) > 0 {
 			endpoint, found := s.options.Picker.Pick(now, core.PickRequest{
 				Call:    q.call.ID,
 				Service: q.route.Service,
 				Route:   q.route.Name,
 				Release: chosen.release,
-				Tried:   past.triedOf(candidates),
+				Tried:   history.triedNodes(candidates),
 				Session: q.session,
 
 				SoftDeadline:    q.call.SoftDeadline,
 				Deadline:        q.call.Deadline,
-				CapacityRefused: q.refusals > 0,
+				CapacityRefused: q.capacityRefusals > 0,
 			}, candidates)
 			if found {
 				return endpoint, true
 			}
 		}
-		shares = slices.DeleteFunc(shares, func(each share) bool {
+		shares = slices.DeleteFunc(shares, func(each releaseShare) bool {
 			return each.release == chosen.release || each.perMille < chosen.perMille
 		})
 	}
 	return core.Endpoint{}, false
 }
 
-// shares returns the releases that may get this call.
-func (s *Server) shares(q *request) []share {
-	shares := make([]share, 0, len(q.weights))
-	onTrial, moving := q.configuration.MoveTarget(q.route.Service)
+// releaseShares returns the releases that may get the call, with their shares.
+func (s *Server) releaseShares(q *request) []releaseShare {
+	shares := make([]releaseShare, 0, len(q.weights))
+	target, moving := q.configuration.MoveTarget(q.route.Service)
 	for _, weight := range q.weights {
 		upstream, _ := q.configuration.UpstreamOf(q.route.Service, weight.Upstream)
 		if weight.PerMille > 0 && s.options.ReleaseAllowed(q.route.Service, upstream.Release) {
-			shares = append(shares, share{
-				release:  upstream.Release,
-				perMille: weight.PerMille,
-				trial:    moving && weight.Upstream == onTrial,
-				named:    q.weights,
+			shares = append(shares, releaseShare{
+				release:    upstream.Release,
+				perMille:   weight.PerMille,
+				canary:     moving && weight.Upstream == target,
+				allWeights: q.weights,
 			})
 		}
 	}
 	return shares
 }
 
-func drawShare(shares []share, draw func(core.PerMille) core.PerMille) int {
+func drawShare(shares []releaseShare, draw func(core.PerMille) core.PerMille) int {
 	sum := core.PerMille(0)
 	for _, each := range shares {
 		sum += each.perMille
 	}
-	point := draw(sum)
+	position := draw(sum)
 	for i, each := range shares {
-		if point < each.perMille {
+		if position < each.perMille {
 			return i
 		}
-		point -= each.perMille
+		position -= each.perMille
 	}
 	return len(shares) - 1
 }
 
-func (s *Server) ready(service core.ServiceName) []core.Endpoint {
+func (s *Server) readyEndpoints(service core.ServiceName) []core.Endpoint {
 	var ready []core.Endpoint
 	for _, endpoint := range s.options.Endpoints.Endpoints(service) {
 		if endpoint.State == core.EndpointReady {
@@ -116,66 +116,66 @@
 	return ready
 }
 
-// past names the nodes that earlier attempts of a call went to.
-type past struct {
-	tried []core.Endpoint // as announced at that time; a node that has announced something since counts as new
-	gone  []core.Endpoint // those of tried that took no calls or have answered
+// attemptHistory holds the endpoints of the earlier attempts of a call.
+type attemptHistory struct {
+	tried    []core.Endpoint // as they were announced then; an endpoint with a newer announcement counts as untried
+	unusable []core.Endpoint // the tried endpoints that accept no calls, or have answered
 }
 
-// among reports whether the list has the endpoint's node and the node has announced nothing since.
-func among(list []core.Endpoint, endpoint core.Endpoint) bool {
+// containsUnchanged reports whether the list has the endpoint's node, without a newer announcement of that node since.
+func containsUnchanged(list []core.Endpoint, endpoint core.Endpoint) bool {
 	return slices.ContainsFunc(list, func(each core.Endpoint) bool {
 		return each.Node == endpoint.Node && !endpoint.Newer(each)
 	})
 }
 
-// forgetFirstGone has the endpoint that was found gone first tried again.
-func (p *past) forgetFirstGone() {
-	if len(p.gone) == 0 {
+// forgetOldestUnusable lets the endpoint that was first found unusable be tried again.
+func (h *attemptHistory) forgetOldestUnusable() {
+	if len(h.unusable) == 0 {
 		return
 	}
-	node := p.gone[0].Node
+	node := h.unusable[0].Node
 	same := func(each core.Endpoint) bool { return each.Node == node }
-	p.gone, p.tried = slices.DeleteFunc(p.gone, same), slices.DeleteFunc(p.tried, same)
+	h.unusable, h.tried = slices.DeleteFunc(h.unusable, same), slices.DeleteFunc(h.tried, same)
 }
 
-// triedOf names the candidates that the call has tried.
-func (p past) triedOf(candidates []core.Endpoint) []core.NodeID {
+// triedNodes returns the nodes of the candidates that the call has tried.
+func (h attemptHistory) triedNodes(candidates []core.Endpoint) []core.NodeID {
 	var nodes []core.NodeID
 	for _, endpoint := range candidates {
-		if among(p.tried, endpoint) {
+		if containsUnchanged(h.tried, endpoint) {
 			nodes = append(nodes, endpoint.Node)
 		}
 	}
 	return nodes
 }
 
-// usable reports whether choose is certain to find an endpoint. A release with a smaller share does not count, since a call
-// that draws again until it gets that release would raise its share.
-func (s *Server) usable(q *request, past past) bool {
-	ready := s.ready(q.route.Service)
-	shares := s.shares(q)
-	largest := lo.MaxBy(shares, func(a, b share) bool { return a.perMille > b.perMille }).perMille
-	return slices.ContainsFunc(shares, func(each share) bool {
-		candidates := candidatesOf(each.endpoints(ready, shares), past)
-		return each.perMille == largest && len(past.triedOf(candidates)) < len(candidates)
+// hasUsableEndpoint reports whether a release with the largest share has an untried endpoint, so that chooseEndpoint is certain to
+// find one. Smaller shares are ignored: a call that waited and drew again until it got such a release would raise its share.
+func (s *Server) hasUsableEndpoint(q *request, history attemptHistory) bool {
+	ready := s.readyEndpoints(q.route.Service)
+	shares := s.releaseShares(q)
+	largest := lo.MaxBy(shares, func(a, b releaseShare) bool { return a.perMille > b.perMille }).perMille
+	return slices.ContainsFunc(shares, func(each releaseShare) bool {
+		candidates := candidatesOf(each.endpoints(ready, shares), history)
+		return each.perMille == largest && len(history.triedNodes(candidates)) < len(candidates)
 	})
 }
 
-// candidatesOf prefers endpoints that this call has not tried; one that takes no calls is not tried again.
-func candidatesOf(endpoints []core.Endpoint, past past) []core.Endpoint {
-	var fresh, all []core.Endpoint
+// candidatesOf returns the untried endpoints, or if there are none, all except the unusable ones.
+func candidatesOf(endpoints []core.Endpoint, history attemptHistory) []core.Endpoint {
+	var untried, all []core.Endpoint
 	for _, endpoint := range endpoints {
-		if among(past.gone, endpoint) {
+		if containsUnchanged(history.unusable, endpoint) {
 			continue
 		}
 		all = append(all, endpoint)
-		if !among(past.tried, endpoint) {
-			fresh = append(fresh, endpoint)
+		if !containsUnchanged(history.tried, endpoint) {
+			untried = append(untried, endpoint)
 		}
 	}
-	if len(fresh) > 0 {
-		return fresh
+	if len(untried) > 0 {
+		return untried
 	}
 	return all
 }
--- a/io/callerhttp/hedge_test.go
+++ b/io/callerhttp/hedge_test.go
@@ -13,19 +13,19 @@
 	"parsleyport/io/callerhttp"
 )
 
-// stuckForwarder never answers the first attempt of a call while it is stuck, and answers all others at once.
-type stuckForwarder struct {
+// stallingForwarder does not answer the first attempt of a call while stall is set. It answers all others at once.
+type stallingForwarder struct {
 	mu        sync.Mutex
-	stuck     bool
+	stall     bool
 	refuse    bool
 	calls     []core.Call
 	cancelled chan core.NodeID
 }
 
-func (f *stuckForwarder) Forward(ctx context.Context, to core.Endpoint, call *core.Call) (*core.Answer, core.Outcome, error) {
+func (f *stallingForwarder) Forward(ctx context.Context, to core.Endpoint, call *core.Call) (*core.Answer, core.Outcome, error) {
 	f.mu.Lock()
 	f.calls = append(f.calls, *call)
-	wait, refuse := f.stuck && len(f.calls) == 1, f.refuse
+	wait, refuse := f.stall && len(f.calls) == 1, f.refuse
 	f.mu.Unlock()
 	if refuse {
 		return notRun(core.CauseQueueFull)
@@ -38,18 +38,18 @@
 	return answer(http.StatusOK, strings.NewReader(string(to.Node)))
 }
 
-func (f *stuckForwarder) set(stuck, refuse bool) {
+func (f *stallingForwarder) set(stall, refuse bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stuck, f.refuse = stuck, refuse
+	f.stall, f.refuse = stall, refuse
 	f.calls = nil
 }
 
-// Guards against a call that waits for one slow endpoint while another one could answer it, and against hedges that could
-// run a call twice, multiply through nested calls, or add to an overload.
+// Guards against a call that waits for one slow endpoint while another one could answer, and against hedges that run a call
+// twice, multiply through nested calls, or add to an overload.
 func TestSlowAttemptIsHedged(t *testing.T) {
 	c := qt.New(t)
-	f := &stuckForwarder{cancelled: make(chan core.NodeID, 10)}
+	f := &stallingForwarder{cancelled: make(chan core.NodeID, 10)}
 	e := newEntry(c, allV1, func(o *callerhttp.Options) { o.Forwarder = f })
 	for range 150 {
 		_, _, err := e.send(c, "GET", "/orders")
@@ -66,26 +66,26 @@
 	e.endpoints.mu.Lock()
 	done := e.endpoints.done
 	e.endpoints.mu.Unlock()
-	unneeded := 0
+	discarded := 0
 	for _, each := range done[len(done)-2:] {
 		if each.Discarded {
 			c.Assert(each.Endpoint.Node, qt.Equals, core.NodeID("a"))
-			unneeded++
+			discarded++
 		}
 	}
-	c.Assert(unneeded, qt.Equals, 1)
+	c.Assert(discarded, qt.Equals, 1)
 
-	alone := func(method string, header ...string) {
+	assertNotHedged := func(method string, header ...string) {
 		f.set(true, false)
 		response, _, err := e.send(c, method, "/orders", append(header, "Parsleyport-Deadline-Ms", "200")...)
 		c.Assert(err, qt.IsNil)
 		c.Assert(response.Header.Get("Parsleyport-Outcome"), qt.Equals, "unknown")
 		c.Assert(f.calls, qt.HasLen, 1)
 	}
-	alone("POST")
-	alone("GET", "Parsleyport-Depth", "1")
+	assertNotHedged("POST")
+	assertNotHedged("GET", "Parsleyport-Depth", "1")
 	f.set(false, true)
 	_, _, err = e.send(c, "GET", "/orders")
 	c.Assert(err, qt.IsNil)
-	alone("GET")
+	assertNotHedged("GET")
 }
--- a/io/callerhttp/keyed.go
+++ b/io/callerhttp/keyed.go
@@ -11,20 +11,20 @@
 	"parsleyport/core/idempotency"
 )
 
-// settleLimit bounds the time to tell the holders of a key what became of its call.
-const settleLimit = time.Second
+// settleTimeout limits the time to report the outcome of a call to the holders of its key.
+const settleTimeout = time.Second
 
-// errKeyUnknown is the error of a resend whose first call may have run.
-const errKeyUnknown = errors.ConstError("an earlier call with this idempotency key may have run")
+// errKeyOutcomeUnknown is returned for a resend whose first call may have run.
+const errKeyOutcomeUnknown = errors.ConstError("an earlier call with this idempotency key may have run")
 
-// errHoldersUnknown is the error of a call whose key may be held by nodes that this one has not heard of.
+// errHoldersUnknown is returned when the node does not know all endpoints of the service, and so not the holders of the key.
 const errHoldersUnknown = errors.ConstError("the holders of the idempotency key are not known yet, so an earlier call with it may have run")
 
-// serveKeyed serves a call with an idempotency key. Once the key is claimed, the call no longer ends with its caller's
-// connection, so that a resend gets the answer.
+// serveKeyed serves a call with an idempotency key. A claimed call continues after its caller has disconnected, so that a resend
+// gets its answer.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, q *request) {
-	if !s.awaitKnown(ctx, q) {
-		s.unknown(w, q, "", errHoldersUnknown)
+	if !s.awaitAllEndpoints(ctx, q) {
+		s.answerUnknown(w, q, "", errHoldersUnknown)
 		return
 	}
 	verdict, recorded := s.options.Keys.Claim(ctx, q.call)
@@ -34,18 +34,18 @@
 	case idempotency.VerdictAnswered:
 		s.replay(w, recorded)
 	case idempotency.VerdictConflict:
-		s.refuse(w, refusal(core.CauseDuplicateCall, "the idempotency key belongs to another request"))
+		s.refuse(w, newRefusal(core.CauseDuplicateCall, "the idempotency key belongs to another request"))
 	case idempotency.VerdictFull:
-		s.refuse(w, refusal(core.CauseQueueFull, "no more idempotency keys can be remembered"))
+		s.refuse(w, newRefusal(core.CauseQueueFull, "no more idempotency keys can be remembered"))
 	default:
-		s.unknown(w, q, "", errKeyUnknown)
+		s.answerUnknown(w, q, "", errKeyOutcomeUnknown)
 	}
 }
 
 func (s *Server) runClaimed(ctx context.Context, w http.ResponseWriter, q *request) {
 	ctx, cancel := context.WithDeadline(ctx, q.call.Deadline)
 	defer cancel()
-	last := s.attempt(ctx, q)
+	last := s.attemptCall(ctx, q)
 	r := &recorder{
 		verdict: idempotency.VerdictUnknown,
 	}
@@ -59,27 +59,27 @@
 			Release: last.release,
 		}
 	}
-	defer func() { // also when the caller's connection is aborted
-		settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleLimit)
+	defer func() { // also runs when stream panics to abort the connection
+		settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
 		s.options.Keys.Settle(settle, q.call, r.verdict, r.answer)
 	}()
 	s.deliver(ctx, w, q, last, r)
 }
 
-// replay answers a resend with the recorded answer of its first call.
+// replay answers a resend with the recorded answer of the first call.
 func (s *Server) replay(w http.ResponseWriter, recorded *idempotency.RecordedAnswer) {
 	s.outcomes[core.OutcomeAnswered].Inc()
 	for name, values := range recorded.Header {
 		w.Header()[name] = values
 	}
-	set(w.Header(), s.options.Headers.Outcome, string(core.OutcomeAnswered))
-	set(w.Header(), s.options.Headers.Release, string(recorded.Release))
+	setHeader(w.Header(), s.options.Headers.Outcome, string(core.OutcomeAnswered))
+	setHeader(w.Header(), s.options.Headers.Release, string(recorded.Release))
 	w.WriteHeader(recorded.Status)
-	_, _ = w.Write(recorded.Body) // a caller that has gone may send again
+	_, _ = w.Write(recorded.Body) // a disconnected caller may resend once more
 }
 
-// recorder keeps an answer's body for resends, up to idempotency.MaxRecordedBytes; a nil recorder keeps nothing.
+// recorder keeps a copy of an answer's body for resends, up to idempotency.MaxRecordedBytes. A nil recorder keeps nothing.
 type recorder struct {
 	verdict idempotency.Verdict
 	answer  *idempotency.RecordedAnswer
--- a/io/callerhttp/wait_test.go
+++ b/io/callerhttp/wait_test.go
@@ -20,44 +20,44 @@
 	"parsleyport/io/callerhttp"
 )
 
-// noListener accepts nothing.
-type noListener struct {
+// blockingListener accepts no connections until it is closed.
+type blockingListener struct {
 	net.Listener
 	closed chan struct{}
 	close  func()
 }
 
-func (l *noListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l *noListener) Close() error              { l.close(); return nil }
+func (l *blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l *blockingListener) Close() error              { l.close(); return nil }
 
-// waitingEntry is an entry without sockets, whose endpoints the test announces.
-type waitingEntry struct {
+// waitTestEntry is an entry without sockets, for tests in a synctest bubble. The test announces its endpoints.
+type waitTestEntry struct {
 	entry
-	c       *qt.C
-	changed chan struct{}
-	calls   sync.WaitGroup
-	known   atomic.Bool // the endpoints, to keyed calls
-	claims  atomic.Int64
+	c              *qt.C
+	changed        chan struct{}
+	calls          sync.WaitGroup
+	endpointsKnown atomic.Bool // result of Options.EndpointsKnown
+	claims         atomic.Int64
 }
 
 // Claim and Settle implement callerhttp.KeyClaimer.
-func (e *waitingEntry) Claim(context.Context, *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
+func (e *waitTestEntry) Claim(context.Context, *core.Call) (idempotency.Verdict, *idempotency.RecordedAnswer) {
 	e.claims.Add(1)
 	return idempotency.VerdictGranted, nil
 }
 
-func (*waitingEntry) Settle(context.Context, *core.Call, idempotency.Verdict, *idempotency.RecordedAnswer) {
+func (*waitTestEntry) Settle(context.Context, *core.Call, idempotency.Verdict, *idempotency.RecordedAnswer) {
 }
 
-func waitingWorld(t *testing.T, test func(c *qt.C, e *waitingEntry)) {
+func runWaitTest(t *testing.T, test func(c *qt.C, e *waitTestEntry)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		listener := &noListener{closed: make(chan struct{})}
+		listener := &blockingListener{closed: make(chan struct{})}
 		listener.close = sync.OnceFunc(func() { close(listener.closed) })
-		e := &waitingEntry{c: c, changed: make(chan struct{})}
+		e := &waitTestEntry{c: c, changed: make(chan struct{})}
 		e.entry = newEntry(c, allV1, func(o *callerhttp.Options) {
 			o.Listener, o.Keys = listener, e
-			o.EndpointsKnown = func(core.ServiceName) bool { return e.known.Load() }
+			o.EndpointsKnown = func(core.ServiceName) bool { return e.endpointsKnown.Load() }
 			o.Picker = balancer.New(balancer.Options{Seed: 1})
 			o.EndpointsChanged = func(core.ServiceName) <-chan struct{} {
 				e.endpoints.mu.Lock()
@@ -76,7 +76,7 @@
 	})
 }
 
-func (e *waitingEntry) announce(endpoints ...core.Endpoint) {
+func (e *waitTestEntry) announce(endpoints ...core.Endpoint) {
 	e.endpoints.mu.Lock()
 	defer e.endpoints.mu.Unlock()
 	e.endpoints.endpoints = endpoints
@@ -84,8 +84,8 @@
 	e.changed = make(chan struct{})
 }
 
-// call returns the answer and how long it took.
-func (e *waitingEntry) call(header ...string) (*http.Response, time.Duration) {
+// call sends a call to the handler and returns the response and the time that it took.
+func (e *waitTestEntry) call(header ...string) (*http.Response, time.Duration) {
 	request := httptest.NewRequest("POST", "/orders", nil)
 	for i := 0; i < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
@@ -99,7 +99,7 @@
 	return core.Endpoint{Node: node, Sequence: 1, Service: "orders", Release: "v1", State: core.EndpointReady}
 }
 
-// Guards against callers who are refused while all nodes of a service restart within a second: the old endpoints answer
+// Guards against refusing calls while all nodes of a service restart within a second: the old endpoints answer
 // "no-backend-server" or are gone, and the new ones are not yet known.
 func TestCallWaitsForAnEndpoint(t *testing.T) {
 	for name, old := range map[string][]core.Endpoint{
@@ -107,7 +107,7 @@
 		"old known":  {{Node: "a", Service: "orders", Release: "v1", State: core.EndpointReady}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+			runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 				e.announce(old...)
 				e.calls.Go(func() {
 					response, took := e.call()
@@ -121,10 +121,10 @@
 	}
 }
 
-// Guards against a backend server that is back within its lease, announces nothing new, and gets no call that waits; and
-// against a service with more dead endpoints than a call has free tries.
-func TestWaitingCallTriesAgain(t *testing.T) {
-	waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+// Guards against a waiting call that does not reach a backend server which restarted within its lease and so caused no new
+// announcement, and against refusing a call because the service has more dead endpoints than the call has free retries.
+func TestWaitingCallProbesUnusableEndpoints(t *testing.T) {
+	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		var dead []core.Endpoint
 		for node := range 16 {
 			dead = append(dead, core.Endpoint{Node: core.NodeID(rune('a' + node)), Service: "orders", Release: "v1", State: core.EndpointReady})
@@ -145,9 +145,9 @@
 }
 
 // Guards against a call that waits until its deadline, and against a service without backend servers whose waiting calls
-// take up the node.
+// block those of other services.
 func TestWaitsAreBounded(t *testing.T) {
-	waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		e.announce()
 		response, took := e.call("Parsleyport-Deadline-Ms", "2000")
 		c.Assert(response.Header.Get("Parsleyport-Cause"), qt.Equals, "no-endpoint")
@@ -165,10 +165,10 @@
 	})
 }
 
-// Guards against a keyed call whose entry node does not know all holders of the key: it could be granted and run twice. It
-// must not be claimed, and must not be refused as not run, since an earlier call with the key may have run.
-func TestKeyedCallWaitsForTheHolders(t *testing.T) {
-	waitingWorld(t, func(c *qt.C, e *waitingEntry) {
+// Guards against a keyed call that runs twice because its entry node does not know all holders of the key. Until it does, the call
+// must not be claimed. It must not be refused as not run either, since an earlier call with the key may have run.
+func TestKeyedCallWaitsForAllKeyHolders(t *testing.T) {
+	runWaitTest(t, func(c *qt.C, e *waitTestEntry) {
 		e.announce(restarted("a"))
 		e.calls.Go(func() {
 			response, took := e.call("Idempotency-Key", "k")
@@ -180,7 +180,7 @@
 		c.Assert(took, qt.Equals, 600*time.Millisecond)
 		c.Assert(e.claims.Load(), qt.Equals, int64(0))
 		time.Sleep(400 * time.Millisecond)
-		e.known.Store(true)
+		e.endpointsKnown.Store(true)
 		e.announce(restarted("a"))
 		e.calls.Wait()
 		c.Assert(e.claims.Load(), qt.Equals, int64(1))
--- a/io/callerhttp/watch.go
+++ b/io/callerhttp/watch.go
@@ -14,17 +14,17 @@
 
 type connectionKey struct{}
 
-// watchedListener reports the answers that net/http gives by itself, before a request reaches the handler: it does so for
-// bytes that are no HTTP, lengths in doubt, unknown encodings and headers that are too long. It counts the connections
-// with a request that is expected, being read or in progress.
+// watchedListener reports the answers that net/http gives itself before a request reaches the handler: to bytes that are not HTTP,
+// ambiguous lengths, unknown encodings and oversized headers. It also counts the connections whose request is expected, being read
+// or in progress.
 type watchedListener struct {
 	net.Listener
-	refused func(remote net.Addr, status int)
-	pending *atomic.Int64
-	close   func() error // may be called again
+	onRefused    func(remote net.Addr, status int)
+	pendingCount *atomic.Int64
+	close        func() error // idempotent
 }
 
-// Close stops to accept connections; those accepted stay.
+// Close stops accepting connections; accepted ones stay open.
 func (l watchedListener) Close() error { return l.close() }
 
 func (l watchedListener) Accept() (net.Conn, error) {
@@ -33,70 +33,70 @@
 		return nil, err
 	}
 	watched := &watchedConnection{
-		Conn:    connection,
-		refused: l.refused,
-		count:   l.pending,
+		Conn:         connection,
+		onRefused:    l.onRefused,
+		pendingCount: l.pendingCount,
 	}
-	watched.expect()
+	watched.markPending()
 	return watched, nil
 }
 
-// watchedConnection knows whether a request of it has reached the handler and has not ended yet, and whether one is pending:
-// a new connection is going to bring one.
+// watchedConnection tracks whether a request has reached the handler and whether one is pending. A new connection is pending from
+// the start, since its first request is expected.
 type watchedConnection struct {
 	net.Conn
-	refused func(remote net.Addr, status int)
-	count   *atomic.Int64
-	handled atomic.Bool
-	pending atomic.Bool
+	onRefused    func(remote net.Addr, status int)
+	pendingCount *atomic.Int64
+	handled      atomic.Bool
+	pending      atomic.Bool
 }
 
-func (c *watchedConnection) expect() {
+func (c *watchedConnection) markPending() {
 	if c.pending.CompareAndSwap(false, true) {
-		c.count.Add(1)
+		c.pendingCount.Add(1)
 	}
 }
 
-func (c *watchedConnection) settle() {
+func (c *watchedConnection) clearPending() {
 	if c.pending.CompareAndSwap(true, false) {
-		c.count.Add(-1)
+		c.pendingCount.Add(-1)
 	}
 }
 
-// Read notes that a request has begun.
+// Read marks the connection as pending when bytes of a request arrive.
 func (c *watchedConnection) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.expect()
+		c.markPending()
 	}
 	return n, err
 }
 
-// Close ends whatever was pending.
+// Close also ends the pending state.
 func (c *watchedConnection) Close() error {
-	defer c.settle()
+	defer c.clearPending()
 	return c.Conn.Close()
 }
 
-// Write passes on what net/http sends.
+// Write reports an error status that is written while no request is with the handler, so that it comes from net/http.
 func (c *watchedConnection) Write(data []byte) (int, error) {
 	if !c.handled.Load() {
-		if status := statusLine(data); status >= http.StatusBadRequest {
-			c.refused(c.RemoteAddr(), status)
+		if status := parseStatus(data); status >= http.StatusBadRequest {
+			c.onRefused(c.RemoteAddr(), status)
 		}
 	}
 	return c.Conn.Write(data)
 }
 
-// statusLine returns the status of an answer that begins here, zero if none does.
-func statusLine(data []byte) int {
+// parseStatus returns the status of an answer that begins with the data, or zero if the data is no status line.
+func parseStatus(data []byte) int {
 	rest, found := bytes.CutPrefix(data, []byte("HTTP/1.1 "))
 	if !found || len(rest) < len("400") {
 		return 0
 	}
 	status, err := strconv.Atoi(string(rest[:len("400")]))
 	if err != nil {
-		return 0 // a body that looks like the beginning of an answer
+		return 0 // a body that looks like a status line
 	}
 	return status
 }
@@ -105,16 +105,16 @@
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// markHandled notes that a request has reached the handler; the answer that follows is the handler's.
+// markHandled notes that a request has reached the handler, so that the next answer is the handler's.
 func markHandled(ctx context.Context) {
 	if connection, ok := ctx.Value(connectionKey{}).(*watchedConnection); ok {
 		connection.handled.Store(true)
 	}
 }
 
-// callerLeft reports whether the caller has closed its connection. net/http notices that on a goroutine of its own, which may come
-// too late for a process that stood still and has just read the request and the end of its connection.
-func callerLeft(ctx context.Context) bool {
+// callerDisconnected reports whether the caller has closed its connection. net/http finds this out on another goroutine, which may
+// be too late if the process was suspended and has just read the request together with the end of its connection.
+func callerDisconnected(ctx context.Context) bool {
 	watched, ok := ctx.Value(connectionKey{}).(*watchedConnection)
 	if !ok {
 		return false
@@ -125,21 +125,21 @@
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return true // closed at this end
+		return true // closed by this process
 	}
-	left := false
+	disconnected := false
 	err = raw.Control(func(descriptor uintptr) {
 		next := make([]byte, 1)
 		n, _, err := syscall.Recvfrom(int(descriptor), next, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		left = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
+		disconnected = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 	})
-	return left || err != nil
+	return disconnected || err != nil
 }
 
-// markEnded notes that the handler's answer has been sent.
-func markEnded(connection net.Conn) {
+// markAnswered notes that the handler's answer has been sent.
+func markAnswered(connection net.Conn) {
 	if watched, ok := connection.(*watchedConnection); ok {
 		watched.handled.Store(false)
-		watched.settle()
+		watched.clearPending()
 	}
 }
--- a/io/callerhttp/watch_test.go
+++ b/io/callerhttp/watch_test.go
@@ -20,7 +20,7 @@
 	"parsleyport/io/callerhttp"
 )
 
-// lockedBuffer is a log that goroutines share.
+// lockedBuffer is a log buffer for concurrent writers.
 type lockedBuffer struct {
 	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
@@ -32,13 +32,13 @@
 	return b.buffer.Write(data)
 }
 
-// refusals returns the causes of the logged refusals, with their statuses.
-func (b *lockedBuffer) refusals(c *qt.C) []logged {
+// refusals returns the logged refusals.
+func (b *lockedBuffer) refusals(c *qt.C) []logLine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var lines []logged
+	var lines []logLine
 	for line := range bytes.Lines(b.buffer.Bytes()) {
-		var entry logged
+		var entry logLine
 		c.Assert(json.Unmarshal(line, &entry), qt.IsNil, qt.Commentf("%s", line))
 		if entry.Message == "request refused" {
 			lines = append(lines, entry)
@@ -47,15 +47,15 @@
 	return lines
 }
 
-type logged struct {
+type logLine struct {
 	Message string `json:"message"`
 	Call    string `json:"call"`
 	Cause   string `json:"cause"`
 	Status  int    `json:"status"`
 }
 
-// Guards against requests that are refused before they become calls and leave neither a line nor a count, and against counts of
-// answers that came from a backend server.
+// Guards against requests that are refused before they become calls and are neither logged nor counted, and against counting
+// answers of a backend server as refusals.
 func TestEarlyRefusalsAreLoggedAndCounted(t *testing.T) {
 	c := qt.New(t)
 	log, set := &lockedBuffer{}, metrics.NewSet()
@@ -74,7 +74,7 @@
 	statuses = exchange(c, e.Address(), "GET /nowhere HTTP/1.1\r\nHost: x\r\nParsleyport-Call-Id: "+strings.Repeat("c", 300)+"\r\n\r\n", 1)
 	c.Assert(statuses, qt.DeepEquals, []int{http.StatusNotFound})
 
-	c.Assert(log.refusals(c), qt.DeepEquals, []logged{
+	c.Assert(log.refusals(c), qt.DeepEquals, []logLine{
 		{Message: "request refused", Cause: "unreadable-request", Status: http.StatusBadRequest},
 		{Message: "request refused", Cause: "unreadable-request", Status: http.StatusNotImplemented},
 		{Message: "request refused", Cause: string(core.CauseNoRoute), Status: http.StatusNotFound, Call: strings.Repeat("c", 128)},
@@ -83,7 +83,7 @@
 	c.Assert(set.GetOrCreateCounter(`parsleyport_caller_calls_total{outcome="not-run"}`).Get(), qt.Equals, uint64(3))
 }
 
-// exchange sends bytes on a connection of its own and returns the statuses of the answers.
+// exchange sends bytes on a new connection and returns the statuses of the responses.
 func exchange(c *qt.C, address, text string, answers int) []int {
 	connection, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
