--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -22,31 +22,31 @@
 	d.leader()
 	const entries = 12_000 // the replicated state keeps the latest 10,000
 	client := d.client()
-	var next, failed atomic.Int64
-	var running sync.WaitGroup
+	var nextVersion, failed atomic.Int64
+	var submitters sync.WaitGroup
 	for range 32 {
-		running.Go(func() {
+		submitters.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			defer cancel()
-			for i := next.Add(1); i <= entries; i = next.Add(1) {
+			for i := nextVersion.Add(1); i <= entries; i = nextVersion.Add(1) {
 				// A version that arrives late is refused; the refusal is an entry as well.
-				if _, err := client.Submit(ctx, service("busy", core.RecordVersion(i))); err != nil {
+				if _, err := client.Submit(ctx, serviceSubmission("busy", core.RecordVersion(i))); err != nil {
 					failed.Add(1)
 				}
 			}
 		})
 	}
-	running.Wait()
+	submitters.Wait()
 	c.Assert(failed.Load(), qt.Equals, int64(0))
 	for i := 1; i <= controls; i++ {
 		d.wipe(i)
 		d.startControl(i)
 		d.repair(i)
-		d.eventually(fmt.Sprintf("c%d holds the whole audit trail", i), 20*time.Second, func() bool {
+		d.awaitCondition(fmt.Sprintf("c%d holds the whole audit trail", i), 20*time.Second, func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
-			found, err := d.client(i).Audit(ctx, catalog.AuditFilter{Submission: "busy-1"})
-			return err == nil && len(found) == 1
+			entries, err := d.client(i).Audit(ctx, catalog.AuditFilter{Submission: "busy-1"})
+			return err == nil && len(entries) == 1
 		})
 	}
 }
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -19,13 +19,13 @@
 
 const (
 	clockTicksPerSecond = 100 // USER_HZ on Linux
-	measuredSpan        = 10 * time.Second
+	measurementDuration = 10 * time.Second
 )
 
 // usage is what a process has used since its start.
 type usage struct {
-	processor time.Duration
-	resident  int64 // bytes
+	cpuTime       time.Duration
+	residentBytes int64 // bytes
 }
 
 func (d *deployment) usage(name string) usage {
@@ -38,13 +38,13 @@
 		return value
 	}
 	return usage{
-		processor: time.Duration(number(11)+number(12)) * time.Second / clockTicksPerSecond,
-		resident:  number(21) * int64(os.Getpagesize()),
+		cpuTime:       time.Duration(number(11)+number(12)) * time.Second / clockTicksPerSecond,
+		residentBytes: number(21) * int64(os.Getpagesize()),
 	}
 }
 
-// controlBytes returns what a process has sent and received for distribution.
-func (d *deployment) controlBytes(address string) float64 {
+// distributionBytes returns what a process has sent and received for distribution.
+func (d *deployment) distributionBytes(address string) float64 {
 	_, body := d.get("http://" + address + "/metrics")
 	sum := 0.0
 	lines := bufio.NewScanner(bytes.NewReader(body))
@@ -60,13 +60,13 @@
 }
 
 // planned is a configuration of the given number of services, each with two upstreams, a policy and two routes.
-func planned(services int, version core.RecordVersion) core.Submission {
+func configurationOf(services int, version core.RecordVersion) core.Submission {
 	submission := core.Submission{
 		ID:       core.SubmissionID(fmt.Sprintf("planned-%d-%d", services, version)),
 		Operator: "test",
 	}
 	for i := range services {
-		for _, r := range transcripts(version).Records {
+		for _, r := range transcriptsSubmission(version).Records {
 			name := fmt.Sprintf("service-%d", i)
 			r.Name = strings.Replace(r.Name, "transcripts", name, 1) + lo.Ternary(r.Kind == core.KindRoute, "-"+name, "")
 			r.Body = bytes.ReplaceAll(r.Body, []byte("transcripts"), []byte(name))
@@ -92,53 +92,53 @@
 	d := newDeployment(qt.New(b))
 	d.startControls()
 	client := d.client(d.leader())
-	verdict := d.submit(client, planned(services, 1))
+	verdict := d.submit(client, configurationOf(services, 1))
 	names := lo.Map(lo.RangeFrom(1, nodes), func(i, _ int) string { return fmt.Sprintf("n%d", i) })
 	for i := 1; i <= nodes; i++ {
 		d.startNode(i)
 		d.startBackendOf(i, fmt.Sprintf("service-%d", i%services), "v1")
 	}
-	d.eventually("all nodes are ready", 60*time.Second, func() bool { return lo.EveryBy(names, d.ready) })
+	d.awaitCondition("all nodes are ready", 60*time.Second, func() bool { return lo.EveryBy(names, d.ready) })
 	inForce := func(revision core.Revision) func() bool {
 		return func() bool {
 			status, err := d.status(client)
 			return err == nil && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce >= revision
 		}
 	}
-	d.eventually("all endpoints are known", 60*time.Second, func() bool {
+	d.awaitCondition("all endpoints are known", 60*time.Second, func() bool {
 		status, err := d.status(client)
 		return err == nil && lo.Sum(lo.Values(status.Fleet.Endpoints)) == nodes
 	})
-	d.eventually("the configuration is in force", 60*time.Second, inForce(verdict.Revision))
+	d.awaitCondition("the configuration is in force", 60*time.Second, inForce(verdict.Revision))
 
 	before := lo.SliceToMap(names, func(name string) (string, usage) { return name, d.usage(name) })
-	bytesBefore := lo.SumBy(names, func(name string) float64 { return d.controlBytes(d.address(name + "-admin")) })
+	bytesBefore := lo.SumBy(names, func(name string) float64 { return d.distributionBytes(d.address(name + "-admin")) })
 	began := time.Now()
-	time.Sleep(measuredSpan) // the measured span of a fleet in which nothing changes
+	time.Sleep(measurementDuration) // the measured span of a fleet in which nothing changes
 	span := time.Since(began).Seconds()
-	bytesAfter := lo.SumBy(names, func(name string) float64 { return d.controlBytes(d.address(name + "-admin")) })
-	processor, resident := 0.0, int64(0)
+	bytesAfter := lo.SumBy(names, func(name string) float64 { return d.distributionBytes(d.address(name + "-admin")) })
+	cpuSeconds, maxResidentBytes := 0.0, int64(0)
 	for _, name := range names {
 		now := d.usage(name)
-		processor += (now.processor - before[name].processor).Seconds()
-		resident = max(resident, now.resident)
+		cpuSeconds += (now.cpuTime - before[name].cpuTime).Seconds()
+		maxResidentBytes = max(maxResidentBytes, now.residentBytes)
 	}
 	b.ReportMetric((bytesAfter-bytesBefore)/span/float64(nodes), "control-B/s/node")
-	b.ReportMetric(processor/span/float64(nodes)*100, "idle-%core/node")
-	b.ReportMetric(float64(resident)/(1<<20), "max-node-MiB")
-	b.ReportMetric(float64(d.usage("c1").resident)/(1<<20), "control-MiB")
+	b.ReportMetric(cpuSeconds/span/float64(nodes)*100, "idle-%core/node")
+	b.ReportMetric(float64(maxResidentBytes)/(1<<20), "max-node-MiB")
+	b.ReportMetric(float64(d.usage("c1").residentBytes)/(1<<20), "control-MiB")
 
-	bytesBefore = lo.SumBy(names, func(name string) float64 { return d.controlBytes(d.address(name + "-admin")) })
+	bytesBefore = lo.SumBy(names, func(name string) float64 { return d.distributionBytes(d.address(name + "-admin")) })
 	const changes = 10
 	var slowest time.Duration
 	for version := range changes {
-		verdict = d.submit(client, service("service-0", core.RecordVersion(version+2)))
-		slowest = max(slowest, d.eventually("the change is in force", 14*time.Second, inForce(verdict.Revision)))
+		verdict = d.submit(client, serviceSubmission("service-0", core.RecordVersion(version+2)))
+		slowest = max(slowest, d.awaitCondition("the change is in force", 14*time.Second, inForce(verdict.Revision)))
 	}
-	bytesAfter = lo.SumBy(names, func(name string) float64 { return d.controlBytes(d.address(name + "-admin")) })
+	bytesAfter = lo.SumBy(names, func(name string) float64 { return d.distributionBytes(d.address(name + "-admin")) })
 	b.ReportMetric(float64(slowest.Milliseconds()), "slowest-change-ms")
 	b.ReportMetric((bytesAfter-bytesBefore)/changes/float64(nodes), "B/change/node")
-	d.end()
+	d.killAll()
 }
 
 // BenchmarkLeaderLoss measures how long no submission is accepted after the leading control instance was killed, and
@@ -152,7 +152,7 @@
 	})
 }
 
-func measureLeaderLoss(b *testing.B, end func(d *deployment, name string)) {
+func measureLeaderLoss(b *testing.B, stopLeader func(d *deployment, name string)) {
 	d := newDeployment(qt.New(b))
 	d.startControls()
 	var longest, sum time.Duration
@@ -164,8 +164,8 @@
 		name := fmt.Sprintf("c%d", leading)
 		process := d.processes[name]
 		began := time.Now()
-		end(d, name)
-		d.submit(d.client(others...), service("after-loss", core.RecordVersion(rounds)))
+		stopLeader(d, name)
+		d.submit(d.client(others...), serviceSubmission("after-loss", core.RecordVersion(rounds)))
 		took := time.Since(began)
 		longest, sum = max(longest, took), sum+took
 		_ = process.Wait() // its addresses and data folder are free again
@@ -173,7 +173,7 @@
 	}
 	b.ReportMetric(float64(longest.Milliseconds()), "longest-ms")
 	b.ReportMetric(float64(sum.Milliseconds())/float64(rounds), "mean-ms")
-	d.end()
+	d.killAll()
 }
 
 // BenchmarkReconnect measures what it costs the control instances when all of them restart and all nodes attach again.
@@ -190,7 +190,7 @@
 func measureReconnect(b *testing.B, nodes int) {
 	d := newDeployment(qt.New(b))
 	d.startControls()
-	verdict := d.submit(d.client(d.leader()), planned(170, 1))
+	verdict := d.submit(d.client(d.leader()), configurationOf(170, 1))
 	for i := 1; i <= nodes; i++ {
 		d.startNode(i)
 	}
@@ -198,19 +198,19 @@
 		status, err := d.status(d.client())
 		return err == nil && status.Current && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce >= verdict.Revision
 	}
-	d.eventually("all nodes are attached", 60*time.Second, attached)
+	d.awaitCondition("all nodes are attached", 60*time.Second, attached)
 	for i := 1; i <= controls; i++ {
 		d.kill(fmt.Sprintf("c%d", i))
 	}
 	d.startControls()
-	took := d.eventually("all nodes are attached again", 60*time.Second, attached)
-	processor, sent := time.Duration(0), 0.0
+	took := d.awaitCondition("all nodes are attached again", 60*time.Second, attached)
+	cpuTime, sent := time.Duration(0), 0.0
 	for i := 1; i <= controls; i++ {
-		processor += d.usage(fmt.Sprintf("c%d", i)).processor
-		sent += d.controlBytes(d.operator(i))
+		cpuTime += d.usage(fmt.Sprintf("c%d", i)).cpuTime
+		sent += d.distributionBytes(d.operatorAddress(i))
 	}
 	b.ReportMetric(float64(took.Milliseconds()), "attached-ms")
-	b.ReportMetric(float64(processor.Milliseconds()), "control-cpu-ms")
+	b.ReportMetric(float64(cpuTime.Milliseconds()), "control-cpu-ms")
 	b.ReportMetric(sent/float64(nodes), "control-B/node")
-	d.end()
+	d.killAll()
 }
--- a/e2e/together_test.go
+++ b/e2e/concurrent_faults_test.go
@@ -17,43 +17,43 @@
 	"parsleyport/core/catalog"
 )
 
-var faultSeed = flag.Uint64("fault-seed", 1, "seed of the faults in TestFaultsTogether")
+var concurrentFaultsSeed = flag.Uint64("fault-seed", 1, "seed of the faults in TestFaultsTogether")
 
 // Guards against a call that runs twice or gets a false refusal, an older revision and a lost record when processes of all
 // kinds are killed, frozen and stopped, also at the same time and again right after their restart.
-func TestFaultsTogether(t *testing.T) {
+func TestConcurrentFaults(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
 	const nodes = 6
 	d.startServing(nodes)
 	all := lo.RangeFrom(1, nodes)
-	plain := d.startCalls("plain", 20*time.Second, 150, all)
-	keyed := d.startCalls("keyed", 20*time.Second, 150, all, "--post-per-mille", "1000", "--keyed", "--resends", "3")
-	random := rand.New(rand.NewPCG(*faultSeed, 0))
+	plain := d.startCaller("plain", 20*time.Second, 150, all)
+	keyed := d.startCaller("keyed", 20*time.Second, 150, all, "--post-per-mille", "1000", "--keyed", "--resends", "3")
+	random := rand.New(rand.NewPCG(*concurrentFaultsSeed, 0))
 	accepted := make(map[core.RecordVersion]core.Revision)
 	for version := core.RecordVersion(1); version <= 8; version++ {
-		undo := d.faults(random, nodes, 1+random.IntN(3))
+		undo := d.injectFaults(random, nodes, 1+random.IntN(3))
 		time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond) // longer or shorter than the time-outs
 		undo()
-		verdict := d.submit(d.client(), service("together", version))
+		verdict := d.submit(d.client(), serviceSubmission("together", version))
 		c.Assert(verdict.Result, qt.Equals, catalog.Accepted, qt.Commentf("%+v", verdict))
 		accepted[version] = verdict.Revision
 	}
-	d.eventually("the newest revision is in force on all nodes", convergence, func() bool {
+	d.awaitCondition("the newest revision is in force on all nodes", convergenceTarget, func() bool {
 		status, err := d.status(d.client())
 		return err == nil && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce == status.Revision && status.Fleet.Endpoints["transcripts"] == nodes
 	})
 	plain.verify()
 	keyed.verify()
 	for version, revision := range accepted {
-		c.Assert(d.submit(d.client(), service("together", version)).Revision, qt.Equals, revision)
+		c.Assert(d.submit(d.client(), serviceSubmission("together", version)).Revision, qt.Equals, revision)
 	}
 }
 
 // faults hits several processes at once; undo lets them run again.
-func (d *deployment) faults(random *rand.Rand, nodes, count int) (undo func()) {
-	undone := make(map[string]func())
-	for len(undone) < count {
+func (d *deployment) injectFaults(random *rand.Rand, nodes, count int) (undo func()) {
+	undoByProcess := make(map[string]func())
+	for len(undoByProcess) < count {
 		i := 1 + random.IntN(nodes)
 		name, restart := fmt.Sprintf("n%d", i), func() { d.startNode(i) }
 		switch random.IntN(3) {
@@ -63,19 +63,19 @@
 		case 1:
 			name, restart = fmt.Sprintf("b%d", i), func() { d.startBackend(i, "v1") }
 		}
-		if undone[name] == nil {
-			undone[name] = d.fault(random, name, restart)
+		if undoByProcess[name] == nil {
+			undoByProcess[name] = d.injectFault(random, name, restart)
 		}
 	}
 	return func() {
-		for _, name := range slices.Sorted(maps.Keys(undone)) {
-			undone[name]()
+		for _, name := range slices.Sorted(maps.Keys(undoByProcess)) {
+			undoByProcess[name]()
 		}
 	}
 }
 
 // fault kills, stops or freezes a process; undo lets it run again.
-func (d *deployment) fault(random *rand.Rand, name string, restart func()) (undo func()) {
+func (d *deployment) injectFault(random *rand.Rand, name string, restart func()) (undo func()) {
 	d.c.Logf("fault at %s", name)
 	switch random.IntN(3) {
 	case 0:
--- a/e2e/convergence_test.go
+++ b/e2e/convergence_test.go
@@ -22,13 +22,13 @@
 		d.startNode(i)
 	}
 	names := lo.Map(lo.RangeFrom(1, nodes), func(i, _ int) string { return fmt.Sprintf("n%d", i) })
-	d.eventually("all nodes are ready", 30*time.Second, func() bool { return lo.EveryBy(names, d.ready) })
+	d.awaitCondition("all nodes are ready", 30*time.Second, func() bool { return lo.EveryBy(names, d.ready) })
 	for version := 1; version <= 5; version++ {
-		verdict := d.submit(client, transcripts(1))
+		verdict := d.submit(client, transcriptsSubmission(1))
 		if version > 1 {
-			verdict = d.submit(client, service("extra", core.RecordVersion(version)))
+			verdict = d.submit(client, serviceSubmission("extra", core.RecordVersion(version)))
 		}
-		took := d.eventually("the revision is in force on all nodes", time.Second, func() bool {
+		took := d.awaitCondition("the revision is in force on all nodes", time.Second, func() bool {
 			status, err := d.status(client)
 			return err == nil && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce >= verdict.Revision
 		})
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -67,17 +67,17 @@
 		c.Assert(response.StatusCode, qt.Not(qt.Equals), http.StatusOK)
 		cause = response.Header.Get("Parsleyport-Cause")
 		if response.Header.Get("Parsleyport-Outcome") == "unknown" {
-			d.eventually("the crashed backend server is down", 10*time.Second, func() bool {
+			d.awaitCondition("the crashed backend server is down", 10*time.Second, func() bool {
 				down := d.restartCrashed(nodes)
 				crashes += down
 				return down > 0
 			})
 		}
-		d.eventually("all backend servers are announced", 10*time.Second, func() bool {
+		d.awaitCondition("all backend servers are announced", 10*time.Second, func() bool {
 			status, err := d.status(d.client())
 			return err == nil && status.Fleet.Endpoints["transcripts"] == nodes
 		})
-		d.eventually("all nodes have heard of the crashes", 10*time.Second, func() bool {
+		d.awaitCondition("all nodes have heard of the crashes", 10*time.Second, func() bool {
 			return lo.EveryBy(lo.RangeFrom(1, nodes), func(i int) bool { return d.crashReports(i) == crashes })
 		})
 	}
@@ -85,6 +85,6 @@
 	c.Assert(cause, qt.Equals, "suspected-to-crash-backend-servers")
 
 	// Other requests are served.
-	calls := d.startCalls("others", 2*time.Second, 100, []int{1, 2, 3, 4})
+	calls := d.startCaller("others", 2*time.Second, 100, []int{1, 2, 3, 4})
 	calls.verify("--all-answered")
 }
--- a/e2e/datacentre_test.go
+++ b/e2e/datacentre_test.go
@@ -17,10 +17,10 @@
 )
 
 // convergence is the target for an accepted change to be in force everywhere.
-const convergence = 14 * time.Second
+const convergenceTarget = 14 * time.Second
 
-// inDataCentre names the processes in the data centre of a control instance, in a deployment of six nodes.
-func inDataCentre(control int) []string {
+// processesInDataCentre names the processes in the data centre of a control instance, in a deployment of six nodes.
+func processesInDataCentre(control int) []string {
 	names := []string{fmt.Sprintf("c%d", control)}
 	for _, i := range []int{control, control + controls} {
 		names = append(names, fmt.Sprintf("n%d", i), fmt.Sprintf("b%d", i))
@@ -30,7 +30,7 @@
 
 // Guards against a deployment that stops serving, stops accepting or loses what it accepted when the whole data centre of
 // the leading control instance is lost at once, and against a data centre that serves something older when it is back.
-func TestDataCentreIsLost(t *testing.T) {
+func TestDataCentreLoss(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
 	const nodes = 6
@@ -42,21 +42,21 @@
 			others = append(others, i)
 		}
 	}
-	calls := d.startCalls("lost", 12*time.Second, 200, others)
-	before := d.submit(d.client(), service("before", 1))
-	calls.goOn(100)
-	for _, name := range inDataCentre(lost) {
+	calls := d.startCaller("lost", 12*time.Second, 200, others)
+	before := d.submit(d.client(), serviceSubmission("before", 1))
+	calls.awaitMoreCalls(100)
+	for _, name := range processesInDataCentre(lost) {
 		d.signal(name, syscall.SIGKILL)
 	}
-	for _, name := range inDataCentre(lost) {
+	for _, name := range processesInDataCentre(lost) {
 		d.kill(name)
 	}
 
-	after := d.submit(d.client(others[:2]...), service("after", 1))
+	after := d.submit(d.client(others[:2]...), serviceSubmission("after", 1))
 	c.Assert(after.Result, qt.Equals, catalog.Accepted, qt.Commentf("%+v", after))
 	c.Assert(after.Revision > before.Revision, qt.IsTrue)
-	d.eventually("the revision is in force on all other nodes", convergence, func() bool {
-		return lo.EveryBy(others, func(i int) bool { return d.holds(fmt.Sprintf("n%d", i), after.Revision) })
+	d.awaitCondition("the revision is in force on all other nodes", convergenceTarget, func() bool {
+		return lo.EveryBy(others, func(i int) bool { return d.hasInForce(fmt.Sprintf("n%d", i), after.Revision) })
 	})
 
 	d.startControl(lost)
@@ -64,18 +64,18 @@
 		d.startNode(i)
 		d.startBackend(i, "v1")
 	}
-	d.eventually("the revision is in force on all nodes", convergence, func() bool {
+	d.awaitCondition("the revision is in force on all nodes", convergenceTarget, func() bool {
 		status, err := d.status(d.client())
 		return err == nil && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce >= after.Revision
 	})
 	calls.verify()
 	// Only what ran in the slots of the two killed backend servers may stay without an answer.
 	c.Assert(calls.summary()["ok"].(float64) >= calls.summary()["calls"].(float64)-2*9, qt.IsTrue, qt.Commentf("%v", calls.summary()))
-	c.Assert(d.submit(d.client(), service("before", 1)).Revision, qt.Equals, before.Revision)
+	c.Assert(d.submit(d.client(), serviceSubmission("before", 1)).Revision, qt.Equals, before.Revision)
 }
 
 // holds tells whether a node has a revision, or a later one, in force.
-func (d *deployment) holds(node string, revision core.Revision) bool {
+func (d *deployment) hasInForce(node string, revision core.Revision) bool {
 	status, text := d.get("http://" + d.address(node+"-admin") + "/state")
 	var dump struct {
 		Distribution distribution.Status `json:"distribution"`
--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -75,21 +75,21 @@
 		addresses: make(map[string]string),
 		processes: make(map[string]*exec.Cmd),
 	}
-	c.Cleanup(d.end)
+	c.Cleanup(d.killAll)
 	return d
 }
 
 // end ends all processes.
-func (d *deployment) end() {
+func (d *deployment) killAll() {
 	for name := range d.processes {
 		d.kill(name)
 	}
 	if d.c.Failed() {
-		d.logFiles()
+		d.logTails()
 	}
 }
 
-func (d *deployment) logFiles() {
+func (d *deployment) logTails() {
 	files, _ := filepath.Glob(filepath.Join(d.folder, "*.log"))
 	for _, file := range files {
 		content, _ := os.ReadFile(file)
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("dc-%c", 'a'+(i-1)%3)
 }
 
-func (d *deployment) write(name string, settings map[string]any) string {
+func (d *deployment) writeSettings(name string, settings map[string]any) string {
 	text, err := json.Marshal(settings)
 	d.c.Assert(err, qt.IsNil)
 	path := filepath.Join(d.folder, name+".jsonc")
@@ -134,7 +134,7 @@
 		members = append(members, map[string]any{
 			"id":               fmt.Sprintf("c%d", m),
 			"data-centre":      dataCentre(m),
-			"operator-address": d.operator(m),
+			"operator-address": d.operatorAddress(m),
 			"peer-address":     d.address(fmt.Sprintf("c%d-peer", m)),
 			"node-address":     d.address(fmt.Sprintf("c%d-node", m)),
 		})
@@ -152,7 +152,7 @@
 		settings[key] = value
 	}
 	name := fmt.Sprintf("c%d", i)
-	d.start(name, programs.parsleyport, "control", "--settings", d.write(name, settings))
+	d.start(name, programs.parsleyport, "control", "--settings", d.writeSettings(name, settings))
 }
 
 func (d *deployment) startControls() {
@@ -165,7 +165,7 @@
 	return filepath.Join(d.folder, fmt.Sprintf("data-%d", i))
 }
 
-func (d *deployment) operator(i int) string {
+func (d *deployment) operatorAddress(i int) string {
 	return d.address(fmt.Sprintf("c%d-operator", i))
 }
 
@@ -175,7 +175,7 @@
 		control = append(control, d.address(fmt.Sprintf("c%d-node", m)))
 	}
 	name := fmt.Sprintf("n%d", i)
-	d.start(name, programs.parsleyport, "node", "--settings", d.write(name, map[string]any{
+	d.start(name, programs.parsleyport, "node", "--settings", d.writeSettings(name, map[string]any{
 		"id":                name,
 		"data-centre":       dataCentre(i),
 		"caller-address":    d.address(name + "-caller"),
@@ -230,11 +230,11 @@
 }
 
 // eventually polls until the condition holds.
-func (d *deployment) eventually(what string, limit time.Duration, condition func() bool) time.Duration {
+func (d *deployment) awaitCondition(description string, limit time.Duration, condition func() bool) time.Duration {
 	began := time.Now()
 	for !condition() {
 		if time.Since(began) > limit {
-			d.c.Fatalf("not within %v: %s", limit, what)
+			d.c.Fatalf("not within %v: %s", limit, description)
 		}
 		time.Sleep(10 * time.Millisecond) // between two polls of another process
 	}
--- a/e2e/failures_test.go
+++ b/e2e/failures_test.go
@@ -41,7 +41,7 @@
 		}()
 		for range 5 {
 			version++
-			submission := service("survivor", version)
+			submission := serviceSubmission("survivor", version)
 			if len(victims) == 1 {
 				verdict := d.submit(client, submission)
 				c.Assert(verdict.Result, qt.Equals, catalog.Accepted, qt.Commentf("%+v", verdict))
@@ -62,14 +62,14 @@
 			var repeated core.RecordVersion
 			_, err := fmt.Sscanf(string(id), "survivor-%d", &repeated)
 			c.Assert(err, qt.IsNil)
-			c.Assert(d.submit(client, service("survivor", repeated)).Revision, qt.Equals, revision, qt.Commentf("round %d, submission %s", round, id))
+			c.Assert(d.submit(client, serviceSubmission("survivor", repeated)).Revision, qt.Equals, revision, qt.Commentf("round %d, submission %s", round, id))
 		}
 	}
 	c.Assert(accepted, qt.HasLen, 15)
 }
 
 // Guards against a leader that was frozen and, once it runs again, serves what it knew as current.
-func TestFrozenLeaderServesNothingStale(t *testing.T) {
+func TestFrozenLeaderServesNoStaleState(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
 	d.startControls()
@@ -77,7 +77,7 @@
 	others := lo.Without([]int{1, 2, 3}, frozen)
 	name := fmt.Sprintf("c%d", frozen)
 	d.signal(name, syscall.SIGSTOP)
-	verdict := d.submit(d.client(others...), service("while-frozen", 1))
+	verdict := d.submit(d.client(others...), serviceSubmission("while-frozen", 1))
 	c.Assert(verdict.Result, qt.Equals, catalog.Accepted)
 	d.signal(name, syscall.SIGCONT)
 	for range 20 {
@@ -86,7 +86,7 @@
 			c.Assert(status.Revision >= verdict.Revision, qt.IsTrue, qt.Commentf("%+v", status))
 		}
 	}
-	d.eventually("the thawed instance has caught up", 10*time.Second, func() bool {
+	d.awaitCondition("the thawed instance has caught up", 10*time.Second, func() bool {
 		status, err := d.status(d.client(frozen))
 		return err == nil && status.Current && status.Revision >= verdict.Revision
 	})
@@ -94,14 +94,14 @@
 
 // Guards against nodes that stop serving while the control instances are away, and against a fresh node that serves a
 // configuration which may be older than the one of its earlier run.
-func TestNodesServeOnWithoutControlInstances(t *testing.T) {
+func TestNodesServeWithoutControlInstances(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
 	d.startServing(3)
 	for i := 1; i <= controls; i++ {
 		d.kill(fmt.Sprintf("c%d", i))
 	}
-	calls := d.startCalls("without-control", 6*time.Second, 200, []int{1, 2})
+	calls := d.startCaller("without-control", 6*time.Second, 200, []int{1, 2})
 	d.kill("n3")
 	d.kill("b3")
 	d.startNode(3)
@@ -112,7 +112,7 @@
 	c.Assert(d.ready("n3"), qt.IsFalse)
 
 	d.startControls()
-	d.eventually("the fresh node is confirmed", 20*time.Second, func() bool { return d.ready("n3") })
+	d.awaitCondition("the fresh node is confirmed", 20*time.Second, func() bool { return d.ready("n3") })
 }
 
 // Guards against calls that are cut off or refused while every node and backend server is restarted in turn under load.
@@ -120,7 +120,7 @@
 	d := newDeployment(qt.New(t))
 	const nodes = 4
 	d.startServing(nodes)
-	calls := d.startCalls("rolling", 24*time.Second, 200, []int{1, 2, 3, 4})
+	calls := d.startCaller("rolling", 24*time.Second, 200, []int{1, 2, 3, 4})
 	for i := 1; i <= nodes; i++ {
 		node := fmt.Sprintf("n%d", i)
 		others := lo.Without(lo.RangeFrom(1, nodes), i)
@@ -129,7 +129,7 @@
 		d.stop(fmt.Sprintf("b%d", i))
 		d.startNode(i)
 		d.startBackend(i, "v1")
-		d.eventually("the restarted node is ready and all know its new endpoint", 10*time.Second, func() bool {
+		d.awaitCondition("the restarted node is ready and all know its new endpoint", 10*time.Second, func() bool {
 			status, err := d.status(d.client())
 			return err == nil && status.Fleet.Endpoints["transcripts"] == nodes && d.ready(node) &&
 				lo.EveryBy(others, func(other int) bool { return d.incarnation(other, node) > before })
@@ -140,18 +140,18 @@
 
 // Guards against callers who are refused while all nodes and backend servers restart within about a second, so that for a
 // while no node knows a usable endpoint.
-func TestRestartOfAllWithinASecondRefusesNobody(t *testing.T) {
+func TestRestartOfAllNodesWithinOneSecondRefusesNoCall(t *testing.T) {
 	d := newDeployment(qt.New(t))
 	const nodes = 4
 	d.startServing(nodes)
-	calls := d.startCalls("all-at-once", 8*time.Second, 200, []int{1, 2, 3, 4})
+	calls := d.startCaller("all-at-once", 8*time.Second, 200, []int{1, 2, 3, 4})
 	for i := 1; i <= nodes; i++ {
 		d.stop(fmt.Sprintf("n%d", i))
 		d.stop(fmt.Sprintf("b%d", i))
 		d.startBackend(i, "v1")            // before its node, so that its first announcement fails and the next one follows after a second
 		time.Sleep(100 * time.Millisecond) // the first announcement must fail before its node listens
 		d.startNode(i)
-		d.eventually("the restarted node takes callers", 10*time.Second, func() bool { return d.ready(fmt.Sprintf("n%d", i)) })
+		d.awaitCondition("the restarted node takes callers", 10*time.Second, func() bool { return d.ready(fmt.Sprintf("n%d", i)) })
 	}
 	calls.verify("--all-answered")
 }
@@ -170,12 +170,12 @@
 }
 
 // Guards against calls that run twice or get a false refusal when backend servers and nodes are killed under load.
-func TestKilledNodesRunNothingTwice(t *testing.T) {
+func TestNonIdempotentCallsRunOnceDespiteKills(t *testing.T) {
 	d := newDeployment(qt.New(t))
 	d.startServing(4)
-	calls := d.startCalls("killed", 10*time.Second, 300, []int{1, 2, 3, 4}, "--post-per-mille", "700")
+	calls := d.startCaller("killed", 10*time.Second, 300, []int{1, 2, 3, 4}, "--post-per-mille", "700")
 	for i := 1; i <= 3; i++ {
-		calls.goOn(200)
+		calls.awaitMoreCalls(200)
 		d.kill(fmt.Sprintf("b%d", i))
 		d.startBackend(i, "v1")
 		d.kill(fmt.Sprintf("n%d", i))
@@ -197,14 +197,14 @@
 		d.startBackend(i, "v1")
 	}
 	time.Sleep(3 * time.Second) // nodes must know each other before the service's records are accepted, with a margin for clocks
-	d.submit(d.client(), transcripts(1))
-	d.eventually("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
+	d.submit(d.client(), transcriptsSubmission(1))
+	d.awaitCondition("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
 		status, err := d.status(d.client())
 		return err == nil && status.Fleet.Endpoints["transcripts"] == nodes && lo.EveryBy(lo.RangeFrom(1, nodes), func(i int) bool { return d.ready(fmt.Sprintf("n%d", i)) })
 	})
-	calls := d.startCalls("keyed", 10*time.Second, 200, []int{1, 2, 3, 4}, "--post-per-mille", "1000", "--keyed", "--resends", "3")
+	calls := d.startCaller("keyed", 10*time.Second, 200, []int{1, 2, 3, 4}, "--post-per-mille", "1000", "--keyed", "--resends", "3")
 	for i := 1; i <= 2; i++ {
-		calls.goOn(300)
+		calls.awaitMoreCalls(300)
 		d.kill(fmt.Sprintf("b%d", i))
 		d.startBackend(i, "v1")
 		d.kill(fmt.Sprintf("n%d", i))
@@ -216,11 +216,11 @@
 }
 
 // Guards against a control instance that lost its disk and votes as if it remembered.
-func TestWipedDiskDoesNotVote(t *testing.T) {
+func TestWipedInstanceDoesNotVote(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
 	d.startControls()
-	verdict := d.submit(d.client(), service("kept", 1))
+	verdict := d.submit(d.client(), serviceSubmission("kept", 1))
 	wiped := d.leader()
 	others := lo.Without([]int{1, 2, 3}, wiped)
 	name := fmt.Sprintf("c%d", wiped)
@@ -228,7 +228,7 @@
 	c.Assert(os.RemoveAll(d.dataFolder(wiped)), qt.IsNil)
 	d.startControl(wiped)
 	d.leader()
-	d.submit(d.client(others...), service("kept", 2))
+	d.submit(d.client(others...), serviceSubmission("kept", 2))
 
 	// With one more instance gone, the wiped one must not complete a majority.
 	d.kill(fmt.Sprintf("c%d", others[0]))
@@ -241,7 +241,7 @@
 	}
 	d.startControl(others[0])
 	d.leader()
-	c.Assert(d.submit(d.client(), service("kept", 1)).Revision, qt.Equals, verdict.Revision)
+	c.Assert(d.submit(d.client(), serviceSubmission("kept", 1)).Revision, qt.Equals, verdict.Revision)
 }
 
 // Guards against a restart that replays the whole history or loses a part of it.
@@ -251,7 +251,7 @@
 	d.startControls()
 	client := d.client(d.leader())
 	for version := core.RecordVersion(1); version <= 2000; version++ {
-		d.submit(client, service("busy", version))
+		d.submit(client, serviceSubmission("busy", version))
 	}
 	for i := 1; i <= controls; i++ {
 		d.kill(fmt.Sprintf("c%d", i))
@@ -260,7 +260,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(snapshots, qt.Not(qt.HasLen), 0)
 	d.startControls()
-	took := d.eventually("all changes are there again", 10*time.Second, func() bool {
+	took := d.awaitCondition("all changes are there again", 10*time.Second, func() bool {
 		status, err := d.status(d.client())
 		return err == nil && status.Current && status.Revision == 2000
 	})
--- a/e2e/move_test.go
+++ b/e2e/move_test.go
@@ -22,7 +22,7 @@
 
 // setFaults switches faults of a backend server stand-in on.
 func (d *deployment) setFaults(i int, faults string) {
-	d.eventually("the backend server takes its faults", 5*time.Second, func() bool {
+	d.awaitCondition("the backend server takes its faults", 5*time.Second, func() bool {
 		request, err := http.NewRequest(http.MethodPut, "http://"+d.address(fmt.Sprintf("b%d", i))+"/standin/faults", strings.NewReader(faults))
 		d.c.Assert(err, qt.IsNil)
 		response, err := http.DefaultClient.Do(request)
@@ -41,10 +41,10 @@
 	return verdict.Move
 }
 
-// moveUntil polls a move until a condition holds.
-func (d *deployment) moveUntil(client *operatorhttp.Client, id core.MoveID, limit time.Duration, condition func(core.Move) bool) core.Move {
+// awaitMove polls a move until a condition holds.
+func (d *deployment) awaitMove(client *operatorhttp.Client, id core.MoveID, limit time.Duration, condition func(core.Move) bool) core.Move {
 	var move core.Move
-	d.eventually("the move goes on", limit, func() bool {
+	d.awaitCondition("the move goes on", limit, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		current, err := client.ShowMove(ctx, id)
@@ -57,16 +57,16 @@
 }
 
 // callsBetween counts the calls of the caller's log that began within a time, and those among them with an answer of v2.
-func (k *calls) callsBetween(from, to time.Time) (all, ofV2 int) {
-	file, err := os.Open(filepath.Join(k.d.folder, k.name+".calls"))
-	k.d.c.Assert(err, qt.IsNil)
+func (run *callerRun) callsBetween(from, to time.Time) (all, ofV2 int) {
+	file, err := os.Open(filepath.Join(run.d.folder, run.name+".calls"))
+	run.d.c.Assert(err, qt.IsNil)
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		var call struct {
 			At      time.Time `json:"at"`
 			Release string    `json:"release"`
 		}
-		k.d.c.Assert(json.Unmarshal(lines.Bytes(), &call), qt.IsNil)
+		run.d.c.Assert(json.Unmarshal(lines.Bytes(), &call), qt.IsNil)
 		if call.At.Before(from) || call.At.After(to) {
 			continue
 		}
@@ -94,14 +94,14 @@
 // written for.
 func TestMovesOfGoodAndBadReleases(t *testing.T) {
 	for name, test := range map[string]struct {
-		faults string
-		from   core.PerMille // the fault appears at this share
-		want   core.MoveState
+		faults         string
+		faultFromShare core.PerMille // the fault appears at this share
+		wantState      core.MoveState
 	}{
-		"good":      {want: core.MoveDone},
-		"bad":       {faults: `{"fail-per-mille": 300}`, want: core.MoveTakenBack},
-		"late":      {faults: `{"fail-per-mille": 300}`, from: 20, want: core.MoveTakenBack},
-		"one route": {faults: `{"fail-per-mille": 500, "path-prefix": "/transcripts/2"}`, want: core.MoveTakenBack},
+		"good":      {wantState: core.MoveDone},
+		"bad":       {faults: `{"fail-per-mille": 300}`, wantState: core.MoveTakenBack},
+		"late":      {faults: `{"fail-per-mille": 300}`, faultFromShare: 20, wantState: core.MoveTakenBack},
+		"one route": {faults: `{"fail-per-mille": 500, "path-prefix": "/transcripts/2"}`, wantState: core.MoveTakenBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,46 +109,46 @@
 			d := newDeployment(c)
 			d.startServing(2)
 			client := d.client()
-			route := core.Record{Kind: core.KindRoute, Name: "second", SchemaVersion: 1, Version: 1, Body: body(core.RouteBody{PathPrefix: "/transcripts/2", Service: "transcripts", TimeoutMS: 2000})}
+			route := core.Record{Kind: core.KindRoute, Name: "second", SchemaVersion: 1, Version: 1, Body: jsonBody(core.RouteBody{PathPrefix: "/transcripts/2", Service: "transcripts", TimeoutMS: 2000})}
 			d.submit(client, core.Submission{ID: "second", Operator: "test", Records: []core.Record{route}})
 			for i := 3; i <= 4; i++ {
 				d.startNode(i)
 				d.startBackend(i, "v2")
 			}
-			d.eventually("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
+			d.awaitCondition("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
 				status, err := d.status(client)
 				return err == nil && status.Fleet.Endpoints["transcripts"] == 4 && lo.EveryBy(lo.RangeFrom(1, 4), func(i int) bool { return d.ready(fmt.Sprintf("n%d", i)) })
 			})
-			fail := func() {
+			injectFaults := func() {
 				for i := 3; test.faults != "" && i <= 4; i++ {
 					d.setFaults(i, test.faults)
 				}
 			}
-			if test.from == 0 {
-				fail()
+			if test.faultFromShare == 0 {
+				injectFaults()
 			}
 			faultAt, limit := time.Now(), 24*time.Second
-			calls := d.startCalls("calls", limit, 400, []int{1, 2, 3, 4})
+			calls := d.startCaller("calls", limit, 400, []int{1, 2, 3, 4})
 			id := d.startMove(client, core.MoveRequest{ID: "move", Operator: "test", Service: "transcripts", From: "transcripts-v1", To: "transcripts-v2", Deadline: faultAt.Add(limit)})
 			runsBefore := 0
-			if test.from > 0 {
-				d.moveUntil(client, id, limit, func(m core.Move) bool { return m.Share >= test.from })
+			if test.faultFromShare > 0 {
+				d.awaitMove(client, id, limit, func(m core.Move) bool { return m.Share >= test.faultFromShare })
 				faultAt, runsBefore = time.Now(), d.runsOfV2()
-				fail()
+				injectFaults()
 			}
-			move := d.moveUntil(client, id, limit+2*time.Second, func(m core.Move) bool { return rollout.IsFinal(m.State) })
-			c.Assert(move.State, qt.Equals, test.want, qt.Commentf("%+v", move))
-			if test.want == core.MoveDone {
+			move := d.awaitMove(client, id, limit+2*time.Second, func(m core.Move) bool { return rollout.IsFinal(m.State) })
+			c.Assert(move.State, qt.Equals, test.wantState, qt.Commentf("%+v", move))
+			if test.wantState == core.MoveDone {
 				c.Assert(move.SteppedAt.Before(move.Request.Deadline), qt.IsTrue)
 				calls.verify("--all-answered")
 				return
 			}
 			calls.verify()
-			all, _ := calls.callsBetween(move.StartedAt, move.SteppedAt.Add(time.Second))
-			_, bad := calls.callsBetween(faultAt, move.SteppedAt.Add(time.Minute))
-			t.Logf("%s; %d of %d calls, %d runs", move.Cause, bad, all, d.runsOfV2()-runsBefore)
-			c.Assert(bad < all*2/100, qt.IsTrue, qt.Commentf("%d of %d calls met the bad release: %+v", bad, all, move))
-			c.Assert(d.runsOfV2()-runsBefore < all*2/100, qt.IsTrue)
+			allCalls, _ := calls.callsBetween(move.StartedAt, move.SteppedAt.Add(time.Second))
+			_, badCalls := calls.callsBetween(faultAt, move.SteppedAt.Add(time.Minute))
+			t.Logf("%s; %d of %d calls, %d runs", move.Cause, badCalls, allCalls, d.runsOfV2()-runsBefore)
+			c.Assert(badCalls < allCalls*2/100, qt.IsTrue, qt.Commentf("%d of %d calls met the bad release: %+v", badCalls, allCalls, move))
+			c.Assert(d.runsOfV2()-runsBefore < allCalls*2/100, qt.IsTrue)
 		})
 	}
 }
--- a/e2e/records_test.go
+++ b/e2e/records_test.go
@@ -26,7 +26,7 @@
 		instances = []int{1, 2, 3}
 	}
 	client := operatorhttp.NewClient(operatorhttp.ClientOptions{
-		Servers: lo.Map(instances, func(i, _ int) string { return d.operator(i) }),
+		Servers: lo.Map(instances, func(i, _ int) string { return d.operatorAddress(i) }),
 	})
 	d.c.Cleanup(client.Close)
 	return client
@@ -49,7 +49,7 @@
 // leader waits until a control instance leads and returns its number.
 func (d *deployment) leader() int {
 	leader := 0
-	d.eventually("a leader is known", 15*time.Second, func() bool {
+	d.awaitCondition("a leader is known", 15*time.Second, func() bool {
 		for i := 1; i <= controls; i++ {
 			if _, running := d.processes[fmt.Sprintf("c%d", i)]; !running {
 				continue
@@ -65,14 +65,14 @@
 	return leader
 }
 
-func body(v any) json.RawMessage {
+func jsonBody(v any) json.RawMessage {
 	return lo.Must(json.Marshal(v))
 }
 
 // transcripts is one service with two releases; all traffic goes to v1.
-func transcripts(version core.RecordVersion) core.Submission {
+func transcriptsSubmission(version core.RecordVersion) core.Submission {
 	record := func(kind core.Kind, name string, v any) core.Record {
-		return core.Record{Kind: kind, Name: name, SchemaVersion: 1, Version: version, Body: body(v)}
+		return core.Record{Kind: kind, Name: name, SchemaVersion: 1, Version: version, Body: jsonBody(v)}
 	}
 	return core.Submission{
 		ID:       core.SubmissionID(fmt.Sprintf("transcripts-%d", version)),
@@ -89,12 +89,12 @@
 }
 
 // service is a submission of one service record.
-func service(name string, version core.RecordVersion) core.Submission {
+func serviceSubmission(name string, version core.RecordVersion) core.Submission {
 	return core.Submission{
 		ID:       core.SubmissionID(fmt.Sprintf("%s-%d", name, version)),
 		Operator: "test",
 		Records: []core.Record{
-			{Kind: core.KindService, Name: name, SchemaVersion: 1, Version: version, Body: body(core.ServiceBody{Tenant: core.TenantID(fmt.Sprintf("t%d", version))})},
+			{Kind: core.KindService, Name: name, SchemaVersion: 1, Version: version, Body: jsonBody(core.ServiceBody{Tenant: core.TenantID(fmt.Sprintf("t%d", version))})},
 		},
 	}
 }
@@ -102,26 +102,26 @@
 // startServing starts control instances, nodes and backend servers of release v1 and waits until all nodes are ready.
 func (d *deployment) startServing(nodes int) {
 	d.startControls()
-	d.submit(d.client(), transcripts(1))
+	d.submit(d.client(), transcriptsSubmission(1))
 	for i := 1; i <= nodes; i++ {
 		d.startNode(i)
 		d.startBackend(i, "v1")
 	}
-	d.eventually("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
+	d.awaitCondition("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
 		status, err := d.status(d.client())
 		return err == nil && status.Fleet.Endpoints["transcripts"] == nodes && lo.EveryBy(lo.RangeFrom(1, nodes), func(i int) bool { return d.ready(fmt.Sprintf("n%d", i)) })
 	})
 }
 
 // calls is a running caller stand-in.
-type calls struct {
+type callerRun struct {
 	d       *deployment
 	name    string
 	process *exec.Cmd
 }
 
-// startCalls starts callers at the given nodes for a while.
-func (d *deployment) startCalls(name string, duration time.Duration, rate int, nodes []int, flags ...string) *calls {
+// startCaller starts callers at the given nodes for a while.
+func (d *deployment) startCaller(name string, duration time.Duration, rate int, nodes []int, flags ...string) *callerRun {
 	args := []string{
 		"caller", "--path", "/transcripts/1", "--path", "/transcripts/2", "--workers", "32",
 		"--rate", fmt.Sprint(rate), "--duration-ms", fmt.Sprint(duration.Milliseconds()),
@@ -131,41 +131,41 @@
 		args = append(args, "--target", d.address(fmt.Sprintf("n%d-caller", i)))
 	}
 	d.start(name, programs.standin, append(args, flags...)...)
-	return &calls{d: d, name: name, process: d.processes[name]}
+	return &callerRun{d: d, name: name, process: d.processes[name]}
 }
 
-// goOn waits until more calls have ended, so that others are under way.
-func (k *calls) goOn(more int) {
-	k.d.c.Helper()
+// awaitMoreCalls waits until more calls have ended, so that others are under way.
+func (run *callerRun) awaitMoreCalls(additional int) {
+	run.d.c.Helper()
 	ended := func() int {
-		text, err := os.ReadFile(filepath.Join(k.d.folder, k.name+".calls"))
+		text, err := os.ReadFile(filepath.Join(run.d.folder, run.name+".calls"))
 		if err != nil {
 			return 0 // the callers have not begun
 		}
 		return bytes.Count(text, []byte("\n"))
 	}
 	before := ended()
-	k.d.eventually("calls go on", 10*time.Second, func() bool { return ended() >= before+more })
+	run.d.awaitCondition("calls go on", 10*time.Second, func() bool { return ended() >= before+additional })
 }
 
 // verify waits for the end of the calls and checks the logs; flags are those of the stand-in's verify command.
-func (k *calls) verify(flags ...string) {
-	delete(k.d.processes, k.name)
-	k.d.c.Assert(k.process.Wait(), qt.IsNil)
-	args := []string{"verify", "--calls", filepath.Join(k.d.folder, k.name+".calls")}
-	runs, _ := filepath.Glob(filepath.Join(k.d.folder, "*.runs"))
+func (run *callerRun) verify(flags ...string) {
+	delete(run.d.processes, run.name)
+	run.d.c.Assert(run.process.Wait(), qt.IsNil)
+	args := []string{"verify", "--calls", filepath.Join(run.d.folder, run.name+".calls")}
+	runs, _ := filepath.Glob(filepath.Join(run.d.folder, "*.runs"))
 	for _, file := range runs {
 		args = append(args, "--runs", file)
 	}
 	output, err := exec.Command(programs.standin, append(args, flags...)...).CombinedOutput()
-	k.d.c.Assert(err, qt.IsNil, qt.Commentf("%s: %s", k.name, output))
+	run.d.c.Assert(err, qt.IsNil, qt.Commentf("%s: %s", run.name, output))
 }
 
 // summary reads what the caller stand-in has counted.
-func (k *calls) summary() map[string]any {
-	text, err := os.ReadFile(filepath.Join(k.d.folder, k.name+".summary"))
-	k.d.c.Assert(err, qt.IsNil)
+func (run *callerRun) summary() map[string]any {
+	text, err := os.ReadFile(filepath.Join(run.d.folder, run.name+".summary"))
+	run.d.c.Assert(err, qt.IsNil)
 	var counts map[string]any
-	k.d.c.Assert(json.Unmarshal(text, &counts), qt.IsNil)
+	run.d.c.Assert(json.Unmarshal(text, &counts), qt.IsNil)
 	return counts
 }
--- a/e2e/tokens_test.go
+++ b/e2e/tokens_test.go
@@ -14,13 +14,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const secrets = "never-to-be-shown-"
+const secretPrefix = "never-to-be-shown-"
 
 // as runs an operators' command with the token of a name and returns its output and exit status.
-func (d *deployment) as(token string, args ...string) (string, int) {
-	args = append(args, "--token-file", d.file(token+".token", secrets+token+"\n"))
+func (d *deployment) runWithToken(token string, args ...string) (string, int) {
+	args = append(args, "--token-file", d.writeFile(token+".token", secretPrefix+token+"\n"))
 	for i := 1; i <= controls; i++ {
-		args = append(args, "--server", d.operator(i))
+		args = append(args, "--server", d.operatorAddress(i))
 	}
 	command := exec.Command(programs.parsleyport, args...)
 	command.Env = append(os.Environ(), "PARSLEYPORT_OPERATOR=e2e")
@@ -28,7 +28,7 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-func (d *deployment) file(name, content string) string {
+func (d *deployment) writeFile(name, content string) string {
 	path := filepath.Join(d.folder, name)
 	d.c.Assert(os.WriteFile(path, []byte(content), 0o600), qt.IsNil)
 	return path
@@ -36,38 +36,38 @@
 
 // Guards against a rival that gets past its token in a real deployment, against a membership change that the audit trail
 // loses with the instance that took it, against limits that never come into use or that hit another tenant, and against secrets in logs, data folders or dumps.
-func TestRivalsShareADeployment(t *testing.T) {
+func TestTokensIsolateTenants(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
-	d.tokenFile = d.file("tokens.jsonc", fmt.Sprintf(`{"tokens": [
+	d.tokenFile = d.writeFile("tokens.jsonc", fmt.Sprintf(`{"tokens": [
   {"name": "platform", "secret": "%[1]splatform", "all-rights": true}, // the operators of the platform
   {"name": "token-a", "secret": "%[1]sa", "tenants": ["a"]}, {"name": "token-b", "secret": "%[1]sb", "tenants": ["b"]},
-]}`, secrets))
+]}`, secretPrefix))
 	d.limits = map[string]int{"tenant-submissions-per-day": 3}
 	d.startControls()
 	d.startNode(1)
 	run := func(want int, token string, args ...string) string {
-		output, status := d.as(token, args...)
+		output, status := d.runWithToken(token, args...)
 		c.Assert(status, qt.Equals, want, qt.Commentf("%s %v: %s", token, args, output))
 		return output
 	}
 	submission := func(version int, tenant string) string {
-		return d.file(fmt.Sprintf("%s-%d.jsonc", tenant, version), fmt.Sprintf(`{"records": [{"kind": "service", "name": "orders", "schema-version": 1, "version": %d, "body": {"tenant": %q}}]}`, version, tenant))
+		return d.writeFile(fmt.Sprintf("%s-%d.jsonc", tenant, version), fmt.Sprintf(`{"records": [{"kind": "service", "name": "orders", "schema-version": 1, "version": %d, "body": {"tenant": %q}}]}`, version, tenant))
 	}
 	run(0, "a", "apply", submission(1, "a"))
 	c.Assert(run(1, "b", "apply", submission(2, "b")), qt.Contains, "not-permitted")
 	c.Assert(run(0, "b", "records"), qt.Not(qt.Contains), "orders")
 	c.Assert(run(0, "b", "status"), qt.Not(qt.Contains), "endpoints")
 	run(1, "b", "members")
-	flood := 0
-	d.eventually("a tenant has used up its submissions", 20*time.Second, func() bool {
-		flood++
-		output, _ := d.as("b", "apply", "--submission-id", fmt.Sprint("flood", flood), submission(2, "b"))
+	submissions := 0
+	d.awaitCondition("a tenant has used up its submissions", 20*time.Second, func() bool {
+		submissions++
+		output, _ := d.runWithToken("b", "apply", "--submission-id", fmt.Sprint("flood", submissions), submission(2, "b"))
 		return strings.Contains(output, "submission-limit")
 	})
 	run(0, "a", "apply", submission(3, "a"))
 	run(1, "wrong", "status")
-	d.eventually("the node is listed", 20*time.Second, func() bool { return strings.Contains(run(0, "platform", "status", "--nodes"), "n1 ") })
+	d.awaitCondition("the node is listed", 20*time.Second, func() bool { return strings.Contains(run(0, "platform", "status", "--nodes"), "n1 ") })
 
 	leader := regexp.MustCompile(`(c\d) +voter, leader`).FindStringSubmatch(run(0, "platform", "members"))[1]
 	run(0, "platform", "members", "promote", "--submission-id", "repeated", leader) // is in force
@@ -75,10 +75,10 @@
 	entries := run(0, "platform", "audit", "--submission-id", "repeated")
 	c.Assert(entries, qt.Matches, `(?s).* e2e +platform +members +requested .* members +accepted .*promote member `+leader+` .*`)
 	c.Assert(run(0, "b", "audit"), qt.Not(qt.Contains), "platform")
-	c.Assert(d.filesWith(secrets), qt.DeepEquals, []string{"a.token", "b.token", "platform.token", "tokens.jsonc", "wrong.token"})
+	c.Assert(d.filesContaining(secretPrefix), qt.DeepEquals, []string{"a.token", "b.token", "platform.token", "tokens.jsonc", "wrong.token"})
 }
 
-func (d *deployment) filesWith(text string) (names []string) {
+func (d *deployment) filesContaining(text string) (names []string) {
 	d.c.Assert(filepath.WalkDir(d.folder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
--- a/standin/main.go
+++ b/standin/main.go
@@ -7,5 +7,5 @@
 )
 
 func main() {
-	os.Exit(outside.Main(os.Args[1:], outside.OwnProtocol()))
+	os.Exit(outside.Main(os.Args[1:], outside.DefaultProtocol()))
 }
--- a/standin/outside/backend.go
+++ b/standin/outside/backend.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	announceLimit = time.Second // for an acknowledgement
-	announceAgain = 100 * time.Millisecond
-	leaveAtMost   = 2 * time.Second // to be heard
-	drainAtMost   = 10 * time.Second
-	maxBodyBytes  = 1 << 20
-	checksumName  = "Standin-Checksum"
+	announcementTimeout       = time.Second // for an acknowledgement
+	announcementRetryInterval = 100 * time.Millisecond
+	leaveTimeout              = 2 * time.Second // to be heard
+	drainTimeout              = 10 * time.Second
+	maxBodyBytes              = 1 << 20
+	checksumHeader            = "Standin-Checksum"
 )
 
 type backendOptions struct {
-	listen      string
-	announce    string
-	service     string
-	release     string
-	slots       int
-	workMS      int
-	coldMS      int
-	answerBytes int
-	name        string
-	announceMS  int
-	nestedPath  string
-	nestedHost  string
-	nestedNode  string
-	nestedFor   string
-	runLog      string
+	listen           string
+	announce         string
+	service          string
+	release          string
+	slots            int
+	workMS           int
+	coldMS           int
+	answerBytes      int
+	name             string
+	announceMS       int
+	nestedPath       string
+	nestedHost       string
+	nestedNode       string
+	nestedPathPrefix string
+	runLog           string
 }
 
 func backendFlags(app *kingpin.Application) (*kingpin.CmdClause, *backendOptions) {
@@ -59,7 +59,7 @@
 	command.Flag("answer-bytes", "Size of the answer's padding.").Default("200").IntVar(&o.answerBytes)
 	command.Flag("name", "Name of this run; empty for one made of the time.").StringVar(&o.name)
 	command.Flag("announce-ms", "Pause between two announcements.").Default("1000").IntVar(&o.announceMS)
-	command.Flag("nested-for", "Path prefix of the requests whose runs make a call of their own.").StringVar(&o.nestedFor)
+	command.Flag("nested-for", "Path prefix of the requests whose runs make a call of their own.").StringVar(&o.nestedPathPrefix)
 	command.Flag("nested-node", "Caller address of the node for these calls.").StringVar(&o.nestedNode)
 	command.Flag("nested-host", "Host header of these calls; empty for the node's address.").StringVar(&o.nestedHost)
 	command.Flag("nested-path", "Path of these calls.").StringVar(&o.nestedPath)
@@ -80,15 +80,15 @@
 }
 
 type backendServer struct {
-	options   backendOptions
-	protocol  Protocol
-	log       *os.File
-	startedAt time.Time
-	name      string // of this run
-	running   atomic.Int64
-	left      atomic.Bool // its node knows that it leaves
-	calls     atomic.Uint64
-	faults    faultSwitch
+	options        backendOptions
+	protocol       Protocol
+	log            *os.File
+	startedAt      time.Time
+	name           string // of this run
+	running        atomic.Int64
+	leaveAnnounced atomic.Bool // its node knows that it leaves
+	nestedCalls    atomic.Uint64
+	faults         faultSwitch
 }
 
 func runBackend(ctx context.Context, o backendOptions, protocol Protocol) error {
@@ -121,12 +121,12 @@
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
-	return b.announceUntil(ctx, server, failed)
+	return b.announceUntilDone(ctx, server, failed)
 }
 
-// announceUntil renews the lease until the context ends, then drains: leaving is announced first, so that no new
+// announceUntilDone renews the lease until the context ends, then drains: leaving is announced first, so that no new
 // requests arrive while the running ones finish.
-func (b *backendServer) announceUntil(ctx context.Context, server *http.Server, failed <-chan error) error {
+func (b *backendServer) announceUntilDone(ctx context.Context, server *http.Server, failed <-chan error) error {
 	ticker := time.NewTicker(time.Duration(b.options.announceMS) * time.Millisecond)
 	defer ticker.Stop()
 	for sequence := 1; ; sequence++ {
@@ -144,16 +144,16 @@
 
 // leave announces that the server leaves, serves a little longer and stops.
 func (b *backendServer) leave(sequence int, server *http.Server) error {
-	deadline := time.Now().Add(leaveAtMost)
-	for ; !b.announce(sequence, StateLeaving) && b.protocol.LeaveIsAcknowledged; sequence++ {
+	deadline := time.Now().Add(leaveTimeout)
+	for ; !b.announce(sequence, StateLeaving) && b.protocol.AwaitsLeaveAcknowledgement; sequence++ {
 		if time.Now().After(deadline) {
 			return errors.New("the node does not know that this server leaves")
 		}
-		time.Sleep(announceAgain)
+		time.Sleep(announcementRetryInterval)
 	}
-	b.left.Store(true)
-	time.Sleep(b.protocol.DrainFor)
-	drain, cancel := context.WithTimeout(context.Background(), drainAtMost)
+	b.leaveAnnounced.Store(true)
+	time.Sleep(b.protocol.DrainDelay)
+	drain, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := server.Shutdown(drain); err != nil {
 		return errors.Trace(err)
@@ -165,15 +165,15 @@
 // announce reports whether the node has acknowledged the announcement.
 func (b *backendServer) announce(sequence int, state State) bool {
 	request, err := b.protocol.Announce(b.options.announce, Announcement{
-		Service:  b.options.service,
-		Release:  b.options.release,
-		Address:  b.options.listen,
-		Slots:    b.options.slots,
-		State:    state,
-		Run:      b.name,
-		Born:     b.startedAt,
-		Sequence: sequence,
-		Cold:     max(0, time.Until(b.warmAt())),
+		Service:         b.options.service,
+		Release:         b.options.release,
+		Address:         b.options.listen,
+		Slots:           b.options.slots,
+		State:           state,
+		Run:             b.name,
+		StartedAt:       b.startedAt,
+		Sequence:        sequence,
+		WarmUpRemaining: max(0, time.Until(b.warmUpEnd())),
 	})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: announcement: %v\n", b.protocol.Name, err)
@@ -182,7 +182,7 @@
 	if request == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), announceLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), announcementTimeout)
 	defer cancel()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
@@ -192,7 +192,7 @@
 	return response.StatusCode < http.StatusMultipleChoices
 }
 
-func (b *backendServer) warmAt() time.Time {
+func (b *backendServer) warmUpEnd() time.Time {
 	return b.startedAt.Add(time.Duration(b.options.coldMS) * time.Millisecond)
 }
 
@@ -204,36 +204,36 @@
 func (b *backendServer) serve(w http.ResponseWriter, r *http.Request) {
 	running := int(b.running.Add(1))
 	defer b.running.Add(-1)
-	b.echo(w, r)
+	b.echoCallID(w, r)
 	if expected := r.Header.Get(b.protocol.Headers.ExpectedInstance); expected != "" && expected != b.name {
-		b.reject(w, http.StatusMisdirectedRequest, "another instance is expected")
+		b.rejectNotRun(w, http.StatusMisdirectedRequest, "another instance is expected")
 		return
 	}
 	if running > b.options.slots {
 		w.Header().Set("Retry-After", "1")
-		b.reject(w, http.StatusServiceUnavailable, "no free slot")
+		b.rejectNotRun(w, http.StatusServiceUnavailable, "no free slot")
 		return
 	}
-	b.record(r)
-	f := b.faults.get()
-	hit := f.hits(r, running)
-	if f.CrashOnHeader && r.Header.Get("Standin-Crash") != "" {
+	b.logRun(r)
+	current := b.faults.get()
+	faulty := current.affects(r, running)
+	if current.CrashOnHeader && r.Header.Get("Standin-Crash") != "" {
 		os.Exit(3)
 	}
-	if !b.work(r.Context(), f, hit) {
+	if !b.work(r.Context(), current, faulty) {
 		return
 	}
-	if hit && f.fails() {
+	if faulty && current.fails() {
 		http.Error(w, "fault", http.StatusInternalServerError)
 		return
 	}
-	if b.options.nestedFor != "" && strings.HasPrefix(r.URL.Path, b.options.nestedFor) {
+	if b.options.nestedPathPrefix != "" && strings.HasPrefix(r.URL.Path, b.options.nestedPathPrefix) {
 		if err := b.callNested(r); err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
 	}
-	b.answer(w, r, hit && f.CutAnswer)
+	b.answer(w, r, faulty && current.CutAnswer)
 }
 
 // callNested makes the call that a run needs, within the time that the run has left.
@@ -243,9 +243,9 @@
 		return err
 	}
 	request.Host = b.options.nestedHost
-	setHeader(request, b.protocol.Headers.Deadline, r.Header.Get(b.protocol.Headers.Deadline))
-	if b.protocol.CallersNameCalls {
-		setHeader(request, b.protocol.Headers.CallID, fmt.Sprintf("%s-%d", b.name, b.calls.Add(1)))
+	setHeaderIfPresent(request, b.protocol.Headers.Deadline, r.Header.Get(b.protocol.Headers.Deadline))
+	if b.protocol.CallerSetsCallID {
+		setHeaderIfPresent(request, b.protocol.Headers.CallID, fmt.Sprintf("%s-%d", b.name, b.nestedCalls.Add(1)))
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -260,29 +260,29 @@
 }
 
 // echo returns the id by which the node knows the call.
-func (b *backendServer) echo(w http.ResponseWriter, r *http.Request) {
+func (b *backendServer) echoCallID(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(b.protocol.Headers.CallID); id != "" {
 		w.Header().Set(b.protocol.Headers.CallID, id)
 	}
 }
 
 // reject answers a request that was not run, and says so.
-func (b *backendServer) reject(w http.ResponseWriter, status int, text string) {
+func (b *backendServer) rejectNotRun(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(b.protocol.Headers.NotRun, "1")
 	http.Error(w, text, status)
 }
 
 // work returns false if the request was cancelled or must stay without an answer.
-func (b *backendServer) work(ctx context.Context, f faults, hit bool) bool {
-	if hit && f.Silent {
+func (b *backendServer) work(ctx context.Context, f faults, faulty bool) bool {
+	if faulty && f.Silent {
 		<-ctx.Done()
 		return false
 	}
 	duration := time.Duration(b.options.workMS) * time.Millisecond
-	if time.Now().Before(b.warmAt()) {
+	if time.Now().Before(b.warmUpEnd()) {
 		duration *= 4
 	}
-	if hit {
+	if faulty {
 		duration += f.delay()
 	}
 	if duration == 0 {
@@ -298,14 +298,14 @@
 	}
 }
 
-func (b *backendServer) record(r *http.Request) {
+func (b *backendServer) logRun(r *http.Request) {
 	line, err := json.Marshal(runEntry{
 		CallID:  r.Header.Get(b.protocol.Headers.CallID),
 		Caller:  r.Header.Get(b.protocol.Headers.CallerService),
 		Key:     r.Header.Get("Standin-Key"),
 		Method:  r.Method,
 		Path:    r.URL.Path,
-		Leaving: b.left.Load(),
+		Leaving: b.leaveAnnounced.Load(),
 		Release: b.options.release,
 		At:      time.Now(),
 	})
@@ -319,7 +319,7 @@
 func (b *backendServer) answer(w http.ResponseWriter, r *http.Request, cut bool) {
 	body := fmt.Appendf(nil, "%s %s ", r.Header.Get("Standin-Key"), b.options.release)
 	body = append(body, bytes.Repeat([]byte{'.'}, b.options.answerBytes)...)
-	w.Header().Set(checksumName, strconv.FormatUint(xxhash.Sum64(body), 16))
+	w.Header().Set(checksumHeader, strconv.FormatUint(xxhash.Sum64(body), 16))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if cut {
 		body = body[:len(body)/2]
--- a/standin/outside/caller.go
+++ b/standin/outside/caller.go
@@ -26,21 +26,21 @@
 const maxLatencyMicroseconds = int64(time.Minute / time.Microsecond)
 
 type callerOptions struct {
-	targets    []string
-	paths      []string
-	postShare  int
-	workers    int
-	ratePerSec int
-	durationMS int
-	timeoutMS  int
-	tenants    []string
-	sessions   int
-	keyed      bool
-	resends    int
-	crash      bool
-	host       string
-	log        string
-	summary    string
+	targets        []string
+	paths          []string
+	postPerMille   int
+	workers        int
+	callsPerSecond int
+	durationMS     int
+	timeoutMS      int
+	tenants        []string
+	sessions       int
+	keyed          bool
+	resends        int
+	crash          bool
+	host           string
+	log            string
+	summary        string
 }
 
 func callerFlags(app *kingpin.Application) (*kingpin.CmdClause, *callerOptions) {
@@ -48,9 +48,9 @@
 	command := app.Command("caller", "Make calls for a while and record each one.")
 	command.Flag("target", "Caller address of a node, or of a backend server for direct calls; repeatable.").Required().StringsVar(&o.targets)
 	command.Flag("path", "Path to call; repeatable.").Required().StringsVar(&o.paths)
-	command.Flag("post-per-mille", "Share of calls that are not idempotent.").Default("200").IntVar(&o.postShare)
+	command.Flag("post-per-mille", "Share of calls that are not idempotent.").Default("200").IntVar(&o.postPerMille)
 	command.Flag("workers", "Calls at the same time at most.").Default("8").IntVar(&o.workers)
-	command.Flag("rate", "Calls a second; 0 for as fast as the workers can.").Default("200").IntVar(&o.ratePerSec)
+	command.Flag("rate", "Calls a second; 0 for as fast as the workers can.").Default("200").IntVar(&o.callsPerSecond)
 	command.Flag("duration-ms", "How long to call.").Default("5000").IntVar(&o.durationMS)
 	command.Flag("timeout-ms", "Deadline of each call.").Default("2000").IntVar(&o.timeoutMS)
 	command.Flag("tenant", "Tenant header; repeatable, each call takes one.").StringsVar(&o.tenants)
@@ -85,14 +85,14 @@
 
 // summary counts what the caller saw; latencies are in microseconds.
 type summary struct {
-	Calls       int            `json:"calls"`
-	OK          int            `json:"ok"`
-	Outcomes    map[string]int `json:"outcomes"`
-	Causes      map[string]int `json:"causes"`
-	Releases    map[string]int `json:"releases"`
-	P50US       int64          `json:"p50-us"`
-	P99US       int64          `json:"p99-us"`
-	CallsPerSec float64        `json:"calls-per-second"`
+	Calls          int            `json:"calls"`
+	OK             int            `json:"ok"`
+	Outcomes       map[string]int `json:"outcomes"`
+	Causes         map[string]int `json:"causes"`
+	Releases       map[string]int `json:"releases"`
+	P50US          int64          `json:"p50-us"`
+	P99US          int64          `json:"p99-us"`
+	CallsPerSecond float64        `json:"calls-per-second"`
 }
 
 type caller struct {
@@ -101,7 +101,7 @@
 	client   *http.Client
 	sequence atomic.Uint64
 	attempts atomic.Uint64
-	prefix   string
+	idPrefix string
 
 	mu        sync.Mutex // guards what follows
 	log       io.Writer
@@ -118,7 +118,7 @@
 				MaxIdleConnsPerHost: o.workers,
 			},
 		},
-		prefix:    strconv.FormatUint(rand.Uint64(), 36),
+		idPrefix:  strconv.FormatUint(rand.Uint64(), 36),
 		log:       io.Discard,
 		histogram: hdrhistogram.New(1, maxLatencyMicroseconds, 3),
 		summary: summary{
@@ -152,8 +152,8 @@
 	}
 	startedAt := time.Now()
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		if c.options.ratePerSec > 0 {
-			time.Sleep(time.Until(startedAt.Add(time.Duration(n) * time.Second / time.Duration(c.options.ratePerSec))))
+		if c.options.callsPerSecond > 0 {
+			time.Sleep(time.Until(startedAt.Add(time.Duration(n) * time.Second / time.Duration(c.options.callsPerSecond))))
 		}
 		due <- struct{}{}
 	}
@@ -163,8 +163,8 @@
 
 func (c *caller) call() {
 	entry := callEntry{
-		Key:    fmt.Sprintf("%s-%d", c.prefix, c.sequence.Add(1)),
-		Method: lo.Ternary(rand.IntN(1000) < c.options.postShare, http.MethodPost, http.MethodGet),
+		Key:    fmt.Sprintf("%s-%d", c.idPrefix, c.sequence.Add(1)),
+		Method: lo.Ternary(rand.IntN(1000) < c.options.postPerMille, http.MethodPost, http.MethodGet),
 		Path:   lo.Sample(c.options.paths),
 		Tenant: lo.Sample(c.options.tenants),
 		Target: lo.Sample(c.options.targets),
@@ -175,12 +175,12 @@
 	}
 	err := c.attempt(&entry)
 	// Callers may enter at any node, and nothing was sent; a target that has just refused the connection is left out.
-	for others := lo.Without(c.options.targets, entry.Target); len(others) > 0 && refusedConnection(err); others = lo.Without(others, entry.Target) {
+	for others := lo.Without(c.options.targets, entry.Target); len(others) > 0 && isDialError(err); others = lo.Without(others, entry.Target) {
 		entry.Target = lo.Sample(others)
 		err = c.attempt(&entry)
 	}
 	for range c.options.resends {
-		if !c.keyed(entry) || err == nil && entry.Outcome != "unknown" {
+		if !c.isKeyed(entry) || err == nil && entry.Outcome != "unknown" {
 			break
 		}
 		entry.Target = lo.Sample(c.options.targets)
@@ -190,16 +190,16 @@
 		entry.Error = err.Error()
 	}
 	entry.LatencyUS = time.Since(entry.At).Microseconds()
-	c.record(entry)
+	c.recordCall(entry)
 }
 
 // keyed reports whether the call carries an idempotency key.
-func (c *caller) keyed(entry callEntry) bool {
+func (c *caller) isKeyed(entry callEntry) bool {
 	return c.options.keyed && entry.Method == http.MethodPost
 }
 
-// refusedConnection reports whether no connection could be opened, so that the target has seen nothing of the call.
-func refusedConnection(err error) bool {
+// isDialError reports whether no connection could be opened, so that the target has seen nothing of the call.
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
@@ -215,15 +215,15 @@
 	}
 	request.Header.Set("Standin-Key", entry.Key)
 	request.Host = c.options.host
-	names := c.protocol.Headers
-	if c.protocol.CallersNameCalls {
-		setHeader(request, names.CallID, fmt.Sprintf("%s-%d", c.prefix, c.attempts.Add(1)))
+	headers := c.protocol.Headers
+	if c.protocol.CallerSetsCallID {
+		setHeaderIfPresent(request, headers.CallID, fmt.Sprintf("%s-%d", c.idPrefix, c.attempts.Add(1)))
 	}
-	setHeader(request, names.Deadline, wholeMilliseconds(timeout))
-	setHeader(request, names.Tenant, entry.Tenant)
-	setHeader(request, names.Session, entry.Session)
-	if c.keyed(*entry) {
-		setHeader(request, names.IdempotencyKey, entry.Key)
+	setHeaderIfPresent(request, headers.Deadline, formatMilliseconds(timeout))
+	setHeaderIfPresent(request, headers.Tenant, entry.Tenant)
+	setHeaderIfPresent(request, headers.Session, entry.Session)
+	if c.isKeyed(*entry) {
+		setHeaderIfPresent(request, headers.IdempotencyKey, entry.Key)
 	}
 	if c.options.crash {
 		request.Header.Set("Standin-Crash", "1")
@@ -235,27 +235,27 @@
 	defer response.Body.Close()
 	entry.Status = response.StatusCode
 	entry.Outcome = c.protocol.outcomeOf(response)
-	entry.Cause = response.Header.Get(names.Cause)
-	entry.Release = response.Header.Get(names.Release)
-	entry.Revision, _ = strconv.ParseUint(response.Header.Get(names.Revision), 10, 64)
+	entry.Cause = response.Header.Get(headers.Cause)
+	entry.Release = response.Header.Get(headers.Release)
+	entry.Revision, _ = strconv.ParseUint(response.Header.Get(headers.Revision), 10, 64)
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
 	entry.Complete = response.StatusCode == http.StatusOK &&
 		bytes.HasPrefix(body, []byte(entry.Key+" ")) &&
-		strconv.FormatUint(xxhash.Sum64(body), 16) == response.Header.Get(checksumName)
+		strconv.FormatUint(xxhash.Sum64(body), 16) == response.Header.Get(checksumHeader)
 	return nil
 }
 
-// setHeader leaves out what the protocol has no name for, and what has no value.
-func setHeader(request *http.Request, name, value string) {
+// setHeaderIfPresent leaves out what the protocol has no name for, and what has no value.
+func setHeaderIfPresent(request *http.Request, name, value string) {
 	if name != "" && value != "" {
 		request.Header.Set(name, value)
 	}
 }
 
-func (c *caller) record(entry callEntry) {
+func (c *caller) recordCall(entry callEntry) {
 	line, err := json.Marshal(entry)
 	if err != nil {
 		return
@@ -280,7 +280,7 @@
 func (c *caller) report(took time.Duration) error {
 	c.summary.P50US = c.histogram.ValueAtQuantile(50)
 	c.summary.P99US = c.histogram.ValueAtQuantile(99)
-	c.summary.CallsPerSec = float64(c.summary.Calls) / took.Seconds()
+	c.summary.CallsPerSecond = float64(c.summary.Calls) / took.Seconds()
 	text, err := json.MarshalIndent(c.summary, "", "  ")
 	if err != nil {
 		return errors.Trace(err)
--- a/standin/outside/faults.go
+++ b/standin/outside/faults.go
@@ -46,7 +46,7 @@
 }
 
 // hits reports whether the faults concern this request.
-func (f faults) hits(r *http.Request, running int) bool {
+func (f faults) affects(r *http.Request, running int) bool {
 	return strings.HasPrefix(r.URL.Path, f.PathPrefix) && running > f.AboveLoad
 }
 
--- a/standin/outside/main.go
+++ b/standin/outside/main.go
@@ -27,9 +27,9 @@
 	callerCommand, caller := callerFlags(app)
 	verifyCommand, verify := verifyFlags(app)
 	traceCommand, trace := traceFlags(app)
-	var others map[string]func(context.Context) error
-	if protocol.Commands != nil {
-		others = protocol.Commands(app)
+	var extraCommands map[string]func(context.Context) error
+	if protocol.ExtraCommands != nil {
+		extraCommands = protocol.ExtraCommands(app)
 	}
 	command, err := app.Parse(args)
 	if err != nil {
@@ -45,5 +45,5 @@
 	case traceCommand.FullCommand():
 		return runTrace(*trace)
 	}
-	return others[command](ctx)
+	return extraCommands[command](ctx)
 }
--- a/standin/outside/protocol.go
+++ b/standin/outside/protocol.go
@@ -17,16 +17,16 @@
 type Protocol struct {
 	Name    string
 	Headers core.HeaderNames
-	// CallersNameCalls says that a caller numbers its attempts; otherwise the node does.
-	CallersNameCalls bool
+	// CallerSetsCallID says that a caller numbers its attempts; otherwise the node does.
+	CallerSetsCallID bool
 	// Announce makes the request that tells the node at an address of a backend server.
 	Announce func(node string, a Announcement) (*http.Request, error)
-	// LeaveIsAcknowledged says that a backend server which leaves waits until its node knows it; it fails otherwise.
-	LeaveIsAcknowledged bool
-	// DrainFor is how long a backend server goes on after its node knows that it leaves.
-	DrainFor time.Duration
+	// AwaitsLeaveAcknowledgement says that a backend server which leaves waits until its node knows it; it fails otherwise.
+	AwaitsLeaveAcknowledgement bool
+	// DrainDelay is how long a backend server goes on after its node knows that it leaves.
+	DrainDelay time.Duration
 	// Commands adds commands of the protocol's own; each has a function that runs it.
-	Commands func(app *kingpin.Application) map[string]func(context.Context) error
+	ExtraCommands func(app *kingpin.Application) map[string]func(context.Context) error
 }
 
 // State is what a backend server says of itself.
@@ -41,27 +41,27 @@
 
 // Announcement tells a node of the backend server beside it.
 type Announcement struct {
-	Service  string
-	Release  string
-	Address  string
-	Slots    int
-	State    State
-	Run      string // names this start of the server
-	Born     time.Time
-	Sequence int           // counts the announcements of a run
-	Cold     time.Duration // for which the server stays slow
+	Service         string
+	Release         string
+	Address         string
+	Slots           int
+	State           State
+	Run             string // names this start of the server
+	StartedAt       time.Time
+	Sequence        int           // counts the announcements of a run
+	WarmUpRemaining time.Duration // for which the server stays slow
 }
 
-// OwnProtocol is parsleyport's own interface.
-func OwnProtocol() Protocol {
+// DefaultProtocol is parsleyport's own interface.
+func DefaultProtocol() Protocol {
 	return Protocol{
 		Name:     "standin",
 		Headers:  core.DefaultHeaderNames(),
-		Announce: ownAnnouncement,
+		Announce: defaultAnnouncement,
 	}
 }
 
-func ownAnnouncement(node string, a Announcement) (*http.Request, error) {
+func defaultAnnouncement(node string, a Announcement) (*http.Request, error) {
 	if a.State == StateGone {
 		return nil, nil // the lease ends by itself
 	}
@@ -103,7 +103,7 @@
 	return string(core.OutcomeAnswered)
 }
 
-// wholeMilliseconds formats a time as callers state it.
-func wholeMilliseconds(d time.Duration) string {
+// formatMilliseconds formats a time as callers state it.
+func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatInt(d.Milliseconds(), 10)
 }
--- a/standin/outside/verify.go
+++ b/standin/outside/verify.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		return err
 	}
-	faults := verifyLogs(calls, runs, o.allAnswered)
-	fmt.Fprintf(out, "%d calls, %d runs, %d faults\n", len(calls), len(runs), len(faults))
-	for _, fault := range lo.Slice(faults, 0, 10) {
-		fmt.Fprintln(out, "  "+fault)
+	violations := verifyLogs(calls, runs, o.allAnswered)
+	fmt.Fprintf(out, "%d calls, %d runs, %d faults\n", len(calls), len(runs), len(violations))
+	for _, violation := range lo.Slice(violations, 0, 10) {
+		fmt.Fprintln(out, "  "+violation)
 	}
-	if len(faults) > 0 {
-		return errors.Errorf("%d faults", len(faults))
+	if len(violations) > 0 {
+		return errors.Errorf("%d faults", len(violations))
 	}
 	return nil
 }
@@ -52,49 +52,49 @@
 // verifyLogs returns the broken promises: a second run of a call that is not idempotent, a run after "not run", an
 // answer that is incomplete or another call's, and a node that went back to an older revision.
 func verifyLogs(calls []callEntry, runs []runEntry, allAnswered bool) []string {
-	var faults []string
-	runsOf := lo.CountValuesBy(runs, func(r runEntry) string { return r.Key })
+	var violations []string
+	runsByKey := lo.CountValuesBy(runs, func(r runEntry) string { return r.Key })
 	for _, call := range calls {
-		count := runsOf[call.Key]
+		runCount := runsByKey[call.Key]
 		switch {
-		case call.Method == http.MethodPost && count > 1:
-			faults = append(faults, fmt.Sprintf("call %s is not idempotent and ran %d times", call.Key, count))
-		case call.Outcome == "not-run" && count > 0:
-			faults = append(faults, fmt.Sprintf("call %s was refused as not run (%s) but ran %d times", call.Key, call.Cause, count))
+		case call.Method == http.MethodPost && runCount > 1:
+			violations = append(violations, fmt.Sprintf("call %s is not idempotent and ran %d times", call.Key, runCount))
+		case call.Outcome == "not-run" && runCount > 0:
+			violations = append(violations, fmt.Sprintf("call %s was refused as not run (%s) but ran %d times", call.Key, call.Cause, runCount))
 		case call.Status == http.StatusOK && call.Error == "" && !call.Complete:
-			faults = append(faults, fmt.Sprintf("call %s got an incomplete or foreign answer as a success", call.Key))
-		case call.Complete && count == 0:
-			faults = append(faults, fmt.Sprintf("call %s was answered without a run", call.Key))
+			violations = append(violations, fmt.Sprintf("call %s got an incomplete or foreign answer as a success", call.Key))
+		case call.Complete && runCount == 0:
+			violations = append(violations, fmt.Sprintf("call %s was answered without a run", call.Key))
 		case allAnswered && !call.Complete:
-			faults = append(faults, fmt.Sprintf("call %s (%s %s at %s) has no complete answer: status %d, outcome %q, cause %q, error %q",
+			violations = append(violations, fmt.Sprintf("call %s (%s %s at %s) has no complete answer: status %d, outcome %q, cause %q, error %q",
 				call.Key, call.Method, call.Path, call.Target, call.Status, call.Outcome, call.Cause, call.Error))
 		}
 	}
-	return append(faults, olderRevisions(calls)...)
+	return append(violations, revisionRegressions(calls)...)
 }
 
-// olderRevisions looks for a call that began after another one at the same node had ended, and saw an older revision.
-func olderRevisions(calls []callEntry) []string {
-	var faults []string
-	for target, group := range lo.GroupBy(calls, func(c callEntry) string { return c.Target }) {
-		ended := append([]callEntry(nil), group...)
-		sort.Slice(ended, func(i, j int) bool { return endOf(ended[i]) < endOf(ended[j]) })
-		sort.Slice(group, func(i, j int) bool { return group[i].At.Before(group[j].At) })
-		next, newest := 0, uint64(0)
-		for _, call := range group {
-			for next < len(ended) && endOf(ended[next]) < call.At.UnixMicro() {
-				newest = max(newest, ended[next].Revision)
-				next++
+// revisionRegressions looks for a call that began after another one at the same node had ended, and saw an older revision.
+func revisionRegressions(calls []callEntry) []string {
+	var violations []string
+	for target, targetCalls := range lo.GroupBy(calls, func(c callEntry) string { return c.Target }) {
+		callsByEnd := append([]callEntry(nil), targetCalls...)
+		sort.Slice(callsByEnd, func(i, j int) bool { return endMicroseconds(callsByEnd[i]) < endMicroseconds(callsByEnd[j]) })
+		sort.Slice(targetCalls, func(i, j int) bool { return targetCalls[i].At.Before(targetCalls[j].At) })
+		nextEnded, newestRevision := 0, uint64(0)
+		for _, call := range targetCalls {
+			for nextEnded < len(callsByEnd) && endMicroseconds(callsByEnd[nextEnded]) < call.At.UnixMicro() {
+				newestRevision = max(newestRevision, callsByEnd[nextEnded].Revision)
+				nextEnded++
 			}
-			if call.Revision != 0 && call.Revision < newest {
-				faults = append(faults, fmt.Sprintf("node %s served revision %d after %d", target, call.Revision, newest))
+			if call.Revision != 0 && call.Revision < newestRevision {
+				violations = append(violations, fmt.Sprintf("node %s served revision %d after %d", target, call.Revision, newestRevision))
 			}
 		}
 	}
-	return faults
+	return violations
 }
 
-func endOf(c callEntry) int64 {
+func endMicroseconds(c callEntry) int64 {
 	return c.At.UnixMicro() + c.LatencyUS
 }
 
--- a/standin/outside/verify_test.go
+++ b/standin/outside/verify_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a check that cannot fail: each broken promise is reported, and a clean log is not.
-func TestVerifyLogsFindsEachBrokenPromise(t *testing.T) {
+func TestVerifyLogsReportsEachViolation(t *testing.T) {
 	c := qt.New(t)
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	good := callEntry{Key: "k", Method: "POST", Target: "n", At: at, LatencyUS: 10, Status: 200, Outcome: "answered", Revision: 2, Complete: true}
