--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -14,13 +14,14 @@
 	"parsleyport/core/catalog"
 )
 
-// Guards against older entries of the audit trail that are gone once every disk has been lost and replaced in turn.
+// Guards against audit entries older than those in the replicated state that are lost after the disk of each control instance
+// has been lost and replaced, one after another.
 func TestAuditTrailSurvivesLostDisks(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
 	d.startControls()
 	d.leader()
-	const entries = 12_000 // the replicated state keeps the latest 10,000
+	const entries = 12_000 // the replicated state keeps only the latest 10,000, so that the older ones come from disk
 	client := d.client()
 	var nextVersion, failed atomic.Int64
 	var submitters sync.WaitGroup
@@ -29,7 +30,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			defer cancel()
 			for i := nextVersion.Add(1); i <= entries; i = nextVersion.Add(1) {
-				// A version that arrives late is refused; the refusal is an entry as well.
+				// Concurrent submitters may deliver versions out of order. A stale version is refused, which is an audit entry too.
 				if _, err := client.Submit(ctx, serviceSubmission("busy", core.RecordVersion(i))); err != nil {
 					failed.Add(1)
 				}
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -22,12 +22,13 @@
 	measurementDuration = 10 * time.Second
 )
 
-// usage is what a process has used since its start.
+// usage holds the resources that a process uses.
 type usage struct {
-	cpuTime       time.Duration
-	residentBytes int64 // bytes
+	cpuTime       time.Duration // user and system time since the start
+	residentBytes int64         // bytes
 }
 
+// usage reads the resource usage of a process from /proc/PID/stat.
 func (d *deployment) usage(name string) usage {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.processes[name].Process.Pid))
 	d.c.Assert(err, qt.IsNil)
@@ -43,7 +44,8 @@
 	}
 }
 
-// distributionBytes returns what a process has sent and received for distribution.
+// distributionBytes returns the number of bytes that the process with this metrics address has sent and received to
+// distribute configuration and status.
 func (d *deployment) distributionBytes(address string) float64 {
 	_, body := d.get("http://" + address + "/metrics")
 	sum := 0.0
@@ -59,7 +61,7 @@
 	return sum
 }
 
-// planned is a configuration of the given number of services, each with two upstreams, a policy and two routes.
+// configurationOf returns a submission of the given number of services, each with two upstreams, a policy and two routes.
 func configurationOf(services int, version core.RecordVersion) core.Submission {
 	submission := core.Submission{
 		ID:       core.SubmissionID(fmt.Sprintf("planned-%d-%d", services, version)),
@@ -76,8 +78,8 @@
 	return submission
 }
 
-// BenchmarkFleet prints the slopes that docs/CAPACITY.md is worked out from: what a node and a control instance use
-// while nothing changes, against the number of nodes and the size of the configuration.
+// BenchmarkFleet measures the resource usage of nodes and control instances against the number of nodes and the size of the
+// configuration: while nothing changes, and for each change of one service. docs/CAPACITY.md is calculated from the results.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ nodes, services int }{{10, 10}, {25, 10}, {50, 10}, {50, 170}} {
 		b.Run(fmt.Sprintf("nodes=%d/services=%d", size.nodes, size.services), func(b *testing.B) {
@@ -114,7 +116,7 @@
 	before := lo.SliceToMap(names, func(name string) (string, usage) { return name, d.usage(name) })
 	bytesBefore := lo.SumBy(names, func(name string) float64 { return d.distributionBytes(d.address(name + "-admin")) })
 	began := time.Now()
-	time.Sleep(measurementDuration) // the measured span of a fleet in which nothing changes
+	time.Sleep(measurementDuration) // no change is submitted in this time
 	span := time.Since(began).Seconds()
 	bytesAfter := lo.SumBy(names, func(name string) float64 { return d.distributionBytes(d.address(name + "-admin")) })
 	cpuSeconds, maxResidentBytes := 0.0, int64(0)
@@ -141,8 +143,8 @@
 	d.killAll()
 }
 
-// BenchmarkLeaderLoss measures how long no submission is accepted after the leading control instance was killed, and
-// after its planned stop began.
+// BenchmarkLeaderLoss measures the time from the kill or the planned stop of the leading control instance until the other
+// instances accept a submission.
 func BenchmarkLeaderLoss(b *testing.B) {
 	b.Run("kill", func(b *testing.B) {
 		measureLeaderLoss(b, func(d *deployment, name string) { d.kill(name) })
@@ -168,7 +170,7 @@
 		d.submit(d.client(others...), serviceSubmission("after-loss", core.RecordVersion(rounds)))
 		took := time.Since(began)
 		longest, sum = max(longest, took), sum+took
-		_ = process.Wait() // its addresses and data folder are free again
+		_ = process.Wait() // releases its addresses and its data folder
 		d.startControl(leading)
 	}
 	b.ReportMetric(float64(longest.Milliseconds()), "longest-ms")
@@ -176,7 +178,8 @@
 	d.killAll()
 }
 
-// BenchmarkReconnect measures what it costs the control instances when all of them restart and all nodes attach again.
+// BenchmarkReconnect measures the time, CPU time and traffic of the control instances when all of them are killed and
+// restarted and all nodes attach again.
 func BenchmarkReconnect(b *testing.B) {
 	for _, nodes := range []int{10, 25, 50, 100} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
--- a/e2e/concurrent_faults_test.go
+++ b/e2e/concurrent_faults_test.go
@@ -17,10 +17,11 @@
 	"parsleyport/core/catalog"
 )
 
-var concurrentFaultsSeed = flag.Uint64("fault-seed", 1, "seed of the faults in TestFaultsTogether")
+var concurrentFaultsSeed = flag.Uint64("fault-seed", 1, "seed of the faults in TestConcurrentFaults")
 
-// Guards against a call that runs twice or gets a false refusal, an older revision and a lost record when processes of all
-// kinds are killed, frozen and stopped, also at the same time and again right after their restart.
+// Guards against calls that run twice or are wrongly refused as not run, nodes that go back to an older revision and lost
+// records when control instances, nodes and backend servers are killed, frozen and stopped, several at a time and again right
+// after their restart.
 func TestConcurrentFaults(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -33,7 +34,7 @@
 	accepted := make(map[core.RecordVersion]core.Revision)
 	for version := core.RecordVersion(1); version <= 8; version++ {
 		undo := d.injectFaults(random, nodes, 1+random.IntN(3))
-		time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond) // longer or shorter than the time-outs
+		time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond) // covers faults shorter and longer than the timeouts
 		undo()
 		verdict := d.submit(d.client(), serviceSubmission("together", version))
 		c.Assert(verdict.Result, qt.Equals, catalog.Accepted, qt.Commentf("%+v", verdict))
@@ -50,7 +51,7 @@
 	}
 }
 
-// faults hits several processes at once; undo lets them run again.
+// injectFaults injects faults into count different processes; undo ends them all.
 func (d *deployment) injectFaults(random *rand.Rand, nodes, count int) (undo func()) {
 	undoByProcess := make(map[string]func())
 	for len(undoByProcess) < count {
@@ -74,9 +75,9 @@
 	}
 }
 
-// fault kills, stops or freezes a process; undo lets it run again.
+// injectFault kills, stops or freezes a process; undo restarts or resumes it.
 func (d *deployment) injectFault(random *rand.Rand, name string, restart func()) (undo func()) {
-	d.c.Logf("fault at %s", name)
+	d.c.Logf("fault injected into %s", name)
 	switch random.IntN(3) {
 	case 0:
 		d.kill(name)
@@ -88,7 +89,7 @@
 		process := d.processes[name]
 		d.signal(name, syscall.SIGTERM)
 		delete(d.processes, name)
-		_ = process.Wait() // fails if the process had not yet begun to listen for signals
+		_ = process.Wait() // returns an error if the signal came before the process had installed its handler
 		return restart
 	}
 }
--- a/e2e/convergence_test.go
+++ b/e2e/convergence_test.go
@@ -11,7 +11,7 @@
 	"parsleyport/core"
 )
 
-// Guards against an accepted configuration that takes longer than the stated 1 s to be in force on 50 nodes.
+// Guards against an accepted change that takes longer than 1 s, the stated limit, to be in force on 50 nodes.
 func TestConfigurationIsInForceOnFiftyNodes(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -12,12 +12,12 @@
 	"github.com/samber/lo"
 )
 
-// crashOnHeader makes a backend server end its process on a request with the header Standin-Crash.
+// crashOnHeader makes a backend server exit on each request that has the header Standin-Crash.
 func (d *deployment) crashOnHeader(i int) {
 	d.setFaults(i, `{"crash-on-header": true}`)
 }
 
-// restartCrashed starts the backend servers again whose process has ended and returns how many there were.
+// restartCrashed restarts the backend servers that have exited and returns their number.
 func (d *deployment) restartCrashed(backends int) int {
 	crashed := 0
 	for i := 1; i <= backends; i++ {
@@ -33,7 +33,7 @@
 	return crashed
 }
 
-// crashReports returns how many crash reports a node holds.
+// crashReports returns the number of crash reports that a node holds, and 0 if it cannot be reached.
 func (d *deployment) crashReports(node int) int {
 	_, body := d.get("http://" + d.address(fmt.Sprintf("n%d-admin", node)) + "/state")
 	var state struct {
@@ -41,12 +41,12 @@
 			CrashReports int `json:"crash-reports"`
 		} `json:"distribution"`
 	}
-	_ = json.Unmarshal(body, &state) // an unreachable node holds none
+	_ = json.Unmarshal(body, &state) // the body is empty if the node cannot be reached
 	return state.Distribution.CrashReports
 }
 
-// Guards against a request that crashes each backend server that runs it while its caller resends it through all nodes:
-// two crashes are the most that it may cause over the whole fleet.
+// Guards against a request that crashes every backend server that runs it while its caller retries it through all nodes. It
+// may crash at most two backend servers in the whole deployment.
 func TestCrashingRequestIsStoppedFleetWide(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -77,14 +77,14 @@
 			status, err := d.status(d.client())
 			return err == nil && status.Fleet.Endpoints["transcripts"] == nodes
 		})
-		d.awaitCondition("all nodes have heard of the crashes", 10*time.Second, func() bool {
+		d.awaitCondition("all nodes hold all crash reports", 10*time.Second, func() bool {
 			return lo.EveryBy(lo.RangeFrom(1, nodes), func(i int) bool { return d.crashReports(i) == crashes })
 		})
 	}
 	c.Assert(crashes, qt.Equals, 2)
 	c.Assert(cause, qt.Equals, "suspected-to-crash-backend-servers")
 
-	// Other requests are served.
+	// Requests without the header are still served.
 	calls := d.startCaller("others", 2*time.Second, 100, []int{1, 2, 3, 4})
 	calls.verify("--all-answered")
 }
--- a/e2e/datacentre_test.go
+++ b/e2e/datacentre_test.go
@@ -16,10 +16,11 @@
 	"parsleyport/io/distribution"
 )
 
-// convergence is the target for an accepted change to be in force everywhere.
+// convergenceTarget is the longest time that an accepted change may take to be in force on all nodes.
 const convergenceTarget = 14 * time.Second
 
-// processesInDataCentre names the processes in the data centre of a control instance, in a deployment of six nodes.
+// processesInDataCentre returns the names of the processes in the data centre of a control instance, in a deployment of six
+// nodes.
 func processesInDataCentre(control int) []string {
 	names := []string{fmt.Sprintf("c%d", control)}
 	for _, i := range []int{control, control + controls} {
@@ -28,8 +29,9 @@
 	return names
 }
 
-// Guards against a deployment that stops serving, stops accepting or loses what it accepted when the whole data centre of
-// the leading control instance is lost at once, and against a data centre that serves something older when it is back.
+// Guards against a deployment that stops serving, stops accepting submissions or loses accepted ones when all processes in the
+// data centre of the leading control instance are killed at once, and against an older configuration that is served after the
+// data centre has recovered.
 func TestDataCentreLoss(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -69,12 +71,12 @@
 		return err == nil && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce >= after.Revision
 	})
 	calls.verify()
-	// Only what ran in the slots of the two killed backend servers may stay without an answer.
+	// Only the calls in the 9 slots of each of the two killed backend servers may stay unanswered.
 	c.Assert(calls.summary()["ok"].(float64) >= calls.summary()["calls"].(float64)-2*9, qt.IsTrue, qt.Commentf("%v", calls.summary()))
 	c.Assert(d.submit(d.client(), serviceSubmission("before", 1)).Revision, qt.Equals, before.Revision)
 }
 
-// holds tells whether a node has a revision, or a later one, in force.
+// hasInForce reports whether the given revision or a later one is in force on a node.
 func (d *deployment) hasInForce(node string, revision core.Revision) bool {
 	status, text := d.get("http://" + d.address(node+"-admin") + "/state")
 	var dump struct {
--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -21,7 +21,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// programs are the built binaries, made once for all tests.
+// programs holds the paths of the binaries, which are built once for all tests.
 var programs struct {
 	parsleyport string
 	standin     string
@@ -51,21 +51,21 @@
 
 const controls = 3
 
-// nextPort starts at a random port, so that two runs at the same time seldom try the same ones.
+// nextPort starts at a random port, so that concurrent test runs rarely try the same ports.
 var nextPort = func() *atomic.Uint32 {
 	port := &atomic.Uint32{}
 	port.Store(rand.Uint32N(20_000))
 	return port
 }()
 
-// deployment is a set of processes on loopback; all of them end with the test.
+// deployment is a set of processes on loopback addresses, which are killed at the end of the test.
 type deployment struct {
 	c         *qt.C
 	folder    string
 	addresses map[string]string
 	processes map[string]*exec.Cmd
-	tokenFile string         // of the control instances, empty for none
-	limits    map[string]int // settings of the control instances
+	tokenFile string         // of the control instances; empty for none
+	limits    map[string]int // "limits" in the settings of the control instances; nil for the defaults
 }
 
 func newDeployment(c *qt.C) *deployment {
@@ -79,7 +79,7 @@
 	return d
 }
 
-// end ends all processes.
+// killAll kills all processes and, if the test has failed, logs the last lines of each process's output.
 func (d *deployment) killAll() {
 	for name := range d.processes {
 		d.kill(name)
@@ -98,13 +98,13 @@
 	}
 }
 
-// address returns a free loopback address that stays the same for a name.
+// address returns the loopback address that belongs to a name. The first call for a name picks a free one.
 func (d *deployment) address(name string) string {
 	if known, exists := d.addresses[name]; exists {
 		return known
 	}
 	for {
-		// Below the range from which the system takes the ports of outgoing connections, so that the address stays free.
+		// The port is below the ephemeral range of the operating system, so that no outgoing connection takes it.
 		address := fmt.Sprintf("127.0.0.1:%d", 10_000+nextPort.Add(1)%20_000)
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -209,7 +209,7 @@
 	d.processes[name] = process
 }
 
-// kill ends a process as a power failure of its instance would.
+// kill ends a process without notice, as a power failure would.
 func (d *deployment) kill(name string) {
 	process := d.processes[name]
 	delete(d.processes, name)
@@ -221,22 +221,22 @@
 	d.c.Assert(d.processes[name].Process.Signal(signal), qt.IsNil)
 }
 
-// stop is a planned stop; the process must end with status 0.
+// stop sends SIGTERM and checks that the process exits with status 0.
 func (d *deployment) stop(name string) {
 	process := d.processes[name]
 	d.signal(name, syscall.SIGTERM)
 	delete(d.processes, name)
-	d.c.Assert(process.Wait(), qt.IsNil, qt.Commentf("planned stop of %s", name))
+	d.c.Assert(process.Wait(), qt.IsNil, qt.Commentf("%s did not stop with status 0", name))
 }
 
-// eventually polls until the condition holds.
+// awaitCondition polls until the condition holds and returns the time that this took. It fails the test at the limit.
 func (d *deployment) awaitCondition(description string, limit time.Duration, condition func() bool) time.Duration {
 	began := time.Now()
 	for !condition() {
 		if time.Since(began) > limit {
-			d.c.Fatalf("not within %v: %s", limit, description)
+			d.c.Fatalf("not met within %v: %s", limit, description)
 		}
-		time.Sleep(10 * time.Millisecond) // between two polls of another process
+		time.Sleep(10 * time.Millisecond) // polling interval
 	}
 	return time.Since(began)
 }
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,2 +1,2 @@
-// Package e2e tests parsleyport with real processes on loopback, which are killed and frozen by process id.
+// Package e2e tests parsleyport end to end: the processes run on loopback addresses and are killed, frozen and stopped.
 package e2e
--- a/e2e/failures_test.go
+++ b/e2e/failures_test.go
@@ -17,8 +17,8 @@
 	"parsleyport/core/catalog"
 )
 
-// Guards against an accepted record that is lost or reverted when control instances are killed at any moment, one after
-// another and two at a time, and against a submission id whose verdict changes.
+// Guards against accepted records that are lost or reverted, and submission ids whose verdict changes, when one or two control
+// instances at a time are killed at random moments.
 func TestAcceptedRecordsSurviveKills(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -34,7 +34,7 @@
 		delay := time.Duration(random.IntN(200)) * time.Millisecond
 		go func() {
 			defer close(killed)
-			time.Sleep(delay) // the kill hits the submissions at a random moment
+			time.Sleep(delay) // kills at a random moment while submissions are made
 			for _, i := range victims {
 				_ = d.processes[fmt.Sprintf("c%d", i)].Process.Kill()
 			}
@@ -68,7 +68,8 @@
 	c.Assert(accepted, qt.HasLen, 15)
 }
 
-// Guards against a leader that was frozen and, once it runs again, serves what it knew as current.
+// Guards against a leading control instance that is frozen, replaced by another leader and, once it is resumed, reports its
+// outdated state as current.
 func TestFrozenLeaderServesNoStaleState(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -86,14 +87,14 @@
 			c.Assert(status.Revision >= verdict.Revision, qt.IsTrue, qt.Commentf("%+v", status))
 		}
 	}
-	d.awaitCondition("the thawed instance has caught up", 10*time.Second, func() bool {
+	d.awaitCondition("the resumed instance has caught up", 10*time.Second, func() bool {
 		status, err := d.status(d.client(frozen))
 		return err == nil && status.Current && status.Revision >= verdict.Revision
 	})
 }
 
-// Guards against nodes that stop serving while the control instances are away, and against a fresh node that serves a
-// configuration which may be older than the one of its earlier run.
+// Guards against nodes that stop serving while no control instance runs, and against a restarted node that takes calls before
+// a control instance has confirmed its configuration, which may be older than the one before its restart.
 func TestNodesServeWithoutControlInstances(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -107,15 +108,15 @@
 	d.startNode(3)
 	d.startBackend(3, "v1")
 	calls.verify()
-	// The calls that ran on the killed node may be lost, 9 slots at most; all others are answered.
+	// Only the calls in the 9 slots of the killed backend server may stay unanswered.
 	c.Assert(calls.summary()["ok"].(float64) >= calls.summary()["calls"].(float64)-9, qt.IsTrue, qt.Commentf("%v", calls.summary()))
 	c.Assert(d.ready("n3"), qt.IsFalse)
 
 	d.startControls()
-	d.awaitCondition("the fresh node is confirmed", 20*time.Second, func() bool { return d.ready("n3") })
+	d.awaitCondition("the restarted node is ready", 20*time.Second, func() bool { return d.ready("n3") })
 }
 
-// Guards against calls that are cut off or refused while every node and backend server is restarted in turn under load.
+// Guards against calls that are cut off or refused while all nodes and backend servers are restarted in turn under load.
 func TestRollingRestartCutsOffNothing(t *testing.T) {
 	d := newDeployment(qt.New(t))
 	const nodes = 4
@@ -124,12 +125,12 @@
 	for i := 1; i <= nodes; i++ {
 		node := fmt.Sprintf("n%d", i)
 		others := lo.Without(lo.RangeFrom(1, nodes), i)
-		before := core.Incarnation(time.Now().UnixNano()) // a run is named by its start
+		before := core.Incarnation(time.Now().UnixNano()) // an incarnation is the start time of its process
 		d.stop(node)
 		d.stop(fmt.Sprintf("b%d", i))
 		d.startNode(i)
 		d.startBackend(i, "v1")
-		d.awaitCondition("the restarted node is ready and all know its new endpoint", 10*time.Second, func() bool {
+		d.awaitCondition("the restarted node is ready and the other nodes know its new endpoint", 10*time.Second, func() bool {
 			status, err := d.status(d.client())
 			return err == nil && status.Fleet.Endpoints["transcripts"] == nodes && d.ready(node) &&
 				lo.EveryBy(others, func(other int) bool { return d.incarnation(other, node) > before })
@@ -138,8 +139,8 @@
 	calls.verify("--all-answered")
 }
 
-// Guards against callers who are refused while all nodes and backend servers restart within about a second, so that for a
-// while no node knows a usable endpoint.
+// Guards against refused calls while all nodes and backend servers are restarted within about one second, so that for some
+// time no node knows a usable endpoint.
 func TestRestartOfAllNodesWithinOneSecondRefusesNoCall(t *testing.T) {
 	d := newDeployment(qt.New(t))
 	const nodes = 4
@@ -148,28 +149,29 @@
 	for i := 1; i <= nodes; i++ {
 		d.stop(fmt.Sprintf("n%d", i))
 		d.stop(fmt.Sprintf("b%d", i))
-		d.startBackend(i, "v1")            // before its node, so that its first announcement fails and the next one follows after a second
-		time.Sleep(100 * time.Millisecond) // the first announcement must fail before its node listens
+		d.startBackend(i, "v1")            // its first announcement fails because the node does not run; the next follows 1 s later
+		time.Sleep(100 * time.Millisecond) // lets the first announcement fail before the node listens
 		d.startNode(i)
-		d.awaitCondition("the restarted node takes callers", 10*time.Second, func() bool { return d.ready(fmt.Sprintf("n%d", i)) })
+		d.awaitCondition("the restarted node is ready", 10*time.Second, func() bool { return d.ready(fmt.Sprintf("n%d", i)) })
 	}
 	calls.verify("--all-answered")
 }
 
-// incarnation returns the run of a node whose ready endpoint another node knows, zero without one.
+// incarnation returns the incarnation in the ready endpoint of one node, as another node knows it, and 0 if that node knows
+// none.
 func (d *deployment) incarnation(at int, of string) core.Incarnation {
 	_, body := d.get("http://" + d.address(fmt.Sprintf("n%d-admin", at)) + "/state")
 	var state struct {
 		Endpoints map[core.ServiceName][]core.Endpoint `json:"endpoints"`
 	}
-	_ = json.Unmarshal(body, &state) // an answer that is not a dump names no endpoint
+	_ = json.Unmarshal(body, &state) // the body is empty if the node cannot be reached
 	known, _ := lo.Find(state.Endpoints["transcripts"], func(e core.Endpoint) bool {
 		return string(e.Node) == of && e.State == core.EndpointReady
 	})
 	return known.Incarnation
 }
 
-// Guards against calls that run twice or get a false refusal when backend servers and nodes are killed under load.
+// Guards against calls that run twice or are wrongly refused as not run when backend servers and nodes are killed under load.
 func TestNonIdempotentCallsRunOnceDespiteKills(t *testing.T) {
 	d := newDeployment(qt.New(t))
 	d.startServing(4)
@@ -184,8 +186,8 @@
 	calls.verify()
 }
 
-// Guards against a keyed call that runs twice when its caller sends it again through other nodes, after answers were lost
-// with killed backend servers and nodes.
+// Guards against a call with an idempotency key that runs twice because its caller resends it through other nodes after the
+// answer was lost with a killed backend server or node.
 func TestResentKeyedCallsRunOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -196,7 +198,7 @@
 		d.startNode(i)
 		d.startBackend(i, "v1")
 	}
-	time.Sleep(3 * time.Second) // nodes must know each other before the service's records are accepted, with a margin for clocks
+	time.Sleep(3 * time.Second) // time for the nodes to learn of each other, and for clock differences, before the first record is accepted
 	d.submit(d.client(), transcriptsSubmission(1))
 	d.awaitCondition("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
 		status, err := d.status(d.client())
@@ -211,11 +213,12 @@
 		d.startNode(i)
 	}
 	calls.verify()
-	// Only what ran in the 9 slots of a killed process may stay without an answer.
+	// Only the calls in the 9 slots of each of the four killed processes may stay unanswered.
 	c.Assert(calls.summary()["ok"].(float64) >= calls.summary()["calls"].(float64)-4*9, qt.IsTrue, qt.Commentf("%v", calls.summary()))
 }
 
-// Guards against a control instance that lost its disk and votes as if it remembered.
+// Guards against a control instance that has lost its disk, and with it the votes it cast and the entries it acknowledged, and
+// still votes.
 func TestWipedInstanceDoesNotVote(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -230,7 +233,7 @@
 	d.leader()
 	d.submit(d.client(others...), serviceSubmission("kept", 2))
 
-	// With one more instance gone, the wiped one must not complete a majority.
+	// With another instance killed, the wiped one must not make up a majority.
 	d.kill(fmt.Sprintf("c%d", others[0]))
 	end := time.Now().Add(5 * time.Second) // several election timeouts
 	for time.Now().Before(end) {
@@ -244,7 +247,7 @@
 	c.Assert(d.submit(d.client(), serviceSubmission("kept", 1)).Revision, qt.Equals, verdict.Revision)
 }
 
-// Guards against a restart that replays the whole history or loses a part of it.
+// Guards against a restart that takes too long because it replays the whole log instead of a snapshot, or that loses changes.
 func TestRestartAfterTwoThousandChanges(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -260,9 +263,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(snapshots, qt.Not(qt.HasLen), 0)
 	d.startControls()
-	took := d.awaitCondition("all changes are there again", 10*time.Second, func() bool {
+	took := d.awaitCondition("all changes are restored", 10*time.Second, func() bool {
 		status, err := d.status(d.client())
 		return err == nil && status.Current && status.Revision == 2000
 	})
-	c.Logf("restart after 2,000 changes: %v until a leader has confirmed them", took)
+	c.Logf("restart after 2,000 changes: a leader confirmed them after %v", took)
 }
