--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -21,7 +21,7 @@
 	d := newDeployment(c)
 	d.startControls()
 	d.leader()
-	const entries = 12_000 // the replicated state keeps only the latest 10,000, so that the older ones come from disk
+	const entries = 12_000 // the replicated state keeps only the latest 10,000
 	client := d.client()
 	var nextVersion, failed atomic.Int64
 	var submitters sync.WaitGroup
--- a/e2e/members_test.go
+++ b/e2e/members_test.go
@@ -17,7 +17,8 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// members runs a command of the operators against all control instances and returns its output and whether it succeeded.
+// runMembersCommand runs "parsleyport members" with the arguments and the addresses of all control instances, and returns its
+// output and whether it succeeded.
 func (d *deployment) runMembersCommand(args ...string) (string, bool) {
 	args = append([]string{"members"}, args...)
 	for i := 1; i <= controls; i++ {
@@ -29,7 +30,7 @@
 	return string(output), err == nil
 }
 
-// awaitMissingChange waits until the list names a change of an instance as missing.
+// awaitMissingChange waits until the list of members names the given change of an instance as missing.
 func (d *deployment) awaitMissingChange(i int, change raft.ChangeKind) {
 	d.awaitCondition(fmt.Sprintf("%s of c%d is missing", change, i), 15*time.Second, func() bool {
 		members, err := d.listMembers()
@@ -45,13 +46,14 @@
 	return d.client().Members(ctx)
 }
 
-// wipe loses an instance with its disk.
+// wipe kills a control instance and deletes its data folder.
 func (d *deployment) wipe(i int) {
 	d.kill(fmt.Sprintf("c%d", i))
 	d.c.Assert(os.RemoveAll(d.dataFolder(i)), qt.IsNil)
 }
 
-// repair replaces an instance that has restarted without its disk.
+// repair waits until a control instance that was restarted without its disk is listed as missing a replacement, and makes it a
+// voter again.
 func (d *deployment) repair(i int) {
 	id := fmt.Sprintf("c%d", i)
 	d.awaitMissingChange(i, raft.ChangeReplace)
@@ -64,7 +66,7 @@
 	d.c.Assert(members.ToleratedFailures, qt.Equals, 1, qt.Commentf("%+v", members))
 }
 
-// submitRange submits versions and returns the revisions of their verdicts.
+// submitRange submits the versions of one record and returns the revisions at which they were accepted.
 func (d *deployment) submitRange(from, to core.RecordVersion) map[core.RecordVersion]core.Revision {
 	accepted := make(map[core.RecordVersion]core.Revision)
 	for version := from; version <= to; version++ {
@@ -75,6 +77,7 @@
 	return accepted
 }
 
+// assertRevisionsKept checks that the accepted versions still have their revisions and that no later revision exists.
 func (d *deployment) assertRevisionsKept(accepted map[core.RecordVersion]core.Revision) {
 	for version, revision := range accepted {
 		verdict := d.submit(d.client(), serviceSubmission("kept", version))
@@ -85,8 +88,8 @@
 	d.c.Assert(status.Revision, qt.Equals, lo.Max(lo.Values(accepted)))
 }
 
-// Guards against accepted records that are lost when a second instance is lost right after a repair, and against a
-// service that stops then because the repaired instance does not count.
+// Guards against accepted records that are lost when a second instance loses its disk right after the repair of the first one,
+// and against a deployment that then has no quorum because the repaired instance is not counted.
 func TestSecondDiskLossAfterRepair(t *testing.T) {
 	d := newDeployment(qt.New(t))
 	d.startControls()
@@ -101,7 +104,7 @@
 	d.assertRevisionsKept(accepted)
 	accepted = lo.Assign(accepted, d.submitRange(21, 25))
 
-	// After the second repair, the two instances that lost their disks hold everything without the third.
+	// After the second repair, the two instances that lost their disks hold all records without the third one.
 	d.startControl(others[0])
 	d.repair(others[0])
 	d.kill(fmt.Sprintf("c%d", others[1]))
@@ -109,8 +112,8 @@
 	d.assertRevisionsKept(accepted)
 }
 
-// Guards against an accepted submission without a majority when the second instance is lost before the repair of the
-// first one has ended, and against a service that stays away once that instance is back with its disk.
+// Guards against a submission that is accepted without a majority when a second instance fails before the repair of the first
+// one has ended, and against a deployment that does not recover when the second instance comes back with its disk.
 func TestSecondInstanceLossDuringRepair(t *testing.T) {
 	for _, replaced := range []bool{false, true} {
 		t.Run(fmt.Sprintf("replaced=%t", replaced), func(t *testing.T) {
@@ -128,7 +131,7 @@
 				output, succeeded := d.runMembersCommand("replace", id)
 				c.Assert(succeeded, qt.IsTrue, qt.Commentf("%s", output))
 			}
-			second := lo.Without(others, d.leader())[0] // the leader is left and leads on for up to an election timeout
+			second := lo.Without(others, d.leader())[0] // not the leader, which keeps its role for up to an election timeout
 			d.kill(fmt.Sprintf("c%d", second))
 
 			ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second) // several election timeouts
@@ -141,7 +144,7 @@
 
 			d.startControl(second)
 			d.leader()
-			// The change that got no answer may have been appended, so the list says what is left to do.
+			// A change that failed with a timeout may still have been appended to the log, so follow the list of missing changes.
 			d.awaitCondition("the repair has ended", 15*time.Second, func() bool {
 				members, err := d.listMembers()
 				c.Assert(err, qt.IsNil)
--- a/e2e/move_test.go
+++ b/e2e/move_test.go
@@ -20,9 +20,9 @@
 	"parsleyport/io/operatorhttp"
 )
 
-// setFaults switches faults of a backend server stand-in on.
+// setFaults configures the faults of a backend server stand-in.
 func (d *deployment) setFaults(i int, faults string) {
-	d.awaitCondition("the backend server takes its faults", 5*time.Second, func() bool {
+	d.awaitCondition("the backend server accepts the configuration of its faults", 5*time.Second, func() bool {
 		request, err := http.NewRequest(http.MethodPut, "http://"+d.address(fmt.Sprintf("b%d", i))+"/standin/faults", strings.NewReader(faults))
 		d.c.Assert(err, qt.IsNil)
 		response, err := http.DefaultClient.Do(request)
@@ -41,10 +41,10 @@
 	return verdict.Move
 }
 
-// awaitMove polls a move until a condition holds.
+// awaitMove polls a move until the condition holds and returns its state at that time.
 func (d *deployment) awaitMove(client *operatorhttp.Client, id core.MoveID, limit time.Duration, condition func(core.Move) bool) core.Move {
 	var move core.Move
-	d.awaitCondition("the move goes on", limit, func() bool {
+	d.awaitCondition("the move reaches the expected state", limit, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		current, err := client.ShowMove(ctx, id)
@@ -56,8 +56,8 @@
 	return move
 }
 
-// callsBetween counts the calls of the caller's log that began within a time, and those among them with an answer of v2.
-func (run *callerRun) callsBetween(from, to time.Time) (all, ofV2 int) {
+// callsBetween returns the number of logged calls that began in a time range, and how many of these release v2 answered.
+func (run *callerRun) callsBetween(from, to time.Time) (all, answeredByV2 int) {
 	file, err := os.Open(filepath.Join(run.d.folder, run.name+".calls"))
 	run.d.c.Assert(err, qt.IsNil)
 	defer file.Close()
@@ -72,13 +72,13 @@
 		}
 		all++
 		if call.Release == "v2" {
-			ofV2++
+			answeredByV2++
 		}
 	}
-	return all, ofV2
+	return all, answeredByV2
 }
 
-// runsOfV2 counts the runs of the backend servers of v2, which are those beside nodes 3 and 4.
+// runsOfV2 returns the number of runs in the logs of the backend servers of v2, which belong to nodes 3 and 4.
 func (d *deployment) runsOfV2() int {
 	runs := 0
 	for _, name := range []string{"b3", "b4"} {
@@ -89,13 +89,13 @@
 	return runs
 }
 
-// Guards against a bad release that is moved to all traffic or meets more than 2% of the calls, with real processes, and
-// against a good one that is not done in time. The backend servers of v2 have just started, as in the fault that this was
-// written for.
+// Guards against a move that gives all traffic to a bad release or sends it 2% of the calls or more, and against a move to a good
+// release that does not end before its deadline. The backend servers of v2 are started just before the move, as in the failure
+// that led to this test.
 func TestMovesOfGoodAndBadReleases(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults         string
-		faultFromShare core.PerMille // the fault appears at this share
+		faultFromShare core.PerMille // the faults are switched on when the new release has this share
 		wantState      core.MoveState
 	}{
 		"good":      {wantState: core.MoveDone},
@@ -147,7 +147,7 @@
 			allCalls, _ := calls.callsBetween(move.StartedAt, move.SteppedAt.Add(time.Second))
 			_, badCalls := calls.callsBetween(faultAt, move.SteppedAt.Add(time.Minute))
 			t.Logf("%s; %d of %d calls, %d runs", move.Cause, badCalls, allCalls, d.runsOfV2()-runsBefore)
-			c.Assert(badCalls < allCalls*2/100, qt.IsTrue, qt.Commentf("%d of %d calls met the bad release: %+v", badCalls, allCalls, move))
+			c.Assert(badCalls < allCalls*2/100, qt.IsTrue, qt.Commentf("the bad release answered %d of %d calls: %+v", badCalls, allCalls, move))
 			c.Assert(d.runsOfV2()-runsBefore < allCalls*2/100, qt.IsTrue)
 		})
 	}
--- a/e2e/records_test.go
+++ b/e2e/records_test.go
@@ -20,7 +20,7 @@
 
 const operatorTimeout = 20 * time.Second
 
-// client returns a client of the given control instances, or of all of them.
+// client returns an operator client for the given control instances, or for all of them.
 func (d *deployment) client(instances ...int) *operatorhttp.Client {
 	if len(instances) == 0 {
 		instances = []int{1, 2, 3}
@@ -46,7 +46,7 @@
 	return client.Status(ctx)
 }
 
-// leader waits until a control instance leads and returns its number.
+// leader waits until a control instance leads with a current state, and returns its number.
 func (d *deployment) leader() int {
 	leader := 0
 	d.awaitCondition("a leader is known", 15*time.Second, func() bool {
@@ -69,7 +69,7 @@
 	return lo.Must(json.Marshal(v))
 }
 
-// transcripts is one service with two releases; all traffic goes to v1.
+// transcriptsSubmission returns the records of one service with two releases; all traffic goes to v1.
 func transcriptsSubmission(version core.RecordVersion) core.Submission {
 	record := func(kind core.Kind, name string, v any) core.Record {
 		return core.Record{Kind: kind, Name: name, SchemaVersion: 1, Version: version, Body: jsonBody(v)}
@@ -88,7 +88,7 @@
 	}
 }
 
-// service is a submission of one service record.
+// serviceSubmission returns a submission of a single service record.
 func serviceSubmission(name string, version core.RecordVersion) core.Submission {
 	return core.Submission{
 		ID:       core.SubmissionID(fmt.Sprintf("%s-%d", name, version)),
@@ -99,7 +99,8 @@
 	}
 }
 
-// startServing starts control instances, nodes and backend servers of release v1 and waits until all nodes are ready.
+// startServing starts all control instances and the given number of nodes, each with a backend server of release v1, and waits
+// until all nodes are ready.
 func (d *deployment) startServing(nodes int) {
 	d.startControls()
 	d.submit(d.client(), transcriptsSubmission(1))
@@ -113,14 +114,14 @@
 	})
 }
 
-// calls is a running caller stand-in.
+// callerRun is a running process of the caller stand-in.
 type callerRun struct {
 	d       *deployment
 	name    string
 	process *exec.Cmd
 }
 
-// startCaller starts callers at the given nodes for a while.
+// startCaller starts a caller stand-in that calls the given nodes for a while, at rate calls a second.
 func (d *deployment) startCaller(name string, duration time.Duration, rate int, nodes []int, flags ...string) *callerRun {
 	args := []string{
 		"caller", "--path", "/transcripts/1", "--path", "/transcripts/2", "--workers", "32",
@@ -134,21 +135,21 @@
 	return &callerRun{d: d, name: name, process: d.processes[name]}
 }
 
-// awaitMoreCalls waits until more calls have ended, so that others are under way.
+// awaitMoreCalls waits until a number of further calls have ended. Others are in progress when it returns.
 func (run *callerRun) awaitMoreCalls(additional int) {
 	run.d.c.Helper()
 	ended := func() int {
 		text, err := os.ReadFile(filepath.Join(run.d.folder, run.name+".calls"))
 		if err != nil {
-			return 0 // the callers have not begun
+			return 0 // the call log does not exist yet
 		}
 		return bytes.Count(text, []byte("\n"))
 	}
 	before := ended()
-	run.d.awaitCondition("calls go on", 10*time.Second, func() bool { return ended() >= before+additional })
+	run.d.awaitCondition("further calls have ended", 10*time.Second, func() bool { return ended() >= before+additional })
 }
 
-// verify waits for the end of the calls and checks the logs; flags are those of the stand-in's verify command.
+// verify waits for the end of the calls and checks the call log against all run logs. The flags go to "standin verify".
 func (run *callerRun) verify(flags ...string) {
 	delete(run.d.processes, run.name)
 	run.d.c.Assert(run.process.Wait(), qt.IsNil)
@@ -161,7 +162,7 @@
 	run.d.c.Assert(err, qt.IsNil, qt.Commentf("%s: %s", run.name, output))
 }
 
-// summary reads what the caller stand-in has counted.
+// summary returns the summary that the caller stand-in has written.
 func (run *callerRun) summary() map[string]any {
 	text, err := os.ReadFile(filepath.Join(run.d.folder, run.name+".summary"))
 	run.d.c.Assert(err, qt.IsNil)
--- a/e2e/tokens_test.go
+++ b/e2e/tokens_test.go
@@ -14,9 +14,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// secretPrefix starts all secrets of the test, which must appear in no log, data folder or dump.
 const secretPrefix = "never-to-be-shown-"
 
-// as runs an operators' command with the token of a name and returns its output and exit status.
+// runWithToken runs a command of the operators with the named token and returns its output and exit status.
 func (d *deployment) runWithToken(token string, args ...string) (string, int) {
 	args = append(args, "--token-file", d.writeFile(token+".token", secretPrefix+token+"\n"))
 	for i := 1; i <= controls; i++ {
@@ -34,8 +35,9 @@
 	return path
 }
 
-// Guards against a rival that gets past its token in a real deployment, against a membership change that the audit trail
-// loses with the instance that took it, against limits that never come into use or that hit another tenant, and against secrets in logs, data folders or dumps.
+// Guards against a tenant's token that gives access to another tenant's records or to the deployment, a membership change that
+// is missing from the audit trail after the instance that accepted it has failed, limits that never apply or apply to another
+// tenant, and secrets in logs, data folders or dumps.
 func TestTokensIsolateTenants(t *testing.T) {
 	c := qt.New(t)
 	d := newDeployment(c)
@@ -70,7 +72,7 @@
 	d.awaitCondition("the node is listed", 20*time.Second, func() bool { return strings.Contains(run(0, "platform", "status", "--nodes"), "n1 ") })
 
 	leader := regexp.MustCompile(`(c\d) +voter, leader`).FindStringSubmatch(run(0, "platform", "members"))[1]
-	run(0, "platform", "members", "promote", "--submission-id", "repeated", leader) // is in force
+	run(0, "platform", "members", "promote", "--submission-id", "repeated", leader) // succeeds because it is in force already
 	d.kill(leader)
 	entries := run(0, "platform", "audit", "--submission-id", "repeated")
 	c.Assert(entries, qt.Matches, `(?s).* e2e +platform +members +requested .* members +accepted .*promote member `+leader+` .*`)
@@ -78,6 +80,7 @@
 	c.Assert(d.filesContaining(secretPrefix), qt.DeepEquals, []string{"a.token", "b.token", "platform.token", "tokens.jsonc", "wrong.token"})
 }
 
+// filesContaining returns the names of the files in the deployment's folder whose content contains the text.
 func (d *deployment) filesContaining(text string) (names []string) {
 	d.c.Assert(filepath.WalkDir(d.folder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
--- a/standin/outside/backend.go
+++ b/standin/outside/backend.go
@@ -24,7 +24,7 @@
 	announcementRetryInterval = 100 * time.Millisecond
 	leaveTimeout              = 2 * time.Second // to be heard
 	drainTimeout              = 10 * time.Second
-	maxBodyBytes              = 1 << 20
+	maxLogLineBytes           = 1 << 20
 	checksumHeader            = "Standin-Checksum"
 )
 
@@ -170,7 +170,7 @@
 		Address:         b.options.listen,
 		Slots:           b.options.slots,
 		State:           state,
-		Run:             b.name,
+		RunID:           b.name,
 		StartedAt:       b.startedAt,
 		Sequence:        sequence,
 		WarmUpRemaining: max(0, time.Until(b.warmUpEnd())),
--- a/standin/outside/caller.go
+++ b/standin/outside/caller.go
@@ -136,11 +136,11 @@
 		c.log = file
 	}
 	startedAt := time.Now()
-	c.callUntil(ctx, startedAt.Add(time.Duration(o.durationMS)*time.Millisecond))
+	c.callUntilEnd(ctx, startedAt.Add(time.Duration(o.durationMS)*time.Millisecond))
 	return c.report(time.Since(startedAt))
 }
 
-func (c *caller) callUntil(ctx context.Context, end time.Time) {
+func (c *caller) callUntilEnd(ctx context.Context, end time.Time) {
 	due := make(chan struct{}, c.options.workers)
 	var workers sync.WaitGroup
 	for range c.options.workers {
--- a/standin/outside/protocol.go
+++ b/standin/outside/protocol.go
@@ -46,7 +46,7 @@
 	Address         string
 	Slots           int
 	State           State
-	Run             string // names this start of the server
+	RunID           string // names this start of the server
 	StartedAt       time.Time
 	Sequence        int           // counts the announcements of a run
 	WarmUpRemaining time.Duration // for which the server stays slow
@@ -71,7 +71,7 @@
 		"address": a.Address,
 		"slots":   a.Slots,
 		"state":   a.State,
-		"run":     a.Run,
+		"run":     a.RunID,
 	})
 }
 
--- a/standin/outside/verify.go
+++ b/standin/outside/verify.go
@@ -106,7 +106,7 @@
 			return nil, errors.Trace(err)
 		}
 		scanner := bufio.NewScanner(file)
-		scanner.Buffer(nil, maxBodyBytes)
+		scanner.Buffer(nil, maxLogLineBytes)
 		for scanner.Scan() {
 			var entry T
 			if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
