--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,2 +1,2 @@
-// Command standin plays the outside of parsleyport in the demo and in tests with real processes.
+// Command standin simulates the backend servers and callers around parsleyport in the demo and the end-to-end tests.
 package main
--- a/standin/outside/backend.go
+++ b/standin/outside/backend.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	announcementTimeout       = time.Second // for an acknowledgement
+	announcementTimeout       = time.Second // until the node has acknowledged one announcement
 	announcementRetryInterval = 100 * time.Millisecond
-	leaveTimeout              = 2 * time.Second // to be heard
+	leaveTimeout              = 2 * time.Second // until the node has acknowledged that the server leaves
 	drainTimeout              = 10 * time.Second
 	maxLogLineBytes           = 1 << 20
 	checksumHeader            = "Standin-Checksum"
@@ -53,16 +53,16 @@
 	command.Flag("announce", "Backend address of the node beside this instance.").Required().StringVar(&o.announce)
 	command.Flag("service", "Service.").Required().StringVar(&o.service)
 	command.Flag("release", "Release.").Required().StringVar(&o.release)
-	command.Flag("slots", "Runs at the same time; more are shed with status 503.").Default("9").IntVar(&o.slots)
-	command.Flag("work-ms", "Time of one run.").Default("1").IntVar(&o.workMS)
+	command.Flag("slots", "Concurrent runs; further requests are shed with status 503.").Default("9").IntVar(&o.slots)
+	command.Flag("work-ms", "Duration of one run.").Default("1").IntVar(&o.workMS)
 	command.Flag("cold-ms", "Time after the start in which runs take four times as long.").Default("0").IntVar(&o.coldMS)
 	command.Flag("answer-bytes", "Size of the answer's padding.").Default("200").IntVar(&o.answerBytes)
-	command.Flag("name", "Name of this run; empty for one made of the time.").StringVar(&o.name)
-	command.Flag("announce-ms", "Pause between two announcements.").Default("1000").IntVar(&o.announceMS)
-	command.Flag("nested-for", "Path prefix of the requests whose runs make a call of their own.").StringVar(&o.nestedPathPrefix)
-	command.Flag("nested-node", "Caller address of the node for these calls.").StringVar(&o.nestedNode)
-	command.Flag("nested-host", "Host header of these calls; empty for the node's address.").StringVar(&o.nestedHost)
-	command.Flag("nested-path", "Path of these calls.").StringVar(&o.nestedPath)
+	command.Flag("name", "Name of this process; empty for one that is derived from the start time.").StringVar(&o.name)
+	command.Flag("announce-ms", "Interval between announcements.").Default("1000").IntVar(&o.announceMS)
+	command.Flag("nested-for", "Path prefix of the requests whose runs make a nested call.").StringVar(&o.nestedPathPrefix)
+	command.Flag("nested-node", "Caller address of the node for nested calls.").StringVar(&o.nestedNode)
+	command.Flag("nested-host", "Host header of nested calls; empty for the node's address.").StringVar(&o.nestedHost)
+	command.Flag("nested-path", "Path of nested calls.").StringVar(&o.nestedPath)
 	command.Flag("run-log", "File that gets one JSON line for each run.").Required().StringVar(&o.runLog)
 	return command, o
 }
@@ -70,11 +70,11 @@
 // runEntry is one line of a run log.
 type runEntry struct {
 	CallID  string    `json:"call-id"`
-	Caller  string    `json:"caller"` // service beside whose node the call began
+	Caller  string    `json:"caller"` // service beside the node at which the call entered
 	Key     string    `json:"key"`
 	Method  string    `json:"method"`
 	Path    string    `json:"path"`
-	Leaving bool      `json:"leaving,omitempty"` // begun after its node knew that it leaves
+	Leaving bool      `json:"leaving,omitempty"` // the run began after the node had been told that the server leaves
 	Release string    `json:"release"`
 	At      time.Time `json:"at"`
 }
@@ -84,11 +84,11 @@
 	protocol       Protocol
 	log            *os.File
 	startedAt      time.Time
-	name           string // of this run
+	name           string // identifies this process to its node
 	running        atomic.Int64
-	leaveAnnounced atomic.Bool // its node knows that it leaves
+	leaveAnnounced atomic.Bool // the node has been told that the server leaves
 	nestedCalls    atomic.Uint64
-	faults         faultSwitch
+	faults         faultHandler
 }
 
 func runBackend(ctx context.Context, o backendOptions, protocol Protocol) error {
@@ -124,8 +124,7 @@
 	return b.announceUntilDone(ctx, server, failed)
 }
 
-// announceUntilDone renews the lease until the context ends, then drains: leaving is announced first, so that no new
-// requests arrive while the running ones finish.
+// announceUntilDone renews the lease at the node until the context ends, then drains the server.
 func (b *backendServer) announceUntilDone(ctx context.Context, server *http.Server, failed <-chan error) error {
 	ticker := time.NewTicker(time.Duration(b.options.announceMS) * time.Millisecond)
 	defer ticker.Stop()
@@ -142,12 +141,14 @@
 	}
 }
 
-// leave announces that the server leaves, serves a little longer and stops.
+// leave announces that the server leaves, so that no new requests arrive, serves on for the protocol's drain delay, lets the
+// running requests finish and stops the server. It fails if the protocol requires an acknowledgement of the announcement and
+// none arrives within leaveTimeout, or if requests still run after drainTimeout.
 func (b *backendServer) leave(sequence int, server *http.Server) error {
 	deadline := time.Now().Add(leaveTimeout)
 	for ; !b.announce(sequence, StateLeaving) && b.protocol.AwaitsLeaveAcknowledgement; sequence++ {
 		if time.Now().After(deadline) {
-			return errors.New("the node does not know that this server leaves")
+			return errors.New("the node has not acknowledged that this server leaves")
 		}
 		time.Sleep(announcementRetryInterval)
 	}
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// announce reports whether the node has acknowledged the announcement.
+// announce sends an announcement and reports whether the node has acknowledged it.
 func (b *backendServer) announce(sequence int, state State) bool {
 	request, err := b.protocol.Announce(b.options.announce, Announcement{
 		Service:         b.options.service,
@@ -186,17 +187,18 @@
 	defer cancel()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
-		return false // the node may be restarting; the next announcement follows
+		return false // the node may be restarting; the next announcement retries
 	}
 	_ = response.Body.Close()
 	return response.StatusCode < http.StatusMultipleChoices
 }
 
+// warmUpEnd returns when runs stop taking four times as long.
 func (b *backendServer) warmUpEnd() time.Time {
 	return b.startedAt.Add(time.Duration(b.options.coldMS) * time.Millisecond)
 }
 
-// health always reports a healthy server, as a misleading health endpoint does.
+// health reports a healthy server in every state, so that tests cover misleading health endpoints.
 func (b *backendServer) health(w http.ResponseWriter, _ *http.Request) {
 	fmt.Fprintln(w, `{"healthy": true, "load": 0}`)
 }
@@ -236,7 +238,7 @@
 	b.answer(w, r, faulty && current.CutAnswer)
 }
 
-// callNested makes the call that a run needs, within the time that the run has left.
+// callNested makes the nested call of a run, with the time that the run has left as its deadline.
 func (b *backendServer) callNested(r *http.Request) error {
 	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+b.options.nestedNode+b.options.nestedPath, nil)
 	if err != nil {
@@ -259,20 +261,20 @@
 	return err
 }
 
-// echo returns the id by which the node knows the call.
+// echoCallID copies the call id of the request to the answer.
 func (b *backendServer) echoCallID(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(b.protocol.Headers.CallID); id != "" {
 		w.Header().Set(b.protocol.Headers.CallID, id)
 	}
 }
 
-// reject answers a request that was not run, and says so.
+// rejectNotRun answers a request that was not run and marks the answer as such, so that the node may safely try elsewhere.
 func (b *backendServer) rejectNotRun(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(b.protocol.Headers.NotRun, "1")
 	http.Error(w, text, status)
 }
 
-// work returns false if the request was cancelled or must stay without an answer.
+// work waits for the duration of the run. It returns false if the request was cancelled or must not be answered.
 func (b *backendServer) work(ctx context.Context, f faults, faulty bool) bool {
 	if faulty && f.Silent {
 		<-ctx.Done()
@@ -298,6 +300,7 @@
 	}
 }
 
+// logRun appends a line to the run log.
 func (b *backendServer) logRun(r *http.Request) {
 	line, err := json.Marshal(runEntry{
 		CallID:  r.Header.Get(b.protocol.Headers.CallID),
@@ -312,10 +315,10 @@
 	if err != nil {
 		return
 	}
-	_, _ = b.log.Write(append(line, '\n')) // one write, so that lines of several requests do not mix
+	_, _ = b.log.Write(append(line, '\n')) // a single write, so that lines of concurrent requests do not interleave
 }
 
-// answer repeats the request's key, so that the caller can tell whether the answer is its own and complete.
+// answer includes the request's key and a checksum, by which the caller detects incomplete answers and those of other calls.
 func (b *backendServer) answer(w http.ResponseWriter, r *http.Request, cut bool) {
 	body := fmt.Appendf(nil, "%s %s ", r.Header.Get("Standin-Key"), b.options.release)
 	body = append(body, bytes.Repeat([]byte{'.'}, b.options.answerBytes)...)
--- a/standin/outside/caller.go
+++ b/standin/outside/caller.go
@@ -45,19 +45,19 @@
 
 func callerFlags(app *kingpin.Application) (*kingpin.CmdClause, *callerOptions) {
 	o := &callerOptions{}
-	command := app.Command("caller", "Make calls for a while and record each one.")
+	command := app.Command("caller", "Make calls for a while and log each one.")
 	command.Flag("target", "Caller address of a node, or of a backend server for direct calls; repeatable.").Required().StringsVar(&o.targets)
 	command.Flag("path", "Path to call; repeatable.").Required().StringsVar(&o.paths)
 	command.Flag("post-per-mille", "Share of calls that are not idempotent.").Default("200").IntVar(&o.postPerMille)
-	command.Flag("workers", "Calls at the same time at most.").Default("8").IntVar(&o.workers)
+	command.Flag("workers", "Maximum number of concurrent calls.").Default("8").IntVar(&o.workers)
 	command.Flag("rate", "Calls a second; 0 for as fast as the workers can.").Default("200").IntVar(&o.callsPerSecond)
-	command.Flag("duration-ms", "How long to call.").Default("5000").IntVar(&o.durationMS)
+	command.Flag("duration-ms", "Time in which calls are made.").Default("5000").IntVar(&o.durationMS)
 	command.Flag("timeout-ms", "Deadline of each call.").Default("2000").IntVar(&o.timeoutMS)
-	command.Flag("tenant", "Tenant header; repeatable, each call takes one.").StringsVar(&o.tenants)
-	command.Flag("sessions", "Number of sticky sessions that calls belong to; 0 for none.").Default("0").IntVar(&o.sessions)
+	command.Flag("tenant", "Tenant header; repeatable, each call uses one at random.").StringsVar(&o.tenants)
+	command.Flag("sessions", "Number of sticky sessions to which calls belong; 0 for none.").Default("0").IntVar(&o.sessions)
 	command.Flag("keyed", "Send an idempotency key with calls that are not idempotent.").BoolVar(&o.keyed)
-	command.Flag("resends", "How often a keyed call without a certain outcome is sent again, through any target.").Default("0").IntVar(&o.resends)
-	command.Flag("crash", "Ask backend servers to crash.").BoolVar(&o.crash)
+	command.Flag("resends", "How often a keyed call with an unknown outcome is resent, each time to any target.").Default("0").IntVar(&o.resends)
+	command.Flag("crash", "Send the header that crashes a backend server with the fault crash-on-header.").BoolVar(&o.crash)
 	command.Flag("host", "Host header; empty for the target's address.").StringVar(&o.host)
 	command.Flag("log", "File that gets one JSON line for each call.").Default("").StringVar(&o.log)
 	command.Flag("summary", "File that gets the summary; empty for standard output.").Default("").StringVar(&o.summary)
@@ -83,7 +83,7 @@
 	Error     string    `json:"error,omitempty"`
 }
 
-// summary counts what the caller saw; latencies are in microseconds.
+// summary counts the results of the calls. Latencies are quantiles in microseconds.
 type summary struct {
 	Calls          int            `json:"calls"`
 	OK             int            `json:"ok"`
@@ -103,7 +103,7 @@
 	attempts atomic.Uint64
 	idPrefix string
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	log       io.Writer
 	histogram *hdrhistogram.Histogram
 	summary   summary
@@ -174,7 +174,7 @@
 		entry.Session = fmt.Sprintf("s%d", rand.IntN(c.options.sessions))
 	}
 	err := c.attempt(&entry)
-	// Callers may enter at any node, and nothing was sent; a target that has just refused the connection is left out.
+	// A call that could not be sent may enter at another node. Targets that have refused a connection are not tried again.
 	for others := lo.Without(c.options.targets, entry.Target); len(others) > 0 && isDialError(err); others = lo.Without(others, entry.Target) {
 		entry.Target = lo.Sample(others)
 		err = c.attempt(&entry)
@@ -193,19 +193,20 @@
 	c.recordCall(entry)
 }
 
-// keyed reports whether the call carries an idempotency key.
+// isKeyed reports whether the call carries an idempotency key.
 func (c *caller) isKeyed(entry callEntry) bool {
 	return c.options.keyed && entry.Method == http.MethodPost
 }
 
-// isDialError reports whether no connection could be opened, so that the target has seen nothing of the call.
+// isDialError reports whether no connection could be opened, so that the target has received nothing of the call.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
+// attempt makes one request and stores the result in the entry. It fails if the answer cannot be read to its end.
 func (c *caller) attempt(entry *callEntry) error {
-	entry.Revision = 0 // what an earlier attempt saw belongs to another target
+	entry.Revision = 0 // an earlier attempt may have got the revision of another target
 	timeout := time.Duration(c.options.timeoutMS) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), timeout+time.Second)
 	defer cancel()
@@ -248,7 +249,7 @@
 	return nil
 }
 
-// setHeaderIfPresent leaves out what the protocol has no name for, and what has no value.
+// setHeaderIfPresent sets a header unless its value is empty or the protocol has no name for it.
 func setHeaderIfPresent(request *http.Request, name, value string) {
 	if name != "" && value != "" {
 		request.Header.Set(name, value)
--- a/standin/outside/doc.go
+++ b/standin/outside/doc.go
@@ -1,3 +1,3 @@
-// Package outside plays the systems around parsleyport: a backend server with faults that can be switched on, a caller that
-// records every call, and a check of what both have recorded.
+// Package outside simulates the systems around parsleyport: a backend server with configurable faults, a caller that logs each
+// call, a check of the logs of both, and a converter from a call log to a trace.
 package outside
--- a/standin/outside/faults.go
+++ b/standin/outside/faults.go
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// faults are switched on with PUT /standin/faults; the zero value is a healthy backend server.
+// faults holds the faults of a backend server. They are replaced with PUT /standin/faults; the zero value has none.
 type faults struct {
 	FailPerMille  int    `json:"fail-per-mille"`  // share of runs answered with status 500
 	SlowMS        int    `json:"slow-ms"`         // added to each run
-	PathPrefix    string `json:"path-prefix"`     // faults hit only requests below it
-	AboveLoad     int    `json:"above-load"`      // faults hit only while more runs than this are under way
-	CrashOnHeader bool   `json:"crash-on-header"` // a request with the header Standin-Crash ends the process
-	Silent        bool   `json:"silent"`          // runs never answer and open connections stay open
-	CutAnswer     bool   `json:"cut-answer"`      // answers are cut in the middle
+	PathPrefix    string `json:"path-prefix"`     // only requests with this path prefix are affected
+	AboveLoad     int    `json:"above-load"`      // only requests are affected that exceed this number of concurrent runs
+	CrashOnHeader bool   `json:"crash-on-header"` // a request with the header Standin-Crash makes the process exit
+	Silent        bool   `json:"silent"`          // runs never answer but keep their connections open
+	CutAnswer     bool   `json:"cut-answer"`      // answers end after half of their body
 }
 
-type faultSwitch struct {
+// faultHandler holds the current faults and serves requests that replace them.
+type faultHandler struct {
 	mu      sync.Mutex // guards current
 	current faults
 }
 
-func (s *faultSwitch) get() faults {
+func (s *faultHandler) get() faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-func (s *faultSwitch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *faultHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var next faults
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -45,7 +46,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// hits reports whether the faults concern this request.
+// affects reports whether the faults apply to a request, given the number of concurrent runs.
 func (f faults) affects(r *http.Request, running int) bool {
 	return strings.HasPrefix(r.URL.Path, f.PathPrefix) && running > f.AboveLoad
 }
--- a/standin/outside/main.go
+++ b/standin/outside/main.go
@@ -10,7 +10,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Main runs one stand-in as the command line asks, and returns the exit status.
+// Main runs the stand-in that the command line selects and returns the exit status: 0, or 1 after printing an error.
 func Main(args []string, protocol Protocol) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/standin/outside/protocol.go
+++ b/standin/outside/protocol.go
@@ -13,46 +13,47 @@
 	"parsleyport/core"
 )
 
-// Protocol is what callers and backend servers speak with their nodes.
+// Protocol describes how callers and backend servers communicate with nodes.
 type Protocol struct {
-	Name    string
+	Name    string // program name in help texts and errors
 	Headers core.HeaderNames
-	// CallerSetsCallID says that a caller numbers its attempts; otherwise the node does.
+	// CallerSetsCallID makes callers send a call id with each attempt. Otherwise the node assigns it.
 	CallerSetsCallID bool
-	// Announce makes the request that tells the node at an address of a backend server.
+	// Announce returns the request that announces a backend server to the node at an address, or nil if none is needed.
 	Announce func(node string, a Announcement) (*http.Request, error)
-	// AwaitsLeaveAcknowledgement says that a backend server which leaves waits until its node knows it; it fails otherwise.
+	// AwaitsLeaveAcknowledgement makes a leaving backend server repeat its announcement until the node acknowledges it, and fail
+	// if the node does not. Otherwise it announces that it leaves only once.
 	AwaitsLeaveAcknowledgement bool
-	// DrainDelay is how long a backend server goes on after its node knows that it leaves.
+	// DrainDelay is the time that a backend server serves on after announcing that it leaves.
 	DrainDelay time.Duration
-	// Commands adds commands of the protocol's own; each has a function that runs it.
+	// ExtraCommands adds the protocol's own commands and returns the function that runs each, by command name. May be nil.
 	ExtraCommands func(app *kingpin.Application) map[string]func(context.Context) error
 }
 
-// State is what a backend server says of itself.
+// State is the state that a backend server announces.
 type State string
 
-// The states of a backend server. A server that is gone has stopped to serve.
+// The states of a backend server: it takes requests, finishes its requests before a stop, or no longer serves.
 const (
 	StateReady   State = "ready"
 	StateLeaving State = "leaving"
 	StateGone    State = "gone"
 )
 
-// Announcement tells a node of the backend server beside it.
+// Announcement describes a backend server to its node.
 type Announcement struct {
 	Service         string
 	Release         string
 	Address         string
 	Slots           int
 	State           State
-	RunID           string // names this start of the server
+	RunID           string // identifies this process
 	StartedAt       time.Time
-	Sequence        int           // counts the announcements of a run
-	WarmUpRemaining time.Duration // for which the server stays slow
+	Sequence        int           // number of the announcement since the start
+	WarmUpRemaining time.Duration // time in which runs still take longer than usual
 }
 
-// DefaultProtocol is parsleyport's own interface.
+// DefaultProtocol returns parsleyport's default interface for callers and backend servers.
 func DefaultProtocol() Protocol {
 	return Protocol{
 		Name:     "standin",
@@ -63,7 +64,7 @@
 
 func defaultAnnouncement(node string, a Announcement) (*http.Request, error) {
 	if a.State == StateGone {
-		return nil, nil // the lease ends by itself
+		return nil, nil // the lease expires
 	}
 	return JSONRequest(http.MethodPut, "http://"+node+"/v1/backend", map[string]any{
 		"service": a.Service,
@@ -75,7 +76,7 @@
 	})
 }
 
-// JSONRequest makes a request with a JSON body; it fails on values that JSON cannot hold and on a malformed address.
+// JSONRequest returns a request with a JSON body. It fails if the body cannot be encoded as JSON or the address is malformed.
 func JSONRequest(method, address string, body any) (*http.Request, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return request, nil
 }
 
-// outcomeOf returns what an answer says of its call. A protocol without a header for it says so by the status.
+// outcomeOf returns the outcome of a call from its answer: from the header for it or, if the protocol has none, by the status.
 func (p Protocol) outcomeOf(response *http.Response) string {
 	if p.Headers.Outcome != "" {
 		return response.Header.Get(p.Headers.Outcome)
@@ -103,7 +104,7 @@
 	return string(core.OutcomeAnswered)
 }
 
-// formatMilliseconds formats a time as callers state it.
+// formatMilliseconds formats a duration as a header value, in whole milliseconds.
 func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatInt(d.Milliseconds(), 10)
 }
--- a/standin/outside/trace.go
+++ b/standin/outside/trace.go
@@ -19,14 +19,15 @@
 
 func traceFlags(app *kingpin.Application) (*kingpin.CmdClause, *traceOptions) {
 	o := &traceOptions{}
-	command := app.Command("trace", "Turn a call log into a trace for parsleyport replay.")
+	command := app.Command("trace", "Convert a call log into a trace for parsleyport replay.")
 	command.Flag("calls", "Call log of the caller stand-in.").Required().StringVar(&o.calls)
-	command.Flag("header", "Trace file whose header is used.").Required().StringVar(&o.header)
+	command.Flag("header", "Trace file from which the header is copied.").Required().StringVar(&o.header)
 	command.Flag("out", "Trace file to write.").Required().StringVar(&o.out)
 	return command, o
 }
 
-// runTrace keeps when, where and how the recorded calls arrived; what became of them is for the replay to find out.
+// runTrace converts only the arrivals of the calls: their time, target, tenant, session and whether they are idempotent. Results
+// are left out because a replay computes them.
 func runTrace(o traceOptions) error {
 	trace, err := callreplay.ReadFile(o.header)
 	if err != nil {
--- a/standin/outside/verify.go
+++ b/standin/outside/verify.go
@@ -22,7 +22,7 @@
 
 func verifyFlags(app *kingpin.Application) (*kingpin.CmdClause, *verifyOptions) {
 	o := &verifyOptions{}
-	command := app.Command("verify", "Check call logs against run logs; exit status 1 if a promise was broken.")
+	command := app.Command("verify", "Check call logs against run logs; exit status 1 if a guarantee was violated.")
 	command.Flag("calls", "Call log; repeatable.").Required().StringsVar(&o.callLogs)
 	command.Flag("runs", "Run log; repeatable.").Required().StringsVar(&o.runLogs)
 	command.Flag("all-answered", "Every call must have a complete answer.").BoolVar(&o.allAnswered)
@@ -39,18 +39,19 @@
 		return err
 	}
 	violations := verifyLogs(calls, runs, o.allAnswered)
-	fmt.Fprintf(out, "%d calls, %d runs, %d faults\n", len(calls), len(runs), len(violations))
+	fmt.Fprintf(out, "%d calls, %d runs, %d violations\n", len(calls), len(runs), len(violations))
 	for _, violation := range lo.Slice(violations, 0, 10) {
 		fmt.Fprintln(out, "  "+violation)
 	}
 	if len(violations) > 0 {
-		return errors.Errorf("%d faults", len(violations))
+		return errors.Errorf("%d violations", len(violations))
 	}
 	return nil
 }
 
-// verifyLogs returns the broken promises: a second run of a call that is not idempotent, a run after "not run", an
-// answer that is incomplete or another call's, and a node that went back to an older revision.
+// verifyLogs returns the violated guarantees: non-idempotent calls that ran more than once, calls refused as not run that ran,
+// successful answers that are incomplete or belong to another call, answers without a run, nodes that went back to an older
+// revision and, if allAnswered is set, calls without a complete answer.
 func verifyLogs(calls []callEntry, runs []runEntry, allAnswered bool) []string {
 	var violations []string
 	runsByKey := lo.CountValuesBy(runs, func(r runEntry) string { return r.Key })
@@ -62,9 +63,9 @@
 		case call.Outcome == "not-run" && runCount > 0:
 			violations = append(violations, fmt.Sprintf("call %s was refused as not run (%s) but ran %d times", call.Key, call.Cause, runCount))
 		case call.Status == http.StatusOK && call.Error == "" && !call.Complete:
-			violations = append(violations, fmt.Sprintf("call %s got an incomplete or foreign answer as a success", call.Key))
+			violations = append(violations, fmt.Sprintf("call %s succeeded with an answer that is incomplete or of another call", call.Key))
 		case call.Complete && runCount == 0:
-			violations = append(violations, fmt.Sprintf("call %s was answered without a run", call.Key))
+			violations = append(violations, fmt.Sprintf("call %s was answered but has no logged run", call.Key))
 		case allAnswered && !call.Complete:
 			violations = append(violations, fmt.Sprintf("call %s (%s %s at %s) has no complete answer: status %d, outcome %q, cause %q, error %q",
 				call.Key, call.Method, call.Path, call.Target, call.Status, call.Outcome, call.Cause, call.Error))
@@ -73,7 +74,7 @@
 	return append(violations, revisionRegressions(calls)...)
 }
 
-// revisionRegressions looks for a call that began after another one at the same node had ended, and saw an older revision.
+// revisionRegressions reports each call that saw an older revision than a call that had ended at the same node before it began.
 func revisionRegressions(calls []callEntry) []string {
 	var violations []string
 	for target, targetCalls := range lo.GroupBy(calls, func(c callEntry) string { return c.Target }) {
@@ -87,7 +88,7 @@
 				nextEnded++
 			}
 			if call.Revision != 0 && call.Revision < newestRevision {
-				violations = append(violations, fmt.Sprintf("node %s served revision %d after %d", target, call.Revision, newestRevision))
+				violations = append(violations, fmt.Sprintf("node %s served revision %d after revision %d", target, call.Revision, newestRevision))
 			}
 		}
 	}
@@ -110,7 +111,7 @@
 		for scanner.Scan() {
 			var entry T
 			if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
-				continue // a process that was killed may leave a cut last line
+				continue // the last line may be cut off if the process was killed
 			}
 			entries = append(entries, entry)
 		}
--- a/standin/outside/verify_test.go
+++ b/standin/outside/verify_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a check that cannot fail: each broken promise is reported, and a clean log is not.
+// Guards against a check that misses a violation of one of the guarantees, or reports one in a clean log.
 func TestVerifyLogsReportsEachViolation(t *testing.T) {
 	c := qt.New(t)
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
