--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command parsleyport runs the processes of the service mesh and the operators' commands.
+// Command parsleyport runs the nodes and control instances of the service mesh and the commands of its operators.
 package main
 
 import (
--- a/scripts/doc.go
+++ b/scripts/doc.go
@@ -1,2 +1,2 @@
-// Package scripts holds the shell scripts of the project and the tests of those that decide what CI runs.
+// Package scripts contains the shell scripts of the project and the tests of known-red, which decides which tests CI skips.
 package scripts
--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func knownRed(c *qt.C, entries string, args ...string) (string, error) {
+func runKnownRed(c *qt.C, entries string, args ...string) (string, error) {
 	file := filepath.Join(c.TempDir(), "KNOWN-RED.txt")
 	c.Assert(os.WriteFile(file, []byte(entries), 0o600), qt.IsNil)
 	command := exec.Command("./known-red", args...)
@@ -21,7 +21,7 @@
 
 const oneEntry = "# comment\nparsleyport/core/a | TestOne | go test ./core/a | 7 | times out | 4\n"
 
-// Guards against CI passing over more tests than the file names.
+// Guards against CI skipping tests that KNOWN-RED.txt does not list.
 func TestKnownRedSkipsExactlyTheNamedTests(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -33,13 +33,13 @@
 		{args: []string{"clean", "parsleyport/core/a", "parsleyport/core/ab"}, want: "parsleyport/core/ab"},
 		{args: []string{"list"}, want: "known red, not run: parsleyport/core/a TestOne: times out (issue 4)"},
 	} {
-		got, err := knownRed(c, oneEntry, test.args...)
+		got, err := runKnownRed(c, oneEntry, test.args...)
 		c.Assert(err, qt.IsNil)
 		c.Assert(got, qt.Equals, test.want)
 	}
 }
 
-// Guards against an entry with a pattern or a missing field that silently skips nothing or everything.
+// Guards against an entry that skips all tests or none without an error because it has a pattern for a name or lacks a field.
 func TestKnownRedRefusesMalformedEntries(t *testing.T) {
 	c := qt.New(t)
 	for _, entry := range []string{
@@ -47,7 +47,7 @@
 		"parsleyport/core/a | TestOne | go test | 7 | times out |",
 		"TestOne",
 	} {
-		_, err := knownRed(c, entry+"\n", "list")
+		_, err := runKnownRed(c, entry+"\n", "list")
 		c.Assert(err, qt.IsNotNil, qt.Commentf("entry %q", entry))
 	}
 }
