--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -25,7 +25,7 @@
 // usage holds the resources that a process uses.
 type usage struct {
 	cpuTime       time.Duration // user and system time since the start
-	residentBytes int64         // bytes
+	residentBytes int64         // resident set size
 }
 
 // usage reads the resource usage of a process from /proc/PID/stat.
--- a/e2e/failures_test.go
+++ b/e2e/failures_test.go
@@ -198,7 +198,8 @@
 		d.startNode(i)
 		d.startBackend(i, "v1")
 	}
-	time.Sleep(3 * time.Second) // time for the nodes to learn of each other, and for clock differences, before the first record is accepted
+	// The nodes must know each other before the service's records are accepted. The pause includes a margin for clock differences.
+	time.Sleep(3 * time.Second)
 	d.submit(d.client(), transcriptsSubmission(1))
 	d.awaitCondition("all nodes are ready and all endpoints known", 20*time.Second, func() bool {
 		status, err := d.status(d.client())
