--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -21,7 +21,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// programs are the built binaries, made once for all tests.
+// programs holds the paths of the binaries, which are built once for all tests.
 var programs struct {
 	parsleyport string
 	standin     string
@@ -51,21 +51,21 @@
 
 const controls = 3
 
-// nextPort starts at a random port, so that two runs at the same time seldom try the same ones.
+// nextPort starts at a random port, so that concurrent test runs rarely try the same ports.
 var nextPort = func() *atomic.Uint32 {
 	port := &atomic.Uint32{}
 	port.Store(rand.Uint32N(20_000))
 	return port
 }()
 
-// deployment is a set of processes on loopback; all of them end with the test.
+// deployment is a set of processes on loopback addresses, which are killed at the end of the test.
 type deployment struct {
 	c         *qt.C
 	folder    string
 	addresses map[string]string
 	processes map[string]*exec.Cmd
-	tokenFile string         // of the control instances, empty for none
-	limits    map[string]int // settings of the control instances
+	tokenFile string         // of the control instances; empty for none
+	limits    map[string]int // "limits" in the settings of the control instances; nil for the defaults
 }
 
 func newDeployment(c *qt.C) *deployment {
@@ -75,21 +75,21 @@
 		addresses: make(map[string]string),
 		processes: make(map[string]*exec.Cmd),
 	}
-	c.Cleanup(d.end)
+	c.Cleanup(d.killAll)
 	return d
 }
 
-// end ends all processes.
-func (d *deployment) end() {
+// killAll kills all processes and, if the test has failed, logs the last lines of each process's output.
+func (d *deployment) killAll() {
 	for name := range d.processes {
 		d.kill(name)
 	}
 	if d.c.Failed() {
-		d.logFiles()
+		d.logTails()
 	}
 }
 
-func (d *deployment) logFiles() {
+func (d *deployment) logTails() {
 	files, _ := filepath.Glob(filepath.Join(d.folder, "*.log"))
 	for _, file := range files {
 		content, _ := os.ReadFile(file)
@@ -98,13 +98,13 @@
 	}
 }
 
-// address returns a free loopback address that stays the same for a name.
+// address returns the loopback address that belongs to a name. The first call for a name picks a free one.
 func (d *deployment) address(name string) string {
 	if known, exists := d.addresses[name]; exists {
 		return known
 	}
 	for {
-		// Below the range from which the system takes the ports of outgoing connections, so that the address stays free.
+		// The port is below the ephemeral range of the operating system, so that no outgoing connection takes it.
 		address := fmt.Sprintf("127.0.0.1:%d", 10_000+nextPort.Add(1)%20_000)
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("dc-%c", 'a'+(i-1)%3)
 }
 
-func (d *deployment) write(name string, settings map[string]any) string {
+func (d *deployment) writeSettings(name string, settings map[string]any) string {
 	text, err := json.Marshal(settings)
 	d.c.Assert(err, qt.IsNil)
 	path := filepath.Join(d.folder, name+".jsonc")
@@ -134,7 +134,7 @@
 		members = append(members, map[string]any{
 			"id":               fmt.Sprintf("c%d", m),
 			"data-centre":      dataCentre(m),
-			"operator-address": d.operator(m),
+			"operator-address": d.operatorAddress(m),
 			"peer-address":     d.address(fmt.Sprintf("c%d-peer", m)),
 			"node-address":     d.address(fmt.Sprintf("c%d-node", m)),
 		})
@@ -152,7 +152,7 @@
 		settings[key] = value
 	}
 	name := fmt.Sprintf("c%d", i)
-	d.start(name, programs.parsleyport, "control", "--settings", d.write(name, settings))
+	d.start(name, programs.parsleyport, "control", "--settings", d.writeSettings(name, settings))
 }
 
 func (d *deployment) startControls() {
@@ -165,7 +165,7 @@
 	return filepath.Join(d.folder, fmt.Sprintf("data-%d", i))
 }
 
-func (d *deployment) operator(i int) string {
+func (d *deployment) operatorAddress(i int) string {
 	return d.address(fmt.Sprintf("c%d-operator", i))
 }
 
@@ -175,7 +175,7 @@
 		control = append(control, d.address(fmt.Sprintf("c%d-node", m)))
 	}
 	name := fmt.Sprintf("n%d", i)
-	d.start(name, programs.parsleyport, "node", "--settings", d.write(name, map[string]any{
+	d.start(name, programs.parsleyport, "node", "--settings", d.writeSettings(name, map[string]any{
 		"id":                name,
 		"data-centre":       dataCentre(i),
 		"caller-address":    d.address(name + "-caller"),
@@ -209,7 +209,7 @@
 	d.processes[name] = process
 }
 
-// kill ends a process as a power failure of its instance would.
+// kill ends a process without notice, as a power failure would.
 func (d *deployment) kill(name string) {
 	process := d.processes[name]
 	delete(d.processes, name)
@@ -221,22 +221,22 @@
 	d.c.Assert(d.processes[name].Process.Signal(signal), qt.IsNil)
 }
 
-// stop is a planned stop; the process must end with status 0.
+// stop sends SIGTERM and checks that the process exits with status 0.
 func (d *deployment) stop(name string) {
 	process := d.processes[name]
 	d.signal(name, syscall.SIGTERM)
 	delete(d.processes, name)
-	d.c.Assert(process.Wait(), qt.IsNil, qt.Commentf("planned stop of %s", name))
+	d.c.Assert(process.Wait(), qt.IsNil, qt.Commentf("%s did not stop with status 0", name))
 }
 
-// eventually polls until the condition holds.
-func (d *deployment) eventually(what string, limit time.Duration, condition func() bool) time.Duration {
+// awaitCondition polls until the condition holds and returns the time that this took. It fails the test at the limit.
+func (d *deployment) awaitCondition(description string, limit time.Duration, condition func() bool) time.Duration {
 	began := time.Now()
 	for !condition() {
 		if time.Since(began) > limit {
-			d.c.Fatalf("not within %v: %s", limit, what)
+			d.c.Fatalf("not met within %v: %s", limit, description)
 		}
-		time.Sleep(10 * time.Millisecond) // between two polls of another process
+		time.Sleep(10 * time.Millisecond) // polling interval
 	}
 	return time.Since(began)
 }
--- a/standin/outside/backend.go
+++ b/standin/outside/backend.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	announceLimit = time.Second // for an acknowledgement
-	announceAgain = 100 * time.Millisecond
-	leaveAtMost   = 2 * time.Second // to be heard
-	drainAtMost   = 10 * time.Second
-	maxBodyBytes  = 1 << 20
-	checksumName  = "Standin-Checksum"
+	announcementTimeout       = time.Second // until the node has acknowledged one announcement
+	announcementRetryInterval = 100 * time.Millisecond
+	leaveTimeout              = 2 * time.Second // until the node has acknowledged that the server leaves
+	drainTimeout              = 10 * time.Second
+	maxLogLineBytes           = 1 << 20
+	checksumHeader            = "Standin-Checksum"
 )
 
 type backendOptions struct {
-	listen      string
-	announce    string
-	service     string
-	release     string
-	slots       int
-	workMS      int
-	coldMS      int
-	answerBytes int
-	name        string
-	announceMS  int
-	nestedPath  string
-	nestedHost  string
-	nestedNode  string
-	nestedFor   string
-	runLog      string
+	listen           string
+	announce         string
+	service          string
+	release          string
+	slots            int
+	workMS           int
+	coldMS           int
+	answerBytes      int
+	name             string
+	announceMS       int
+	nestedPath       string
+	nestedHost       string
+	nestedNode       string
+	nestedPathPrefix string
+	runLog           string
 }
 
 func backendFlags(app *kingpin.Application) (*kingpin.CmdClause, *backendOptions) {
@@ -53,16 +53,16 @@
 	command.Flag("announce", "Backend address of the node beside this instance.").Required().StringVar(&o.announce)
 	command.Flag("service", "Service.").Required().StringVar(&o.service)
 	command.Flag("release", "Release.").Required().StringVar(&o.release)
-	command.Flag("slots", "Runs at the same time; more are shed with status 503.").Default("9").IntVar(&o.slots)
-	command.Flag("work-ms", "Time of one run.").Default("1").IntVar(&o.workMS)
+	command.Flag("slots", "Concurrent runs; further requests are shed with status 503.").Default("9").IntVar(&o.slots)
+	command.Flag("work-ms", "Duration of one run.").Default("1").IntVar(&o.workMS)
 	command.Flag("cold-ms", "Time after the start in which runs take four times as long.").Default("0").IntVar(&o.coldMS)
 	command.Flag("answer-bytes", "Size of the answer's padding.").Default("200").IntVar(&o.answerBytes)
-	command.Flag("name", "Name of this run; empty for one made of the time.").StringVar(&o.name)
-	command.Flag("announce-ms", "Pause between two announcements.").Default("1000").IntVar(&o.announceMS)
-	command.Flag("nested-for", "Path prefix of the requests whose runs make a call of their own.").StringVar(&o.nestedFor)
-	command.Flag("nested-node", "Caller address of the node for these calls.").StringVar(&o.nestedNode)
-	command.Flag("nested-host", "Host header of these calls; empty for the node's address.").StringVar(&o.nestedHost)
-	command.Flag("nested-path", "Path of these calls.").StringVar(&o.nestedPath)
+	command.Flag("name", "Name of this process; empty for one that is derived from the start time.").StringVar(&o.name)
+	command.Flag("announce-ms", "Interval between announcements.").Default("1000").IntVar(&o.announceMS)
+	command.Flag("nested-for", "Path prefix of the requests whose runs make a nested call.").StringVar(&o.nestedPathPrefix)
+	command.Flag("nested-node", "Caller address of the node for nested calls.").StringVar(&o.nestedNode)
+	command.Flag("nested-host", "Host header of nested calls; empty for the node's address.").StringVar(&o.nestedHost)
+	command.Flag("nested-path", "Path of nested calls.").StringVar(&o.nestedPath)
 	command.Flag("run-log", "File that gets one JSON line for each run.").Required().StringVar(&o.runLog)
 	return command, o
 }
@@ -70,25 +70,25 @@
 // runEntry is one line of a run log.
 type runEntry struct {
 	CallID  string    `json:"call-id"`
-	Caller  string    `json:"caller"` // service beside whose node the call began
+	Caller  string    `json:"caller"` // service beside the node at which the call entered
 	Key     string    `json:"key"`
 	Method  string    `json:"method"`
 	Path    string    `json:"path"`
-	Leaving bool      `json:"leaving,omitempty"` // begun after its node knew that it leaves
+	Leaving bool      `json:"leaving,omitempty"` // the run began after the node had been told that the server leaves
 	Release string    `json:"release"`
 	At      time.Time `json:"at"`
 }
 
 type backendServer struct {
-	options   backendOptions
-	protocol  Protocol
-	log       *os.File
-	startedAt time.Time
-	name      string // of this run
-	running   atomic.Int64
-	left      atomic.Bool // its node knows that it leaves
-	calls     atomic.Uint64
-	faults    faultSwitch
+	options        backendOptions
+	protocol       Protocol
+	log            *os.File
+	startedAt      time.Time
+	name           string // identifies this process to its node
+	running        atomic.Int64
+	leaveAnnounced atomic.Bool // the node has been told that the server leaves
+	nestedCalls    atomic.Uint64
+	faults         faultHandler
 }
 
 func runBackend(ctx context.Context, o backendOptions, protocol Protocol) error {
@@ -121,12 +121,11 @@
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
-	return b.announceUntil(ctx, server, failed)
+	return b.announceUntilDone(ctx, server, failed)
 }
 
-// announceUntil renews the lease until the context ends, then drains: leaving is announced first, so that no new
-// requests arrive while the running ones finish.
-func (b *backendServer) announceUntil(ctx context.Context, server *http.Server, failed <-chan error) error {
+// announceUntilDone renews the lease at the node until the context ends, then drains the server.
+func (b *backendServer) announceUntilDone(ctx context.Context, server *http.Server, failed <-chan error) error {
 	ticker := time.NewTicker(time.Duration(b.options.announceMS) * time.Millisecond)
 	defer ticker.Stop()
 	for sequence := 1; ; sequence++ {
@@ -142,18 +141,20 @@
 	}
 }
 
-// leave announces that the server leaves, serves a little longer and stops.
+// leave announces that the server leaves, so that no new requests arrive, serves on for the protocol's drain delay, lets the
+// running requests finish and stops the server. It fails if the protocol requires an acknowledgement of the announcement and
+// none arrives within leaveTimeout, or if requests still run after drainTimeout.
 func (b *backendServer) leave(sequence int, server *http.Server) error {
-	deadline := time.Now().Add(leaveAtMost)
-	for ; !b.announce(sequence, StateLeaving) && b.protocol.LeaveIsAcknowledged; sequence++ {
+	deadline := time.Now().Add(leaveTimeout)
+	for ; !b.announce(sequence, StateLeaving) && b.protocol.AwaitsLeaveAcknowledgement; sequence++ {
 		if time.Now().After(deadline) {
-			return errors.New("the node does not know that this server leaves")
+			return errors.New("the node has not acknowledged that this server leaves")
 		}
-		time.Sleep(announceAgain)
+		time.Sleep(announcementRetryInterval)
 	}
-	b.left.Store(true)
-	time.Sleep(b.protocol.DrainFor)
-	drain, cancel := context.WithTimeout(context.Background(), drainAtMost)
+	b.leaveAnnounced.Store(true)
+	time.Sleep(b.protocol.DrainDelay)
+	drain, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := server.Shutdown(drain); err != nil {
 		return errors.Trace(err)
@@ -162,18 +163,18 @@
 	return nil
 }
 
-// announce reports whether the node has acknowledged the announcement.
+// announce sends an announcement and reports whether the node has acknowledged it.
 func (b *backendServer) announce(sequence int, state State) bool {
 	request, err := b.protocol.Announce(b.options.announce, Announcement{
-		Service:  b.options.service,
-		Release:  b.options.release,
-		Address:  b.options.listen,
-		Slots:    b.options.slots,
-		State:    state,
-		Run:      b.name,
-		Born:     b.startedAt,
-		Sequence: sequence,
-		Cold:     max(0, time.Until(b.warmAt())),
+		Service:         b.options.service,
+		Release:         b.options.release,
+		Address:         b.options.listen,
+		Slots:           b.options.slots,
+		State:           state,
+		RunID:           b.name,
+		StartedAt:       b.startedAt,
+		Sequence:        sequence,
+		WarmUpRemaining: max(0, time.Until(b.warmUpEnd())),
 	})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: announcement: %v\n", b.protocol.Name, err)
@@ -182,21 +183,22 @@
 	if request == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), announceLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), announcementTimeout)
 	defer cancel()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
-		return false // the node may be restarting; the next announcement follows
+		return false // the node may be restarting; the next announcement retries
 	}
 	_ = response.Body.Close()
 	return response.StatusCode < http.StatusMultipleChoices
 }
 
-func (b *backendServer) warmAt() time.Time {
+// warmUpEnd returns when runs stop taking four times as long.
+func (b *backendServer) warmUpEnd() time.Time {
 	return b.startedAt.Add(time.Duration(b.options.coldMS) * time.Millisecond)
 }
 
-// health always reports a healthy server, as a misleading health endpoint does.
+// health reports a healthy server in every state, so that tests cover misleading health endpoints.
 func (b *backendServer) health(w http.ResponseWriter, _ *http.Request) {
 	fmt.Fprintln(w, `{"healthy": true, "load": 0}`)
 }
@@ -204,48 +206,48 @@
 func (b *backendServer) serve(w http.ResponseWriter, r *http.Request) {
 	running := int(b.running.Add(1))
 	defer b.running.Add(-1)
-	b.echo(w, r)
+	b.echoCallID(w, r)
 	if expected := r.Header.Get(b.protocol.Headers.ExpectedInstance); expected != "" && expected != b.name {
-		b.reject(w, http.StatusMisdirectedRequest, "another instance is expected")
+		b.rejectNotRun(w, http.StatusMisdirectedRequest, "another instance is expected")
 		return
 	}
 	if running > b.options.slots {
 		w.Header().Set("Retry-After", "1")
-		b.reject(w, http.StatusServiceUnavailable, "no free slot")
+		b.rejectNotRun(w, http.StatusServiceUnavailable, "no free slot")
 		return
 	}
-	b.record(r)
-	f := b.faults.get()
-	hit := f.hits(r, running)
-	if f.CrashOnHeader && r.Header.Get("Standin-Crash") != "" {
+	b.logRun(r)
+	current := b.faults.get()
+	faulty := current.affects(r, running)
+	if current.CrashOnHeader && r.Header.Get("Standin-Crash") != "" {
 		os.Exit(3)
 	}
-	if !b.work(r.Context(), f, hit) {
+	if !b.work(r.Context(), current, faulty) {
 		return
 	}
-	if hit && f.fails() {
+	if faulty && current.fails() {
 		http.Error(w, "fault", http.StatusInternalServerError)
 		return
 	}
-	if b.options.nestedFor != "" && strings.HasPrefix(r.URL.Path, b.options.nestedFor) {
+	if b.options.nestedPathPrefix != "" && strings.HasPrefix(r.URL.Path, b.options.nestedPathPrefix) {
 		if err := b.callNested(r); err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
 	}
-	b.answer(w, r, hit && f.CutAnswer)
+	b.answer(w, r, faulty && current.CutAnswer)
 }
 
-// callNested makes the call that a run needs, within the time that the run has left.
+// callNested makes the nested call of a run, with the time that the run has left as its deadline.
 func (b *backendServer) callNested(r *http.Request) error {
 	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+b.options.nestedNode+b.options.nestedPath, nil)
 	if err != nil {
 		return err
 	}
 	request.Host = b.options.nestedHost
-	setHeader(request, b.protocol.Headers.Deadline, r.Header.Get(b.protocol.Headers.Deadline))
-	if b.protocol.CallersNameCalls {
-		setHeader(request, b.protocol.Headers.CallID, fmt.Sprintf("%s-%d", b.name, b.calls.Add(1)))
+	setHeaderIfPresent(request, b.protocol.Headers.Deadline, r.Header.Get(b.protocol.Headers.Deadline))
+	if b.protocol.CallerSetsCallID {
+		setHeaderIfPresent(request, b.protocol.Headers.CallID, fmt.Sprintf("%s-%d", b.name, b.nestedCalls.Add(1)))
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -259,30 +261,30 @@
 	return err
 }
 
-// echo returns the id by which the node knows the call.
-func (b *backendServer) echo(w http.ResponseWriter, r *http.Request) {
+// echoCallID copies the call id of the request to the answer.
+func (b *backendServer) echoCallID(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(b.protocol.Headers.CallID); id != "" {
 		w.Header().Set(b.protocol.Headers.CallID, id)
 	}
 }
 
-// reject answers a request that was not run, and says so.
-func (b *backendServer) reject(w http.ResponseWriter, status int, text string) {
+// rejectNotRun answers a request that was not run and marks the answer as such, so that the node may safely try elsewhere.
+func (b *backendServer) rejectNotRun(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(b.protocol.Headers.NotRun, "1")
 	http.Error(w, text, status)
 }
 
-// work returns false if the request was cancelled or must stay without an answer.
-func (b *backendServer) work(ctx context.Context, f faults, hit bool) bool {
-	if hit && f.Silent {
+// work waits for the duration of the run. It returns false if the request was cancelled or must not be answered.
+func (b *backendServer) work(ctx context.Context, f faults, faulty bool) bool {
+	if faulty && f.Silent {
 		<-ctx.Done()
 		return false
 	}
 	duration := time.Duration(b.options.workMS) * time.Millisecond
-	if time.Now().Before(b.warmAt()) {
+	if time.Now().Before(b.warmUpEnd()) {
 		duration *= 4
 	}
-	if hit {
+	if faulty {
 		duration += f.delay()
 	}
 	if duration == 0 {
@@ -298,28 +300,29 @@
 	}
 }
 
-func (b *backendServer) record(r *http.Request) {
+// logRun appends a line to the run log.
+func (b *backendServer) logRun(r *http.Request) {
 	line, err := json.Marshal(runEntry{
 		CallID:  r.Header.Get(b.protocol.Headers.CallID),
 		Caller:  r.Header.Get(b.protocol.Headers.CallerService),
 		Key:     r.Header.Get("Standin-Key"),
 		Method:  r.Method,
 		Path:    r.URL.Path,
-		Leaving: b.left.Load(),
+		Leaving: b.leaveAnnounced.Load(),
 		Release: b.options.release,
 		At:      time.Now(),
 	})
 	if err != nil {
 		return
 	}
-	_, _ = b.log.Write(append(line, '\n')) // one write, so that lines of several requests do not mix
+	_, _ = b.log.Write(append(line, '\n')) // a single write, so that lines of concurrent requests do not interleave
 }
 
-// answer repeats the request's key, so that the caller can tell whether the answer is its own and complete.
+// answer includes the request's key and a checksum, by which the caller detects incomplete answers and those of other calls.
 func (b *backendServer) answer(w http.ResponseWriter, r *http.Request, cut bool) {
 	body := fmt.Appendf(nil, "%s %s ", r.Header.Get("Standin-Key"), b.options.release)
 	body = append(body, bytes.Repeat([]byte{'.'}, b.options.answerBytes)...)
-	w.Header().Set(checksumName, strconv.FormatUint(xxhash.Sum64(body), 16))
+	w.Header().Set(checksumHeader, strconv.FormatUint(xxhash.Sum64(body), 16))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if cut {
 		body = body[:len(body)/2]
