--- a/core/balancer/policy.go
+++ b/core/balancer/policy.go
@@ -18,8 +18,8 @@
 	PolicyRandom      Policy = "random"
 	PolicyRoundRobin  Policy = "round-robin"
 	PolicyLeastLoaded Policy = "least-loaded"
-	// PolicySticky reserves the endpoint with the fewest sessions for each session. Calls without a session are placed by power
-	// of two choices.
+	// PolicySticky reserves the endpoint with the fewest sessions for each session, after the change "feat(router): add sticky
+	// least-loaded session routing". Calls without a session are placed by power of two choices.
 	PolicySticky Policy = "sticky"
 	// PolicyExpected places a call by the response time estimated from load reports, in the local data centre as long as the
 	// answer is expected on time there.
--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -19,7 +19,7 @@
 	maxLatencyUS    = int64(time.Minute / time.Microsecond)
 )
 
-// Measures holds what the callers of a replayed trace saw.
+// Measures holds the results of one replay of a trace with one policy.
 type Measures struct {
 	Policy   balancer.Policy
 	Calls    int
@@ -108,7 +108,7 @@
 // Run replays a trace and returns its measures.
 func Run(trace Trace, options Options) Measures {
 	start, policy, seed := time.Unix(0, 0), options.Policy, options.Seed
-	r := &simulation{
+	s := &simulation{
 		options:  options,
 		trace:    trace,
 		queue:    &eventQueue{now: start},
@@ -118,10 +118,10 @@
 	}
 	random := rand.New(rand.NewPCG(seed, seed+1))
 	for _, spec := range trace.Endpoints {
-		r.servers[spec.Node] = newServer(spec, r.queue, random)
+		s.servers[spec.Node] = newServer(spec, s.queue, random)
 	}
 	for i, spec := range trace.Entries {
-		r.entries = append(r.entries, &entryNode{
+		s.entries = append(s.entries, &entryNode{
 			spec: spec,
 			balancer: balancer.New(balancer.Options{
 				DataCentre: spec.DataCentre,
@@ -129,52 +129,52 @@
 				Seed:       seed + uint64(i),
 			}),
 			budget: retry.NewBudget(retry.DefaultBudget),
-			known:  r.currentEndpoints(),
+			known:  s.currentEndpoints(),
 		})
 	}
-	r.scheduleTrace(start)
-	r.queue.runAll()
-	r.measures.P50US = r.latency.ValueAtQuantile(50)
-	r.measures.P99US = r.latency.ValueAtQuantile(99)
-	return r.measures
+	s.scheduleTrace(start)
+	s.queue.runAll()
+	s.measures.P50US = s.latency.ValueAtQuantile(50)
+	s.measures.P99US = s.latency.ValueAtQuantile(99)
+	return s.measures
 }
 
-func (r *simulation) scheduleTrace(start time.Time) {
-	for _, event := range r.trace.Events {
-		r.queue.at(start.Add(time.Duration(event.AtMS)*time.Millisecond), func() {
-			r.servers[event.Node].apply(event)
-			r.queue.after(time.Duration(r.trace.AnnounceMS)*time.Millisecond, r.announceEndpoints)
+func (s *simulation) scheduleTrace(start time.Time) {
+	for _, event := range s.trace.Events {
+		s.queue.at(start.Add(time.Duration(event.AtMS)*time.Millisecond), func() {
+			s.servers[event.Node].apply(event)
+			s.queue.after(time.Duration(s.trace.AnnounceMS)*time.Millisecond, s.announceEndpoints)
 		})
 	}
-	for _, call := range r.trace.Calls {
-		r.queue.at(start.Add(call.At), func() { r.begin(call) })
+	for _, call := range s.trace.Calls {
+		s.queue.at(start.Add(call.At), func() { s.begin(call) })
 	}
 }
 
-func (r *simulation) currentEndpoints() []core.Endpoint {
-	return lo.Map(r.trace.Endpoints, func(spec EndpointSpec, _ int) core.Endpoint { return r.servers[spec.Node].endpoint() })
+func (s *simulation) currentEndpoints() []core.Endpoint {
+	return lo.Map(s.trace.Endpoints, func(spec EndpointSpec, _ int) core.Endpoint { return s.servers[spec.Node].endpoint() })
 }
 
-func (r *simulation) announceEndpoints() {
-	endpoints := r.currentEndpoints()
-	for _, entry := range r.entries {
+func (s *simulation) announceEndpoints() {
+	endpoints := s.currentEndpoints()
+	for _, entry := range s.entries {
 		entry.known = endpoints
 	}
 }
 
-func (r *simulation) begin(call Call) {
-	entry := r.entries[call.Entry]
-	entry.budget.RecordCall(r.queue.now)
+func (s *simulation) begin(call Call) {
+	entry := s.entries[call.Entry]
+	entry.budget.RecordCall(s.queue.now)
 	c := &callState{
-		simulation: r,
+		simulation: s,
 		entry:      entry,
 		call:       call,
-		began:      r.queue.now,
-		deadline:   r.queue.now.Add(time.Duration(r.trace.TimeoutMS) * time.Millisecond),
+		began:      s.queue.now,
+		deadline:   s.queue.now.Add(time.Duration(s.trace.TimeoutMS) * time.Millisecond),
 		attempts:   retry.NewAttempts(defaultAttempts, defaultAttempts),
 	}
-	r.measures.Calls++
-	r.queue.at(c.deadline, func() { c.end(&r.measures.Late) })
+	s.measures.Calls++
+	s.queue.at(c.deadline, func() { c.end(&s.measures.Late) })
 	c.tryOnce()
 }
 
@@ -326,11 +326,11 @@
 	c.openAttempts = nil
 }
 
-func (r *simulation) oneWay(from, to core.DataCentre) time.Duration {
+func (s *simulation) oneWay(from, to core.DataCentre) time.Duration {
 	if from == to {
-		return time.Duration(r.trace.LocalUS) * time.Microsecond
+		return time.Duration(s.trace.LocalUS) * time.Microsecond
 	}
-	return time.Duration(r.trace.OneWayUS) * time.Microsecond
+	return time.Duration(s.trace.OneWayUS) * time.Microsecond
 }
 
 // sortedAttempts returns the attempts in the order of their tickets; in the order of the map, replays would differ.
--- a/core/catalog/audit.go
+++ b/core/catalog/audit.go
@@ -43,17 +43,17 @@
 	if !f.Viewer.IsLimited() || len(e.Owners) != len(e.Changes) {
 		return e, !f.Viewer.IsLimited() // entries from before owners were recorded are visible to unlimited tokens only
 	}
-	what, owners := make([]string, 0, len(e.Changes)), make([]core.TenantID, 0, len(e.Changes))
+	changes, owners := make([]string, 0, len(e.Changes)), make([]core.TenantID, 0, len(e.Changes))
 	for i, owner := range e.Owners {
 		if f.Viewer.CanAccess(owner) {
-			what, owners = append(what, e.Changes[i]), append(owners, owner)
+			changes, owners = append(changes, e.Changes[i]), append(owners, owner)
 		}
 	}
-	if len(what) < len(e.Changes) {
+	if len(changes) < len(e.Changes) {
 		e.Detail, e.Submission = "", "" // both may mention the removed lines
 	}
-	e.Changes, e.Owners = what, owners
-	return e, len(what) > 0
+	e.Changes, e.Owners = changes, owners
+	return e, len(changes) > 0
 }
 
 func (f AuditFilter) matches(e AuditEntry) bool {
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -175,7 +175,7 @@
 }
 
 // Guards against verdicts that are evicted too early, or never, so that memory and snapshots grow without limit (4.1).
-func TestLatestVerdictsAreRemembered(t *testing.T) {
+func TestLatestVerdictsAreStored(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
 	oldest := r.abort(c, "0", "m9")
@@ -191,11 +191,11 @@
 	r = r.restored(c)
 	auditCount := len(r.Audit(catalog.AuditFilter{}))
 	c.Assert(r.abort(c, "0", "m9"), qt.DeepEquals, oldest)
-	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount, qt.Commentf("the 100,000th latest verdict is forgotten"))
+	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount, qt.Commentf("the 100,000th latest verdict was evicted"))
 
 	r.abort(c, "100000", "m9")
 	r.abort(c, "0", "m9")
-	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount+2, qt.Commentf("an expired verdict is remembered"))
+	c.Assert(r.Audit(catalog.AuditFilter{}), qt.HasLen, auditCount+2, qt.Commentf("the 100,001st latest verdict is still stored"))
 }
 
 // Guards against two operators who are both told that their content was accepted under the same version (design 4.2).
--- a/core/catalog/limits.go
+++ b/core/catalog/limits.go
@@ -189,14 +189,14 @@
 			deletedNames: c.deletedNames[tenant],
 		}
 	}
-	add := func(s lastChange, count int) {
-		if h, exists := totals[s.Owner]; exists && s.Deleted {
-			h.deletedNames += count
+	add := func(change lastChange, count int) {
+		if total, exists := totals[change.Owner]; exists && change.Deleted {
+			total.deletedNames += count
 		}
 	}
-	for key, s := range changed {
+	for key, change := range changed {
 		add(c.lastChanges[key], -1)
-		add(s, 1)
+		add(change, 1)
 	}
 	o := newOwnerLookup(configuration, nil)
 	for _, r := range configuration.Records() {
@@ -205,31 +205,31 @@
 		if _, isChanged := changed[key]; isChanged {
 			owner = decodeOwnership(r)
 		}
-		if h, exists := totals[o.tenantOfBody(r, owner)]; exists {
-			h.records++
-			h.bytes += int64(len(r.Body))
+		if total, exists := totals[o.tenantOfBody(r, owner)]; exists {
+			total.records++
+			total.bytes += int64(len(r.Body))
 		}
 	}
 	return totals
 }
 
 // setLastChange replaces the last change of a record and updates the number of names of deleted records.
-func (c *Catalog) setLastChange(key core.RecordKey, s lastChange) {
+func (c *Catalog) setLastChange(key core.RecordKey, change lastChange) {
 	c.dropLastChange(key)
-	c.lastChanges[key] = s
-	if s.Deleted && s.Owner != "" {
-		c.deletedNames[s.Owner]++
+	c.lastChanges[key] = change
+	if change.Deleted && change.Owner != "" {
+		c.deletedNames[change.Owner]++
 	}
 }
 
 func (c *Catalog) dropLastChange(key core.RecordKey) {
-	s := c.lastChanges[key]
+	last := c.lastChanges[key]
 	delete(c.lastChanges, key)
-	if !s.Deleted || s.Owner == "" {
+	if !last.Deleted || last.Owner == "" {
 		return
 	}
-	c.deletedNames[s.Owner]--
-	if c.deletedNames[s.Owner] == 0 {
-		delete(c.deletedNames, s.Owner)
+	c.deletedNames[last.Owner]--
+	if c.deletedNames[last.Owner] == 0 {
+		delete(c.deletedNames, last.Owner)
 	}
 }
--- a/core/catalog/principal.go
+++ b/core/catalog/principal.go
@@ -205,7 +205,7 @@
 		return principal.CanAccess(o.tenantOfRecord(current)) && principal.CanAccess(o.tenantOfRecord(r))
 	}
 	for version := core.SchemaVersion(1); version <= record.NewestSchema; version++ {
-		if s, deleted := c.lastChanges[core.RecordKey{Kind: r.Kind, Name: r.Name, SchemaVersion: version}]; deleted && !principal.CanAccess(s.Owner) {
+		if last, deleted := c.lastChanges[core.RecordKey{Kind: r.Kind, Name: r.Name, SchemaVersion: version}]; deleted && !principal.CanAccess(last.Owner) {
 			return false
 		}
 	}
--- a/core/catalog/snapshot.go
+++ b/core/catalog/snapshot.go
@@ -92,9 +92,9 @@
 	for _, u := range s.Usage {
 		restored.usage[u.Scope] = u.Usage
 	}
-	for _, r := range s.Verdicts {
-		r.Verdict.At = r.Verdict.At.UTC()
-		restored.verdicts.add(r, false)
+	for _, past := range s.Verdicts {
+		past.Verdict.At = past.Verdict.At.UTC()
+		restored.verdicts.add(past, false)
 	}
 	for _, m := range s.Moves {
 		restored.restoreMove(m)
@@ -133,12 +133,12 @@
 
 func sortedLastChanges(changes map[core.RecordKey]lastChange) []keyedChange {
 	sorted := make([]keyedChange, 0, len(changes))
-	for key, s := range changes {
+	for key, change := range changes {
 		sorted = append(sorted, keyedChange{
 			Kind:          key.Kind,
 			Name:          key.Name,
 			SchemaVersion: key.SchemaVersion,
-			Change:        s,
+			Change:        change,
 		})
 	}
 	sort.Slice(sorted, func(i, j int) bool {
--- a/core/catalog/submit.go
+++ b/core/catalog/submit.go
@@ -104,12 +104,12 @@
 
 func (cs *changeSet) delete(d core.Deletion) *Verdict {
 	key := deletionKey(d)
-	s, exists := cs.catalog.lastChanges[key]
+	last, exists := cs.catalog.lastChanges[key]
 	if !exists {
 		refusal := refused(CauseNotFound, "%s: there is no such record", describe(key, d.Version))
 		return &refusal
 	}
-	if s.Deleted && s.Version == d.Version {
+	if last.Deleted && last.Version == d.Version {
 		return nil
 	}
 	if refusal := cs.checkVersion(key, d.Version); refusal != nil {
@@ -124,23 +124,23 @@
 }
 
 func (cs *changeSet) checkVersion(key core.RecordKey, version core.RecordVersion) *Verdict {
-	s, exists := cs.catalog.lastChanges[key]
-	if !exists || version > s.Version {
+	last, exists := cs.catalog.lastChanges[key]
+	if !exists || version > last.Version {
 		return nil
 	}
-	refusal := refused(CauseStaleVersion, "%s: version %d is newer", describe(key, version), s.Version)
-	if version == s.Version {
-		refusal = refused(CauseEqualVersion, "%s: submission %q by %q set this version first with other content", describe(key, version), s.Submission, s.Operator)
-		if s.Deleted {
-			refusal = refused(CauseEqualVersion, "%s: submission %q by %q deleted the record with this version", describe(key, version), s.Submission, s.Operator)
+	refusal := refused(CauseStaleVersion, "%s: version %d is newer", describe(key, version), last.Version)
+	if version == last.Version {
+		refusal = refused(CauseEqualVersion, "%s: submission %q by %q set this version first with other content", describe(key, version), last.Submission, last.Operator)
+		if last.Deleted {
+			refusal = refused(CauseEqualVersion, "%s: submission %q by %q deleted the record with this version", describe(key, version), last.Submission, last.Operator)
 		}
 	}
-	refusal = refusal.withWinner(s)
+	refusal = refusal.withWinner(last)
 	return &refusal
 }
 
 func (cs *changeSet) setLastChange(key core.RecordKey, version core.RecordVersion, hash core.Hash, deleted bool) {
-	s := lastChange{
+	change := lastChange{
 		Version:    version,
 		Submission: cs.submission.ID,
 		Operator:   cs.submission.Operator,
@@ -148,9 +148,9 @@
 		Deleted:    deleted,
 	}
 	if deleted {
-		s.DeletedMS = cs.at.UnixMilli()
+		change.DeletedMS = cs.at.UnixMilli()
 	}
-	cs.lastChanges[key] = s
+	cs.lastChanges[key] = change
 }
 
 // reserveName keeps the name of a deleted record for its tenant. It does so only for limited tokens, which come into use once
@@ -159,12 +159,12 @@
 	if !cs.principal.IsLimited() {
 		return
 	}
-	s := cs.lastChanges[key]
-	s.Owner = newOwnerLookup(cs.catalog.configuration, nil).tenantOfRecord(current)
+	change := cs.lastChanges[key]
+	change.Owner = newOwnerLookup(cs.catalog.configuration, nil).tenantOfRecord(current)
 	if current.Body == nil {
-		s.Owner = cs.catalog.lastChanges[key].Owner
+		change.Owner = cs.catalog.lastChanges[key].Owner
 	}
-	cs.lastChanges[key] = s
+	cs.lastChanges[key] = change
 }
 
 func (cs *changeSet) addPolicyService(r core.Record) {
@@ -209,8 +209,8 @@
 	if refusal := cs.checkRecordLimits(next); refusal != nil {
 		return *refusal
 	}
-	for key, s := range cs.lastChanges {
-		c.setLastChange(key, s)
+	for key, change := range cs.lastChanges {
+		c.setLastChange(key, change)
 		delete(c.ownerships, key)
 	}
 	for key, r := range cs.upserts {
--- a/core/catalog/tombstones.go
+++ b/core/catalog/tombstones.go
@@ -24,19 +24,19 @@
 		return
 	}
 	c.purgeUsage(now)
-	remembered := make(map[core.SubmissionID]bool, len(c.verdicts.byID))
+	stored := make(map[core.SubmissionID]bool, len(c.verdicts.byID))
 	for key := range c.verdicts.byID {
-		remembered[key.id] = true
+		stored[key.id] = true
 	}
-	for key, s := range c.lastChanges {
-		if !s.Deleted {
+	for key, last := range c.lastChanges {
+		if !last.Deleted {
 			continue
 		}
-		if s.DeletedMS == 0 { // restored from a snapshot without deletion times
-			s.DeletedMS = now.UnixMilli()
-			c.lastChanges[key] = s
+		if last.DeletedMS == 0 { // restored from a snapshot without deletion times
+			last.DeletedMS = now.UnixMilli()
+			c.lastChanges[key] = last
 		}
-		if !remembered[s.Submission] && now.Sub(time.UnixMilli(s.DeletedMS)) > TombstoneRetention {
+		if !stored[last.Submission] && now.Sub(time.UnixMilli(last.DeletedMS)) > TombstoneRetention {
 			c.dropLastChange(key)
 		}
 	}
--- a/core/catalog/tombstones_test.go
+++ b/core/catalog/tombstones_test.go
@@ -14,7 +14,7 @@
 
 // Guards against tombstones that are kept forever, against an older version that is restored because its tombstone was purged
 // while a resend was still allowed, and against replicas that purge at different entries.
-func TestPurgedTombstonesDoNotResurrectRecords(outer *testing.T) {
+func TestPurgedTombstonesDoNotRestoreRecords(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		c := qt.New(rapidTB{TB: outer, rapidT: t})
 		one, other := newReplica(c), newReplica(c)
--- a/core/catalog/verdict.go
+++ b/core/catalog/verdict.go
@@ -41,7 +41,7 @@
 	CauseWrongStep    Cause = "wrong-step"
 	CauseNotPermitted Cause = "not-permitted" // the token is limited to other tenants
 
-	CauseSubmissionLimit Cause = "submission-limit" // too many or too large submissions in 24 h; not stored
+	CauseSubmissionLimit Cause = "submission-limit" // too many or too large submissions of the token's tenants in 24 h; not stored
 	CauseRecordLimit     Cause = "record-limit"     // a tenant would have too many records or too large ones
 
 	CauseExpectation Cause = "expectation"      // an expected version is not in force; not stored
@@ -88,15 +88,15 @@
 	}
 }
 
-func (v Verdict) withWinner(s lastChange) Verdict {
+func (v Verdict) withWinner(earlier lastChange) Verdict {
 	v.Winner = &Winner{
-		Submission: s.Submission,
-		Operator:   s.Operator,
-		Version:    s.Version,
-		Deleted:    s.Deleted,
+		Submission: earlier.Submission,
+		Operator:   earlier.Operator,
+		Version:    earlier.Version,
+		Deleted:    earlier.Deleted,
 	}
-	if !s.Deleted { // a deletion has no content
-		v.Winner.Hash = formatHash(s.Hash)
+	if !earlier.Deleted { // a deletion has no content
+		v.Winner.Hash = formatHash(earlier.Hash)
 	}
 	return v
 }
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("%016x", uint64(hash))
 }
 
-// maxVerdicts is the number of submissions whose verdicts are stored; the oldest ones are evicted.
+// maxVerdicts is the number of submissions whose verdicts are stored; verdictHistory.add says which ones are evicted.
 const maxVerdicts = 100_000
 
 // pastVerdict is a stored verdict with what identifies the content of its submission.
@@ -118,10 +118,10 @@
 	sequence uint64 // position in the order of all verdicts
 }
 
-func (r pastVerdict) key() submissionKey {
+func (past pastVerdict) key() submissionKey {
 	return submissionKey{
-		scope: r.Scope,
-		id:    r.Verdict.Submission,
+		scope: past.Scope,
+		id:    past.Verdict.Submission,
 	}
 }
 
@@ -149,11 +149,11 @@
 
 // add stores a verdict. If the history is full, fair eviction removes the oldest verdict of the scope with the most verdicts, so
 // that no scope below its share loses one. Commands from before limits existed evict the oldest verdict of all.
-func (h *verdictHistory) add(r pastVerdict, fair bool) {
+func (h *verdictHistory) add(past pastVerdict, fair bool) {
 	h.count++
-	r.sequence = h.count
-	h.byID[r.key()] = r
-	h.byScope[r.Scope] = append(h.byScope[r.Scope], r.key())
+	past.sequence = h.count
+	h.byID[past.key()] = past
+	h.byScope[past.Scope] = append(h.byScope[past.Scope], past.key())
 	if len(h.byID) > h.limit {
 		h.evictOldest(h.scopeToEvict(fair))
 	}
--- a/core/idempotency/quorum.go
+++ b/core/idempotency/quorum.go
@@ -32,8 +32,8 @@
 	return r.Reached && r.countsAsHolder() && (r.CompleteMemory || r.Restarted)
 }
 
-// IsDecided reports whether the replies so far, in the order of Holders.Choose, decide a claim: either a holder has not granted it,
-// or HolderCount certain holders have stored it. Other nodes do not count, since perhaps only this entry node ranks them so high.
+// IsDecided reports whether the replies so far, in the order of Holders.Choose, decide a claim: either a reached node has not granted
+// it, or HolderCount nodes that can vote have stored it. Others do not count, since perhaps only this entry node ranks them so high.
 func IsDecided(replies []Reply) bool {
 	voters := 0
 	for _, reply := range replies {
--- a/core/idempotency/quorum_test.go
+++ b/core/idempotency/quorum_test.go
@@ -142,13 +142,13 @@
 				f.entryNodes[0] = NewHolders()
 			default:
 				key := Key{Service: "s", Name: core.IdempotencyKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))}
-				seen := rapid.Uint64().Draw(t, "reached")
+				reachable := rapid.Uint64().Draw(t, "reached")
 				entry := f.entryNodes[rapid.IntRange(0, 1).Draw(t, "entry")]
 				f.observe()
 				f.claim(t, entry, key, func(id core.NodeID) bool {
 					var n int
 					fmt.Sscan(string(id), &n)
-					return !partitions || seen>>n&1 == 1
+					return !partitions || reachable>>n&1 == 1
 				})
 			}
 			f.observe()
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -18,7 +18,8 @@
 	movedLeaseGrace = 5 * time.Second
 )
 
-// Owner holds leases on endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
+// Owner holds leases on endpoints. Endpoints that only remote owners (a parent, another control instance) have leased are not sent to
+// the parent or to other control instances.
 type Owner struct {
 	Name   string
 	Remote bool
--- a/core/lease/table_test.go
+++ b/core/lease/table_test.go
@@ -154,9 +154,9 @@
 }
 
 // Guards against a subscriber that ends up with other endpoints than its parent after some order of changes.
-func TestFollowerHasTheEndpointsOfItsParent(t *testing.T) {
+func TestSubscriberHasTheEndpointsOfItsParent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, follower := lease.New(), lease.New()
+		table, child := lease.New(), lease.New()
 		subscriber := lease.Owner{Name: "viewer"}
 		now, position := start, uint64(0)
 		services := []core.ServiceName{"a", "b"}
@@ -180,14 +180,14 @@
 				}
 				position = changes.Next
 				for _, upsert := range changes.Upserts {
-					follower.Announce(now, parent, upsert)
+					child.Announce(now, parent, upsert)
 				}
 				for _, each := range changes.Removals {
-					follower.Remove(now, parent, each)
+					child.Remove(now, parent, each)
 				}
 				for _, service := range services {
-					if got, want := fmt.Sprint(follower.Endpoints(service)), fmt.Sprint(table.Endpoints(service)); got != want {
-						t.Fatalf("service %s: follower has %s, parent has %s", service, got, want)
+					if got, want := fmt.Sprint(child.Endpoints(service)), fmt.Sprint(table.Endpoints(service)); got != want {
+						t.Fatalf("service %s: child has %s, parent has %s", service, got, want)
 					}
 				}
 			}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -25,9 +25,9 @@
 }
 
 func learner(id core.ControlID, silent time.Duration, caughtUp bool) membership.MemberStatus {
-	view := voter(id, silent)
-	view.Voter, view.CaughtUp = false, caughtUp
-	return view
+	status := voter(id, silent)
+	status.Voter, status.CaughtUp = false, caughtUp
+	return status
 }
 
 func newcomer(id core.ControlID, identity raft.Identity) membership.Newcomer {
@@ -50,9 +50,9 @@
 		peer      core.ControlID
 	}{
 		{name: "complete", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0)}},
-		{name: "silent, nobody waits", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent)}},
+		{name: "silent voter without a learner", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent)}},
 		{
-			name: "lost its disk", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0)},
+			name: "instance that lost its disk", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0)},
 			newcomers: []membership.Newcomer{newcomer("c", "c-2")}, want: raft.ChangeReplace, peer: "c",
 		},
 		{
@@ -60,22 +60,22 @@
 			newcomers: []membership.Newcomer{newcomer("c", "c-1")},
 		},
 		{
-			name: "at another address", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent)},
+			name: "new instance for a silent voter", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent)},
 			newcomers: []membership.Newcomer{newcomer("d", "d-1")}, want: raft.ChangeAdd, peer: "d",
 		},
 		{name: "not caught up", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent), learner("d", 0, false)}},
 		{
-			name: "gives up its place", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent), learner("d", 0, true)},
+			name: "silent voter with a learner", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", silent), learner("d", 0, true)},
 			want: raft.ChangeRemove, peer: "c",
 		},
 		{
-			name: "takes the place", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), learner("d", 0, true)},
+			name: "learner for a missing voter", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), learner("d", 0, true)},
 			want: raft.ChangePromote, peer: "d",
 		},
 		{name: "silent learner", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), learner("d", silent, true)}},
 		{name: "waits", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", 0, true)}},
 		{
-			name: "forgotten learner", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", time.Minute, true)},
+			name: "learner silent for too long", members: []membership.MemberStatus{voter("a", 0), voter("b", 0), voter("c", 0), learner("d", time.Minute, true)},
 			want: raft.ChangeRemove, peer: "d",
 		},
 	} {
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// countVote counts the vote of a voter only if its identity is the one in the membership.
+// countVote records a vote or a pre-vote, and acts on a majority. Votes count only from voters with the identity in the membership.
 func (n *Node) countVote(from Peer) {
 	n.votes[from] = true
 	if !n.currentMembership().quorum(func(peer Peer) bool { return n.votes[peer] }) {
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -34,7 +34,7 @@
 	n.progress = tracked
 }
 
-// quorumContact returns the latest time since which a majority has answered. The leader counts itself as answering now.
+// quorumContact returns the latest time at or after which a majority has answered. The leader counts itself as answering now.
 func (n *Node) quorumContact() time.Time {
 	voters := n.currentMembership().voters()
 	contacts := make([]time.Time, 0, len(voters))
--- a/core/raft/stepdown_test.go
+++ b/core/raft/stepdown_test.go
@@ -18,9 +18,9 @@
 	term := leader.Status().Term
 	out := leader.Step(leader.NextDeadline().Add(2 * raft.ElectionTimeout))
 	c.Assert(leader.Status().Role, qt.Not(qt.Equals), string(raft.Leader))
-	told := lo.Filter(out.Messages, func(m raft.Message, _ int) bool { return m.Kind == raft.KindStepDown })
-	c.Assert(told, qt.HasLen, 2)
-	c.Assert(told[0].Term, qt.Equals, term)
+	stepDowns := lo.Filter(out.Messages, func(m raft.Message, _ int) bool { return m.Kind == raft.KindStepDown })
+	c.Assert(stepDowns, qt.HasLen, 2)
+	c.Assert(stepDowns[0].Term, qt.Equals, term)
 }
 
 // Guards against a step-down message of an earlier leader that makes followers leave the current one.
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -90,7 +90,7 @@
 	Data    []byte        `msgpack:"data"`
 }
 
-// Kind is the kind of a message between control instances.
+// MessageKind is the kind of a message between control instances.
 type MessageKind uint8
 
 // The kinds of messages.
--- a/core/replay/generate.go
+++ b/core/replay/generate.go
@@ -11,10 +11,10 @@
 	"parsleyport/core"
 )
 
-// Deployment names one of the deployments whose traces can be generated.
+// Deployment names one of the deployments whose sizes are known (design 1.2), so that traces can be generated for them.
 type Deployment string
 
-// Deployments with a known size.
+// The deployments with a known size.
 const (
 	DeploymentPamoja        Deployment = "pamoja"
 	DeploymentVavlaget      Deployment = "vavlaget"
@@ -42,44 +42,44 @@
 }
 
 type serviceSize struct {
-	name      core.ServiceName
-	instances int
-	rate      float64 // calls per second
-	latencyMS float64
-	routes    []core.RouteName
+	name           core.ServiceName
+	instances      int
+	callsPerSecond float64
+	latencyMS      float64
+	routes         []core.RouteName
 }
 
-// deploymentSizes lists data centres, upstreams and slots of the deployments. Rates and latencies are assumptions under which up to
-// half of the slots are in use.
+// deploymentSizes lists data centres, upstreams and slots of the deployments (design 1.2). Rates and latencies are assumptions under
+// which up to half of the slots are in use.
 var deploymentSizes = map[Deployment]deploymentSize{
 	DeploymentPamoja: {
 		dataCentres: 4, slots: 9,
 		services: []serviceSize{
-			{name: "transcripts", instances: 7, rate: 220, latencyMS: 110, routes: []core.RouteName{"read", "certify", "search"}},
-			{name: "sittings", instances: 4, rate: 180, latencyMS: 70, routes: []core.RouteName{"calendar", "hansard"}},
+			{name: "transcripts", instances: 7, callsPerSecond: 220, latencyMS: 110, routes: []core.RouteName{"read", "certify", "search"}},
+			{name: "sittings", instances: 4, callsPerSecond: 180, latencyMS: 70, routes: []core.RouteName{"calendar", "hansard"}},
 		},
 	},
 	DeploymentVavlaget: {
 		dataCentres: 3, slots: 14,
 		services: []serviceSize{
-			{name: "orders", instances: 6, rate: 330, latencyMS: 80, routes: []core.RouteName{"status", "lodge", "price"}},
-			{name: "looms", instances: 5, rate: 400, latencyMS: 40, routes: []core.RouteName{"status", "pattern"}},
+			{name: "orders", instances: 6, callsPerSecond: 330, latencyMS: 80, routes: []core.RouteName{"status", "lodge", "price"}},
+			{name: "looms", instances: 5, callsPerSecond: 400, latencyMS: 40, routes: []core.RouteName{"status", "pattern"}},
 		},
 	},
 }
 
 type generator struct {
 	*rand.Rand
-	trace       *Trace
-	rate        float64
-	routeRatios []float64 // parts of the rate
+	trace          *Trace
+	callsPerSecond float64
+	routeRatios    []float64 // part of callsPerSecond for each route
 }
 
 // Generate returns the trace for a seed, a deployment and a scenario. An unknown scenario gives a trace without disturbances.
 func Generate(seed uint64, deployment Deployment, scenario Scenario) *Trace {
 	random := rand.New(rand.NewPCG(seed, uint64(len(scenario))<<8|uint64(len(deployment))))
-	s := deploymentSizes[deployment]
-	service := s.services[random.IntN(len(s.services))]
+	size := deploymentSizes[deployment]
+	service := size.services[random.IntN(len(size.services))]
 	g := &generator{
 		Rand: random,
 		trace: &Trace{Header: Header{
@@ -89,16 +89,16 @@
 			Service:          service.name,
 			From:             "v1",
 			To:               "v2",
-			DataCentres:      s.dataCentres,
+			DataCentres:      size.dataCentres,
 			Instances:        service.instances,
-			Slots:            s.slots,
+			Slots:            size.slots,
 			WarmSeconds:      30,
 			DeadlineSeconds:  300 + 60*random.IntN(6),
 			EvidenceDelayMS:  500 + 250*random.IntN(5),
 			RepeatedPerMille: 50,
 			Outcome:          Outcome{State: core.MoveDone},
 		}},
-		rate: service.rate * uniformBetween(random, 0.5, 1.2),
+		callsPerSecond: service.callsPerSecond * uniformBetween(random, 0.5, 1.2),
 	}
 	g.routes(service)
 	g.scenario(scenario)
@@ -156,7 +156,7 @@
 		drift = min(1.3, max(0.7, drift*g.between(0.93, 1.08)))
 		var rates []any
 		for _, part := range g.routeRatios {
-			rates = append(rates, math.Round(100*g.rate*part*drift)/100)
+			rates = append(rates, math.Round(100*g.callsPerSecond*part*drift)/100)
 		}
 		g.event(float64(at), "arrivals", rates...)
 	}
@@ -180,7 +180,7 @@
 	case "good-churn":
 		g.churn()
 	case "good-low-traffic":
-		g.rate = g.between(0.3, 4)
+		g.callsPerSecond = g.between(0.3, 4)
 		g.trace.Outcome.Cause = "evidence thin"
 	case "good-tight":
 		g.trace.DeadlineSeconds = 150 + g.IntN(60)
@@ -231,7 +231,7 @@
 	case "bad-late":
 		g.fault(g.timeBetween(0.15, 0.75), "*", 0, g.between(0.1, 0.6), 1, 0)
 	case "bad-load-only":
-		g.fault(-30, "*", g.rate*g.between(0.1, 0.4), g.between(0.1, 0.4), g.between(1, 3), 0)
+		g.fault(-30, "*", g.callsPerSecond*g.between(0.1, 0.4), g.between(0.1, 0.4), g.between(1, 3), 0)
 	case "bad-one-route":
 		i := g.IntN(len(g.trace.Routes))
 		g.fault(-30, g.trace.Routes[i].Name, 0, g.between(0.1, 0.6), 1, 0)
@@ -250,7 +250,7 @@
 		g.fault(at, "*", 0, g.between(0.1, 0.5), 1, 0)
 		g.event(at-2, "leader-loss", 2+g.IntN(4))
 	case "bad-low-traffic":
-		g.rate = g.between(2, 8)
+		g.callsPerSecond = g.between(2, 8)
 		g.fault(-30, "*", 0, g.between(0.5, 1), 1, 0)
 	case "bad-shared-slow":
 		g.sharedSlow()
@@ -263,7 +263,7 @@
 
 // rushed gives the move too little time for all steps but much traffic, and starts the new release's backend servers just before it.
 func (g *generator) rushed() {
-	g.rate = g.between(300, 800)
+	g.callsPerSecond = g.between(300, 800)
 	g.trace.DeadlineSeconds = 12 + g.IntN(20)
 	for i := range g.trace.Instances {
 		g.event(-3, "leaving", "new", i)
--- a/core/replay/replay.go
+++ b/core/replay/replay.go
@@ -71,11 +71,11 @@
 	sim := newSimulation(trace, m)
 	events := trace.Events
 	decider := newRule(rule, m.Move, trace.From, trace.To)
-	var leaderless, ended time.Time
-	for ended.IsZero() || sim.now.Before(ended.Add(drainDuration)) {
+	var leaderlessUntil, endedAt time.Time
+	for endedAt.IsZero() || sim.now.Before(endedAt.Add(drainDuration)) {
 		for len(events) > 0 && !sim.now.Before(epoch.Add(time.Duration(events[0].At*float64(time.Second)))) {
 			if events[0].Kind == "leader-loss" {
-				leaderless = sim.now.Add(time.Duration(events[0].number(0)) * time.Second)
+				leaderlessUntil = sim.now.Add(time.Duration(events[0].number(0)) * time.Second)
 				decider = newRule(rule, m.Move, trace.From, trace.To)
 			}
 			sim.apply(events[0])
@@ -83,7 +83,7 @@
 		}
 		sim.runTick()
 		evidence := sim.takeArrivedEvidence()
-		if sim.now.Before(epoch) || sim.now.Before(leaderless) || !ended.IsZero() {
+		if sim.now.Before(epoch) || sim.now.Before(leaderlessUntil) || !endedAt.IsZero() {
 			continue
 		}
 		if observer, ok := decider.(interface {
@@ -99,7 +99,7 @@
 			sim.setShare(m.Move.Share)
 		}
 		if rollout.IsFinal(m.Move.State) || sim.now.After(m.Move.Request.Deadline) {
-			ended = sim.now
+			endedAt = sim.now
 		}
 	}
 	if m.Move.State == core.MoveTakenBack && !m.FaultAt.IsZero() {
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -26,9 +26,9 @@
 func storedTraces() []*replay.Trace {
 	var traces []*replay.Trace
 	for i, scenario := range replay.Scenarios {
-		for u, deployment := range replay.Deployments {
+		for d, deployment := range replay.Deployments {
 			hard := slices.Contains([]replay.Scenario{"bad-load-only", "bad-one-route", "bad-flaky", "bad-crash", "bad-late-flaky", "good-shared-slow"}, scenario)
-			if hard || u == i%len(replay.Deployments) {
+			if hard || d == i%len(replay.Deployments) {
 				traces = append(traces, replay.Generate(101, deployment, scenario))
 			}
 		}
@@ -57,8 +57,8 @@
 	)
 }
 
-// Guards against a change of the decision rules that leads to a wrong outcome, a late end or too many calls to a bad release in a
-// stored trace.
+// Guards against a change of the decision rules that misses the targets of design 1.5 in a stored trace: by a wrong outcome, a late
+// end, or too many calls to a bad release.
 func TestStoredTraces(t *testing.T) {
 	if *writeTraces {
 		for _, trace := range storedTraces() {
--- a/core/replay/rules.go
+++ b/core/replay/rules.go
@@ -138,10 +138,10 @@
 	return before.calls >= thresholdMinCalls && after.milliseconds/after.calls > thresholdLatencyFactor*before.milliseconds/before.calls
 }
 
-func (s totals) minus(other totals) totals {
+func (t totals) minus(other totals) totals {
 	return totals{
-		calls:        s.calls - other.calls,
-		failures:     s.failures - other.failures,
-		milliseconds: s.milliseconds - other.milliseconds,
+		calls:        t.calls - other.calls,
+		failures:     t.failures - other.failures,
+		milliseconds: t.milliseconds - other.milliseconds,
 	}
 }
--- a/core/replay/simulation.go
+++ b/core/replay/simulation.go
@@ -25,6 +25,7 @@
 // epoch is the time at which each replayed move is accepted.
 var epoch = time.Unix(1_800_000_000, 0).UTC()
 
+// effect changes the calls of a backend server. fail and crash are probabilities, slow is a factor of the latency.
 type effect struct {
 	fail, slow, crash float64
 }
@@ -53,10 +54,11 @@
 	counts  []core.EvidenceCount
 }
 
+// fault affects the new release's calls on a route, "*" for all routes, while the release gets at least minCallsPerSecond.
 type fault struct {
 	effect
-	route string
-	load  float64
+	route             string
+	minCallsPerSecond float64
 }
 
 // simulation holds everything that a replay simulates: nodes, backend servers, calls, faults and reports.
@@ -151,8 +153,8 @@
 				slow:  e.number(3),
 				crash: e.number(4),
 			},
-			route: e.Args[0],
-			load:  e.number(1),
+			route:             e.Args[0],
+			minCallsPerSecond: e.number(1),
 		})
 	case "shared":
 		s.sharedEffect = effect{
@@ -268,14 +270,14 @@
 }
 
 func (s *simulation) outcome(b *backend, route int) (failed, crashed bool, latency time.Duration, faulty bool) {
-	r := s.trace.Routes[route]
+	load := s.trace.Routes[route]
 	total := effect{
-		fail:  r.FailuresPerMille/1000 + s.sharedEffect.fail + s.dataCentreEffects[b.dataCentre].fail,
+		fail:  load.FailuresPerMille/1000 + s.sharedEffect.fail + s.dataCentreEffects[b.dataCentre].fail,
 		slow:  s.sharedEffect.slow * s.dataCentreEffects[b.dataCentre].slow * s.loadFactor(b.release) * (1 + coldLatencyFactor*(1-b.warmRatio(s.now))),
 		crash: s.sharedEffect.crash,
 	}
 	for _, f := range s.faults {
-		if b.release != s.trace.To || f.route != "*" && f.route != string(r.Name) || float64(s.lastCalls[s.trace.To]) < f.load {
+		if b.release != s.trace.To || f.route != "*" && f.route != string(load.Name) || float64(s.lastCalls[s.trace.To]) < f.minCallsPerSecond {
 			continue
 		}
 		faulty = true
@@ -283,7 +285,7 @@
 		total.slow *= f.slow
 		total.crash += f.crash
 	}
-	milliseconds := r.LatencyMS * total.slow * math.Exp(latencySigma*s.random.NormFloat64())
+	milliseconds := load.LatencyMS * total.slow * math.Exp(latencySigma*s.random.NormFloat64())
 	latency = time.Duration(min(milliseconds, 60_000) * float64(time.Millisecond))
 	if s.random.Float64() < total.crash {
 		b.downUntil = s.now.Add(crashRestartDuration)
@@ -302,8 +304,8 @@
 		}
 	}
 	busy := float64(s.lastCalls[release]) * s.trace.Routes[0].LatencyMS / 1000
-	use := min(0.95, busy/float64(max(1, slots)))
-	return 1 + math.Pow(use, 6)/(1-use)
+	utilisation := min(0.95, busy/float64(max(1, slots)))
+	return 1 + math.Pow(utilisation, 6)/(1-utilisation)
 }
 
 // takeArrivedEvidence removes and returns the evidence that has reached the leader.
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -36,9 +36,9 @@
 // Guards against a retry storm: retries stay below a tenth of the calls, or 3 a second, whatever fails.
 func TestBudgetLimitsRetries(t *testing.T) {
 	c := qt.New(t)
-	for _, test := range []struct{ callsPerSecond, most int }{
-		{callsPerSecond: 5, most: 3},
-		{callsPerSecond: 2000, most: 200},
+	for _, test := range []struct{ callsPerSecond, maxRetries int }{
+		{callsPerSecond: 5, maxRetries: 3},
+		{callsPerSecond: 2000, maxRetries: 200},
 	} {
 		budget := retry.NewBudget(retry.BudgetOptions{})
 		now := time.Unix(1_000_000, 0)
@@ -53,8 +53,8 @@
 				}
 			}
 		}
-		c.Assert(retries <= (seconds+1)*test.most, qt.IsTrue, qt.Commentf("%d retries", retries))
-		c.Assert(retries >= (seconds-2)*test.most*9/10, qt.IsTrue, qt.Commentf("%d retries", retries))
+		c.Assert(retries <= (seconds+1)*test.maxRetries, qt.IsTrue, qt.Commentf("%d retries", retries))
+		c.Assert(retries >= (seconds-2)*test.maxRetries*9/10, qt.IsTrue, qt.Commentf("%d retries", retries))
 	}
 }
 
--- a/core/rollout/canary.go
+++ b/core/rollout/canary.go
@@ -11,11 +11,11 @@
 )
 
 // CanaryEndpoints returns the endpoints of a new release that get its calls: as many as carry its share at the load of the other
-// releases' endpoints. A small share spread over all endpoints would leave each of them nearly idle, and a fault that shows only
-// under load would show after all traffic has moved.
+// releases' endpoints. A small share spread over all endpoints would leave each of them nearly idle, and a fault that occurs only
+// under load would not be seen before all traffic has moved.
 //
-// For example, a release fails half of its calls when its backend servers are busy; it has as many of them as the release that
-// it replaces, and gets 60 per mille of the calls. Spread evenly, each has a seventeenth of its later load.
+// For example, a new release fails half of its calls when its backend servers are busy. It has as many of them as the release that
+// it replaces, and gets 60 per mille of the calls. Spread evenly, each backend server would have a seventeenth of its later load.
 //
 // All nodes make the same choice from the same endpoints. A release with fewer endpoints than its share needs uses them all.
 func CanaryEndpoints(release core.Release, endpoints []core.Endpoint, others int, share core.PerMille) []core.Endpoint {
--- a/core/rollout/circuit_breaker.go
+++ b/core/rollout/circuit_breaker.go
@@ -6,7 +6,7 @@
 	"parsleyport/core"
 )
 
-// breakerFailures is the number of consecutive failures after which a node stops sending calls to a new release.
+// breakerFailures is the number of consecutive failures on one route after which the breaker may trip.
 const breakerFailures = 5
 
 // maxBreakerRoutes bounds the routes that a circuit breaker tracks for one service.
@@ -29,7 +29,7 @@
 
 type failureStreak struct {
 	failures     int
-	oldSucceeded bool // the latest call of the old release since the streak began
+	oldSucceeded bool // the latest call of the old release since the streak began was successful
 }
 
 // NewCircuitBreaker returns a circuit breaker that watches no service.
@@ -59,7 +59,9 @@
 	delete(b.services, service)
 }
 
-// Observe counts one finished call and reports whether it tripped the breaker, which sets the new release's share to zero.
+// Observe counts one finished call and reports whether it tripped the breaker, which sets the new release's share to zero. The breaker
+// trips after breakerFailures failures in a row on one route, unless the old release has had no call there since the first of them or
+// has failed the latest one.
 func (b *CircuitBreaker) Observe(service core.ServiceName, route core.RouteName, release core.Release, failed bool) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -87,11 +89,11 @@
 	return true
 }
 
-func (w *breakerState) streakOfRoute(route core.RouteName) *failureStreak {
-	s := w.routes[route]
-	if s == nil && len(w.routes) < maxBreakerRoutes {
+func (b *breakerState) streakOfRoute(route core.RouteName) *failureStreak {
+	s := b.routes[route]
+	if s == nil && len(b.routes) < maxBreakerRoutes {
 		s = &failureStreak{}
-		w.routes[route] = s
+		b.routes[route] = s
 	}
 	return s
 }
--- a/core/rollout/comparison.go
+++ b/core/rollout/comparison.go
@@ -12,13 +12,13 @@
 	calls, bad float64
 }
 
-func (t *callCount) add(other callCount) {
-	t.calls += other.calls
-	t.bad += other.bad
+func (c *callCount) add(other callCount) {
+	c.calls += other.calls
+	c.bad += other.bad
 }
 
-func (t callCount) rate(minRate float64) float64 {
-	return math.Max(minRate, (t.bad+minRate*rateSmoothingCalls)/(t.calls+rateSmoothingCalls))
+func (c callCount) rate(minRate float64) float64 {
+	return math.Max(minRate, (c.bad+minRate*rateSmoothingCalls)/(c.calls+rateSmoothingCalls))
 }
 
 // releaseCounts counts the calls of both releases over the same time.
@@ -26,9 +26,9 @@
 	old, new callCount
 }
 
-func (p *releaseCounts) add(other releaseCounts) {
-	p.old.add(other.old)
-	p.new.add(other.new)
+func (r *releaseCounts) add(other releaseCounts) {
+	r.old.add(other.old)
+	r.new.add(other.new)
 }
 
 // window collects calls of one data centre until there are enough of them to compare.
@@ -60,17 +60,17 @@
 }
 
 // add adds calls of one data centre to its open window.
-func (c *comparison) add(now time.Time, dataCentre core.DataCentre, p releaseCounts) {
-	c.total.add(p)
-	c.sinceStep.add(p)
+func (c *comparison) add(now time.Time, dataCentre core.DataCentre, counts releaseCounts) {
+	c.total.add(counts)
+	c.sinceStep.add(counts)
 	for _, w := range c.openWindows {
 		if w.dataCentre == dataCentre {
-			w.add(p)
+			w.add(counts)
 			return
 		}
 	}
 	c.openWindows = append(c.openWindows, &window{
-		releaseCounts: p,
+		releaseCounts: counts,
 		dataCentre:    dataCentre,
 		since:         now,
 	})
@@ -100,7 +100,7 @@
 	return smaller >= windowCalls || smaller >= windowMinCalls && age >= windowMinCallsAge || age >= windowMaxAge
 }
 
-func (c *comparison) logLikelihoodRatios(p releaseCounts) (sequential, cusum float64) {
+func (c *comparison) logLikelihoodRatios(counts releaseCounts) (sequential, cusum float64) {
 	rate := c.total.old.rate(c.minRate)
 	prior := gammaPrior{}
 	if c.stableRate {
@@ -109,7 +109,7 @@
 			calls:    priorFailures / rate,
 		}
 	}
-	return logLikelihoodRatio(p, (rate+c.delta)/rate, prior), logLikelihoodRatio(p, (rate+c.cusumDelta)/rate, prior)
+	return logLikelihoodRatio(counts, (rate+c.delta)/rate, prior), logLikelihoodRatio(counts, (rate+c.cusumDelta)/rate, prior)
 }
 
 // gammaPrior is a gamma distribution of the failure rate that both releases have in a window if they are equally good. Its
@@ -122,8 +122,8 @@
 // The rate that both have in the window is a mixture: near the stable rate or, with a low probability, anything. In the first case a
 // failure of the new release counts for much even if the old one has few calls. In the second the releases are only compared with
 // each other, so that a burst of failures that affects both cancels out.
-func logLikelihoodRatio(p releaseCounts, factor float64, prior gammaPrior) float64 {
-	if p.old.calls == 0 || p.new.calls == 0 {
+func logLikelihoodRatio(counts releaseCounts, factor float64, prior gammaPrior) float64 {
+	if counts.old.calls == 0 || counts.new.calls == 0 {
 		return 0
 	}
 	burst := gammaPrior{
@@ -134,19 +134,20 @@
 		prior = burst
 	}
 	logLikelihood := func(factor float64) float64 {
-		a := math.Log(1-burstProbability) + prior.logMarginal(p, factor)
-		b := math.Log(burstProbability) + burst.logMarginal(p, factor)
+		a := math.Log(1-burstProbability) + prior.logMarginal(counts, factor)
+		b := math.Log(burstProbability) + burst.logMarginal(counts, factor)
 		return max(a, b) + math.Log1p(math.Exp(-math.Abs(a-b)))
 	}
-	return p.new.bad*math.Log(factor) + logLikelihood(factor) - logLikelihood(1)
+	return counts.new.bad*math.Log(factor) + logLikelihood(factor) - logLikelihood(1)
 }
 
-// logMarginal returns the log probability of the failures in a window, without the term that does not depend on r.
-func (r gammaPrior) logMarginal(p releaseCounts, factor float64) float64 {
-	failures := p.old.bad + p.new.bad
-	before, _ := math.Lgamma(r.failures)
-	after, _ := math.Lgamma(r.failures + failures)
-	return r.failures*math.Log(r.calls) - before + after - (r.failures+failures)*math.Log(r.calls+p.old.calls+factor*p.new.calls)
+// logMarginal returns the log probability of the failures in a window under the prior. It omits the terms that depend on the counts
+// only, and the power of factor, which logLikelihoodRatio adds.
+func (g gammaPrior) logMarginal(counts releaseCounts, factor float64) float64 {
+	failures := counts.old.bad + counts.new.bad
+	before, _ := math.Lgamma(g.failures)
+	after, _ := math.Lgamma(g.failures + failures)
+	return g.failures*math.Log(g.calls) - before + after - (g.failures+failures)*math.Log(g.calls+counts.old.calls+factor*counts.new.calls)
 }
 
 // worse reports whether the new release is worse, with the open windows included as they are. The false alarm probabilities
@@ -156,7 +157,8 @@
 	return sequential >= alarmThreshold(falseAlarmProbability, tests) || cusum >= alarmThreshold(cusumFalseAlarmProbability, tests)
 }
 
-// worseAtDeadline is like worse, with a lower threshold: the move has to end anyway, and only its cause is at stake.
+// worseAtDeadline is like worse, but with a lower threshold. At the deadline the original weights are restored in any case, and only
+// the cause depends on it.
 func (c *comparison) worseAtDeadline() bool {
 	sequential, cusum := c.currentLLRs()
 	return max(sequential, cusum) >= alarmThreshold(deadlineFalseAlarmProbability, 1)
@@ -169,34 +171,34 @@
 	}
 	sequential, cusum = c.sequentialLLR, c.cusumLLR
 	for _, w := range c.openWindows {
-		s, r := c.logLikelihoodRatios(w.releaseCounts)
-		sequential += s
-		cusum += r
+		windowSequential, windowCUSUM := c.logLikelihoodRatios(w.releaseCounts)
+		sequential += windowSequential
+		cusum += windowCUSUM
 	}
 	return sequential, cusum
 }
 
-func alarmThreshold(rate float64, tests int) float64 {
-	return math.Log((1 - missProbability) / rate * float64(tests))
+func alarmThreshold(falseAlarm float64, tests int) float64 {
+	return math.Log((1 - missProbability) / falseAlarm * float64(tests))
 }
 
 // acceptanceRatio returns the log likelihood ratio of "the new release is worse by delta" to "it is as good as the old one". It takes
 // the old release's rate from the same window, so that a burst that affects both releases does not count against the new one. In
 // windows with few calls, the rate since the move began has more weight.
-func (c *comparison) acceptanceRatio(p releaseCounts) float64 {
-	rate := (p.old.bad + c.total.old.rate(c.minRate)*windowCalls) / (p.old.calls + windowCalls)
+func (c *comparison) acceptanceRatio(counts releaseCounts) float64 {
+	rate := (counts.old.bad + c.total.old.rate(c.minRate)*windowCalls) / (counts.old.calls + windowCalls)
 	rate = math.Min(math.Max(rate, c.minRate), 0.98-c.delta)
 	worse := rate + c.delta
-	good := p.new.calls - p.new.bad
-	return p.new.bad*math.Log(worse/rate) + good*math.Log((1-worse)/(1-rate))
+	good := counts.new.calls - counts.new.bad
+	return counts.new.bad*math.Log(worse/rate) + good*math.Log((1-worse)/(1-rate))
 }
 
 // accepts reports whether a log likelihood ratio accepts the new release, with the open windows included as they are.
-func (c *comparison) accepts(ratio float64) bool {
+func (c *comparison) accepts(llr float64) bool {
 	for _, w := range c.openWindows {
-		ratio += c.acceptanceRatio(w.releaseCounts)
+		llr += c.acceptanceRatio(w.releaseCounts)
 	}
-	return ratio <= math.Log(missProbability/(1-falseAlarmProbability))
+	return llr <= math.Log(missProbability/(1-falseAlarmProbability))
 }
 
 // passes reports whether the acceptance test has passed since the move began. It stays passed: the CUSUM test finds later faults.
--- a/core/rollout/constants.go
+++ b/core/rollout/constants.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Error probabilities of the sequential tests. The false alarm probabilities hold for all tests of a move together.
+// Error probabilities of the sequential tests (design 7.2). The false alarm probabilities hold for all tests of a move together.
 const (
 	falseAlarmProbability = 0.001
 	missProbability       = 0.01
@@ -73,11 +73,11 @@
 	evidenceArrivalTime = 3 * time.Second
 	minStepDuration     = 4 * time.Second
 	maxStepDuration     = 2 * time.Minute
-	// slowStartDuration is the time over which the balancer raises the weight of a new backend server.
+	// slowStartDuration is the time over which the balancer raises the weight of a new backend server (design 6.7).
 	slowStartDuration = 10 * time.Second
 	// maxSlowStartHold bounds how long slow start delays a move; after it, the move proceeds on failures alone.
 	maxSlowStartHold = 60 * time.Second
-	// littleTrafficFactor is how many times the calls needed for a verdict a move must expect at the risk share. With fewer, its traffic
-	// counts as little.
+	// A move has little traffic if the calls expected at its risk share until its deadline are fewer than littleTrafficFactor times the
+	// calls that a verdict needs.
 	littleTrafficFactor = 3
 )
--- a/core/rollout/fleet.go
+++ b/core/rollout/fleet.go
@@ -16,17 +16,17 @@
 	slotsOld             int
 	slotsNew             int
 	observedAt           time.Time
-	slowStartHold        time.Duration // total time for which slow start held the move
-	latencyUnusable      time.Duration // total time for which latencies were not compared
+	slowStartHoldTime    time.Duration // total time for which slow start held the move
+	latencyUnusableTime  time.Duration // total time for which latencies were not compared
 	latencyUnusableUntil time.Time     // when all answers of cold backend servers have been reported
 }
 
 func (f *fleet) observe(now time.Time, endpoints []core.Endpoint, service core.ServiceName, from, to core.Release) {
 	if f.inSlowStart(now) {
-		f.slowStartHold += now.Sub(f.observedAt)
+		f.slowStartHoldTime += now.Sub(f.observedAt)
 	}
 	if !f.latencyUsable(now) {
-		f.latencyUnusable += now.Sub(f.observedAt)
+		f.latencyUnusableTime += now.Sub(f.observedAt)
 	}
 	previous := f.readySince
 	*f = fleet{
@@ -36,8 +36,8 @@
 		readyOld:             make(map[core.DataCentre]int),
 		readyNew:             make(map[core.DataCentre]int),
 		observedAt:           now,
-		slowStartHold:        f.slowStartHold,
-		latencyUnusable:      f.latencyUnusable,
+		slowStartHoldTime:    f.slowStartHoldTime,
+		latencyUnusableTime:  f.latencyUnusableTime,
 		latencyUnusableUntil: f.latencyUnusableUntil,
 	}
 	for _, e := range endpoints {
@@ -88,18 +88,18 @@
 	return true
 }
 
-// inSlowStart reports whether the share must not grow because a third of the new release's backend servers are in slow start.
+// inSlowStart reports whether the share must not grow because at least a third of the new release's backend servers are in slow start.
 func (f *fleet) inSlowStart(now time.Time) bool {
-	return f.slowStartHold < maxSlowStartHold && 3*f.coldRatio(true, now.Add(-slowStartDuration)) >= 1
+	return f.slowStartHoldTime < maxSlowStartHold && 3*f.coldRatio(true, now.Add(-slowStartDuration)) >= 1
 }
 
 // latencyAbandoned reports whether backend servers were cold for so long that the move proceeds without a verdict on latency.
 func (f *fleet) latencyAbandoned() bool {
-	return f.latencyUnusable >= maxSlowStartHold
+	return f.latencyUnusableTime >= maxSlowStartHold
 }
 
-// latencyUsable reports whether latencies can be compared. They cannot while a tenth of either release's backend servers is cold,
-// nor until the answers of these have been reported, even if the backend servers have left by then.
+// latencyUsable reports whether latencies can be compared. They cannot while at least a tenth of either release's backend servers is
+// cold, nor until the answers of these have been reported, even if the backend servers have left by then.
 func (f *fleet) latencyUsable(now time.Time) bool {
 	return !now.Before(f.latencyUnusableUntil)
 }
--- a/core/rollout/group.go
+++ b/core/rollout/group.go
@@ -91,16 +91,16 @@
 }
 
 func (c *comparison) text(what string) string {
-	p := c.sinceStep
-	if p.new.calls == 0 {
-		p = c.total
+	counts := c.sinceStep
+	if counts.new.calls == 0 {
+		counts = c.total
 	}
-	return fmt.Sprintf("%s: new release %s, old release %s", what, p.new.text(), p.old.text())
+	return fmt.Sprintf("%s: new release %s, old release %s", what, counts.new.text(), counts.old.text())
 }
 
-func (t callCount) text() string {
-	if t.calls == 0 {
+func (c callCount) text() string {
+	if c.calls == 0 {
 		return "no calls"
 	}
-	return fmt.Sprintf("%.0f of %.0f calls (%.2f%%)", t.bad, t.calls, 100*t.bad/t.calls)
+	return fmt.Sprintf("%.0f of %.0f calls (%.2f%%)", c.bad, c.calls, 100*c.bad/c.calls)
 }
--- a/core/rollout/recorder.go
+++ b/core/rollout/recorder.go
@@ -63,7 +63,7 @@
 	c.latency[bucket(latency)].Add(1)
 }
 
-// RecordRejected counts one call that was turned away. It implements core.EvidenceRecorder.
+// RecordRejected counts one call whose first attempt a backend server had no capacity for. It implements core.EvidenceRecorder.
 func (r *Recorder) RecordRejected(service core.ServiceName, route core.RouteName, release core.Release) {
 	c := r.counter(recordKey{
 		service: service,
--- a/core/rollout/sequential_decider.go
+++ b/core/rollout/sequential_decider.go
@@ -19,7 +19,7 @@
 	from, to                 core.Release
 	firstDecisionAt          time.Time
 	baselineUntil            time.Time
-	step                     uint64
+	step                     uint64    // latest step seen
 	passedUnderEarlierLeader bool      // the replicated share shows that the evidence passed before a leader change
 	rateMeasuredFrom         time.Time // start of the measurement of the rate of calls
 	rateBaseCalls            float64   // calls before rateMeasuredFrom
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -43,7 +43,7 @@
 }
 
 func newSimulation(c *qt.C, deadline time.Duration, loads func(second int) map[core.RouteName]load) *simulation {
-	r := &simulation{
+	s := &simulation{
 		C:     c,
 		loads: loads,
 		rates: make(map[string]float64),
@@ -55,8 +55,8 @@
 			Request:   core.MoveRequest{Service: "s", Deadline: start.Add(deadline)},
 		},
 	}
-	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
-	return r
+	s.decider = rollout.NewSequentialDecider(s.move, "v1", "v2")
+	return s
 }
 
 func constantLoads(l load) func(int) map[core.RouteName]load {
@@ -64,10 +64,10 @@
 }
 
 // evidence adds one second of calls to the cumulative counts of node n1.
-func (r *simulation) evidence() []core.EvidenceCount {
+func (s *simulation) evidence() []core.EvidenceCount {
 	var counts []core.EvidenceCount
-	share := float64(r.move.Share) / 1000
-	loads := r.loads(r.second)
+	share := float64(s.move.Share) / 1000
+	loads := s.loads(s.second)
 	for _, route := range slices.Sorted(maps.Keys(loads)) {
 		l := loads[route]
 		for _, side := range []struct {
@@ -78,18 +78,18 @@
 			{"v1", l.calls * (1 - share), l.oldFail, l.oldSlow, l.oldCrash},
 			{"v2", l.calls * share, l.newFail, l.newSlow, l.newCrash},
 		} {
-			r.calls += side.calls
-			if side.release == "v2" && r.second >= r.faultFrom {
-				r.badCalls += side.calls
+			s.calls += side.calls
+			if side.release == "v2" && s.second >= s.faultFrom {
+				s.badCalls += side.calls
 			}
 			sum := func(what string, n float64) uint64 {
 				key := fmt.Sprint(route, side.release, what)
-				if _, known := r.rates[key]; !known {
+				if _, known := s.rates[key]; !known {
 					// Multiples of the golden ratio, so that the routes do not fail in the same second.
-					r.rates[key] = math.Mod(0.618*float64(len(r.rates)), 1)
+					s.rates[key] = math.Mod(0.618*float64(len(s.rates)), 1)
 				}
-				r.rates[key] += n
-				return uint64(r.rates[key])
+				s.rates[key] += n
+				return uint64(s.rates[key])
 			}
 			count := core.EvidenceCount{
 				Node:        "n1",
@@ -110,38 +110,38 @@
 }
 
 // run continues until the move is closed or the condition holds, and checks each step as the catalog does.
-func (r *simulation) run(until func() bool) *simulation {
-	for !rollout.IsFinal(r.move.State) && (until == nil || !until()) {
-		r.second++
-		now := start.Add(time.Duration(r.second) * time.Second)
-		r.Assert(now.After(r.move.Request.Deadline.Add(time.Second)), qt.IsFalse, qt.Commentf("still open after the deadline"))
-		if r.endpoints != nil {
-			r.decider.ObserveEndpoints(now, r.endpoints(r.second))
+func (s *simulation) run(until func() bool) *simulation {
+	for !rollout.IsFinal(s.move.State) && (until == nil || !until()) {
+		s.second++
+		now := start.Add(time.Duration(s.second) * time.Second)
+		s.Assert(now.After(s.move.Request.Deadline.Add(time.Second)), qt.IsFalse, qt.Commentf("still open after the deadline"))
+		if s.endpoints != nil {
+			s.decider.ObserveEndpoints(now, s.endpoints(s.second))
 		}
-		evidence := r.evidence()
-		if r.deliver != nil {
-			evidence = r.deliver(evidence)
+		evidence := s.evidence()
+		if s.deliver != nil {
+			evidence = s.deliver(evidence)
 		}
-		for i := range max(1, r.decisions) {
-			r.decide(now.Add(time.Duration(i)*time.Second/time.Duration(max(1, r.decisions))), evidence)
+		for i := range max(1, s.decisions) {
+			s.decide(now.Add(time.Duration(i)*time.Second/time.Duration(max(1, s.decisions))), evidence)
 		}
 	}
-	return r
+	return s
 }
 
-func (r *simulation) decide(now time.Time, evidence []core.EvidenceCount) {
-	step, due := r.decider.Decide(now, r.move, evidence)
+func (s *simulation) decide(now time.Time, evidence []core.EvidenceCount) {
+	step, due := s.decider.Decide(now, s.move, evidence)
 	if !due {
 		return
 	}
-	r.Assert(step.Step, qt.Equals, r.move.Step+1)
-	r.Assert(rollout.IsTransition(r.move.State, step.State), qt.IsTrue)
-	r.steps = append(r.steps, step)
-	r.move.Step, r.move.State, r.move.Share, r.move.SteppedAt = step.Step, step.State, step.Share, step.At
-	r.move.Cause, r.move.Evidence = step.Cause, step.Evidence
+	s.Assert(step.Step, qt.Equals, s.move.Step+1)
+	s.Assert(rollout.IsTransition(s.move.State, step.State), qt.IsTrue)
+	s.steps = append(s.steps, step)
+	s.move.Step, s.move.State, s.move.Share, s.move.SteppedAt = step.Step, step.State, step.Share, step.At
+	s.move.Cause, s.move.Evidence = step.Cause, step.Evidence
 }
 
-func (r *simulation) share() core.PerMille { return r.move.Share }
+func (s *simulation) share() core.PerMille { return s.move.Share }
 
 // Guards against a fault that is missed or found late. Each kind of fault is tested alone, from the beginning and after a long time
 // without faults, which must not outweigh it.
@@ -320,7 +320,7 @@
 }
 
 // Guards against a new leader that starts the move again, that loses the verdict implied by the share, or that misses a fault.
-func TestLeaderChangeInTheMiddle(t *testing.T) {
+func TestLeaderChangeDuringMove(t *testing.T) {
 	c := qt.New(t)
 	for _, fault := range []float64{0.001, 0.3} {
 		changed := false
