--- a/core/catalog/property_test.go
+++ b/core/catalog/property_test.go
@@ -53,9 +53,9 @@
 	rapidT *rapid.T
 }
 
-func (d rapidTB) Fatal(args ...any) {
-	d.rapidT.Helper()
-	d.rapidT.Fatal(args...)
+func (r rapidTB) Fatal(args ...any) {
+	r.rapidT.Helper()
+	r.rapidT.Fatal(args...)
 }
 
 type observation struct {
--- a/core/catalog/snapshot.go
+++ b/core/catalog/snapshot.go
@@ -92,9 +92,9 @@
 	for _, u := range s.Usage {
 		restored.usage[u.Scope] = u.Usage
 	}
-	for _, past := range s.Verdicts {
-		past.Verdict.At = past.Verdict.At.UTC()
-		restored.verdicts.add(past, false)
+	for _, r := range s.Verdicts {
+		r.Verdict.At = r.Verdict.At.UTC()
+		restored.verdicts.add(r, false)
 	}
 	for _, m := range s.Moves {
 		restored.restoreMove(m)
--- a/core/idempotency/quorum.go
+++ b/core/idempotency/quorum.go
@@ -74,8 +74,8 @@
 		}
 		continuous = continuous || reply.ContinuousMemory
 	}
-	remembered := continuous || completeMemories > 0 && 2*completeMemories >= holders
-	if verdict == VerdictGranted && (!remembered || votes <= holders/2) {
+	memorySuffices := continuous || completeMemories > 0 && 2*completeMemories >= holders
+	if verdict == VerdictGranted && (!memorySuffices || votes <= holders/2) {
 		return VerdictUnknown, nil
 	}
 	return verdict, answer
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -68,8 +68,8 @@
 	services   map[core.ServiceName]map[core.NodeID]bool
 	tombstones map[endpointKey]Tombstone
 	lostOwners map[Owner]lostOwner
-	expiring   map[expiringLease]time.Time
-	dirty      map[core.ServiceName]bool
+	expiring   map[expiringLease]time.Time // when leases on moved endpoints end
+	dirty      map[core.ServiceName]bool   // services whose live endpoints have changed since TakeDirty
 	logs       [viewCount]changeLog
 	refused    uint64
 }
--- a/core/raft/bootstrap.go
+++ b/core/raft/bootstrap.go
@@ -54,14 +54,14 @@
 	if !b.Pending() {
 		return nil, false
 	}
-	had := len(b.initial)
+	storedBefore := len(b.initial)
 	if hello != nil {
 		b.receive(*hello)
 	}
 	if len(b.initial) == 0 && !b.foreign {
 		b.assembleInitial()
 	}
-	if had == 0 {
+	if storedBefore == 0 {
 		return b.initial, b.updateStarted(hello)
 	}
 	return nil, b.updateStarted(hello)
@@ -81,7 +81,7 @@
 		b.foreign = true
 		return
 	}
-	if len(b.initial) == 0 && slices.Equal(names(hello.Initial), names(b.configured)) {
+	if len(b.initial) == 0 && slices.Equal(sortedIDs(hello.Initial), sortedIDs(b.configured)) {
 		b.initial = hello.Initial
 	}
 	if slices.Equal(peers(hello.Initial), peers(b.initial)) {
@@ -153,7 +153,7 @@
 	return lo.Map(members, func(m Member, _ int) Peer { return m.Peer })
 }
 
-func names(members []Member) []core.ControlID {
+func sortedIDs(members []Member) []core.ControlID {
 	ids := lo.Map(members, func(m Member, _ int) core.ControlID { return m.Peer.ID })
 	slices.Sort(ids)
 	return ids
--- a/core/raft/replication.go
+++ b/core/raft/replication.go
@@ -11,7 +11,7 @@
 // progress is the leader's view of one member.
 type progress struct {
 	match         core.LogIndex // last entry known to match the leader's log and to be synced
-	next          core.LogIndex
+	next          core.LogIndex // next entry to send
 	lastContact   time.Time     // when the last answer arrived
 	sentCommit    core.LogIndex // last commit index sent
 	answeredRound uint64        // last heartbeat round answered
--- a/core/replay/replay.go
+++ b/core/replay/replay.go
@@ -35,7 +35,7 @@
 	Steps           []core.MoveStep
 }
 
-func (m *Measures) call(now time.Time, isNew, faulty bool) {
+func (m *Measures) recordCall(now time.Time, isNew, faulty bool) {
 	if now.Before(epoch) {
 		return
 	}
--- a/core/replay/simulation.go
+++ b/core/replay/simulation.go
@@ -237,7 +237,7 @@
 	}
 	s.calls[release]++
 	failed, crashed, latency, faulty := s.outcome(b, route)
-	s.measures.call(s.now, release == s.trace.To, faulty)
+	s.measures.recordCall(s.now, release == s.trace.To, faulty)
 	name := s.trace.Routes[route].Name
 	n.recorder.Record(s.trace.Service, name, release, failed, crashed, latency)
 	n.breaker.Observe(s.trace.Service, name, release, failed)
--- a/core/rollout/comparison.go
+++ b/core/rollout/comparison.go
@@ -40,7 +40,7 @@
 
 // comparison tests one measure (failures, slow calls or crashes) of the new release against the old one.
 type comparison struct {
-	delta, cusumDelta, minRate       float64
+	delta, cusumDelta, minRate       float64   // effect sizes of the two tests, and lower bound of the old release's rate
 	stableRate                       bool      // the rate since the move began predicts the rate in a window
 	sequentialLLR                    float64   // log likelihood ratio since the move began
 	cusumLLR                         float64   // cumulative sum of the log likelihood ratios, kept at or above zero
--- a/core/rollout/counter_deltas.go
+++ b/core/rollout/counter_deltas.go
@@ -19,8 +19,8 @@
 
 // counterDeltas turns cumulative counts into differences. Counts from before the move serve as the baseline.
 type counterDeltas struct {
-	last map[counterKey]core.EvidenceCount
-	runs map[nodeRun]bool
+	last map[counterKey]core.EvidenceCount // latest cumulative counts
+	runs map[nodeRun]bool                  // node runs that have reported any counts
 	// newReleaseUnseen means that the new release had no counts while the move was proposed, so all its counts belong to the move.
 	newReleaseUnseen bool
 }
--- a/core/rollout/fleet.go
+++ b/core/rollout/fleet.go
@@ -6,7 +6,7 @@
 	"parsleyport/core"
 )
 
-// fleet holds what a move needs to know of the endpoints.
+// fleet summarises the endpoints that concern a move: where nodes run, and which backend servers of both releases are ready.
 type fleet struct {
 	dataCentres          map[core.NodeID]core.DataCentre
 	readySince           map[nodeRun]time.Time // of both releases
--- a/core/rollout/pace_test.go
+++ b/core/rollout/pace_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	r = limited(2, 0.05).run(nil)
-	c.Assert(r.rates["readv2crashes"] >= 1 && r.rates["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("the simulation must have a single crash, which must not take the move back: %v", r.rates))
+	c.Assert(r.cumulative["readv2crashes"] >= 1 && r.cumulative["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("the simulation must have a single crash, which must not take the move back: %v", r.cumulative))
 	c.Assert(r.move.State, qt.Equals, core.MoveExpired)
 	c.Assert(r.move.Cause, qt.Contains, "largest share at risk is 30 per mille")
 	for _, step := range r.steps {
@@ -63,7 +63,7 @@
 		return map[core.RouteName]load{"read": l}
 	}
 	r.run(nil)
-	c.Assert(r.rates["readv2crashes"] >= 1 && r.rates["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("%v", r.rates))
+	c.Assert(r.cumulative["readv2crashes"] >= 1 && r.cumulative["readv2crashes"] < 2, qt.IsTrue, qt.Commentf("%v", r.cumulative))
 	c.Assert(r.move.State, qt.Equals, core.MoveDone, qt.Commentf("a single crash must not take the move back: %+v", r.move))
 
 	r = newSimulation(c, 10*time.Minute, constantLoads(load{calls: 500, oldFail: 0.002, newFail: 0.002}))
--- a/core/rollout/sequential_decider.go
+++ b/core/rollout/sequential_decider.go
@@ -27,7 +27,7 @@
 	routes                   map[core.RouteName]*group
 	latency                  map[core.RouteName]*[core.LatencyBuckets]float64 // of the old release
 	pooled                   *group                                           // the routes with little traffic
-	all                      *group
+	all                      *group                                           // all routes together
 	fleet                    fleet
 	evidenceDelay            time.Duration // beyond evidenceArrivalTime
 }
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -28,25 +28,25 @@
 // simulation drives a decider second by second. Its rates are exact, not random.
 type simulation struct {
 	*qt.C
-	decider   *rollout.SequentialDecider
-	move      core.Move
-	second    int
-	loads     func(second int) map[core.RouteName]load
-	endpoints func(second int) []core.Endpoint
-	deliver   func(evidence []core.EvidenceCount) []core.EvidenceCount
-	rates     map[string]float64
-	steps     []core.MoveStep
-	decisions int     // per second, 1 if zero
-	faultFrom int     // second of the first faulty call
-	calls     float64 // since the move was accepted
-	badCalls  float64 // of the new release since faultFrom
+	decider    *rollout.SequentialDecider
+	move       core.Move
+	second     int
+	loads      func(second int) map[core.RouteName]load
+	endpoints  func(second int) []core.Endpoint
+	deliver    func(evidence []core.EvidenceCount) []core.EvidenceCount
+	cumulative map[string]float64 // counts by route, release and measure
+	steps      []core.MoveStep
+	decisions  int     // per second, 1 if zero
+	faultFrom  int     // second of the first faulty call
+	calls      float64 // since the move was accepted
+	badCalls   float64 // of the new release since faultFrom
 }
 
 func newSimulation(c *qt.C, deadline time.Duration, loads func(second int) map[core.RouteName]load) *simulation {
 	s := &simulation{
-		C:     c,
-		loads: loads,
-		rates: make(map[string]float64),
+		C:          c,
+		loads:      loads,
+		cumulative: make(map[string]float64),
 		move: core.Move{
 			MoveID:    "m",
 			State:     rollout.InitialState(),
@@ -84,12 +84,12 @@
 			}
 			sum := func(what string, n float64) uint64 {
 				key := fmt.Sprint(route, side.release, what)
-				if _, known := s.rates[key]; !known {
+				if _, known := s.cumulative[key]; !known {
 					// Multiples of the golden ratio, so that the routes do not fail in the same second.
-					s.rates[key] = math.Mod(0.618*float64(len(s.rates)), 1)
+					s.cumulative[key] = math.Mod(0.618*float64(len(s.cumulative)), 1)
 				}
-				s.rates[key] += n
-				return uint64(s.rates[key])
+				s.cumulative[key] += n
+				return uint64(s.cumulative[key])
 			}
 			count := core.EvidenceCount{
 				Node:        "n1",
@@ -252,7 +252,7 @@
 		}
 		if restarted.second%50 == 0 {
 			incarnation, before = core.Incarnation(start.Add(time.Duration(restarted.second)*time.Second).UnixNano()), evidence
-			restarted.rates = make(map[string]float64)
+			restarted.cumulative = make(map[string]float64)
 		}
 		return slices.Concat(evidence, before)
 	}
@@ -266,7 +266,7 @@
 	failing.faultFrom = 301
 	failing.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		if failing.second == 300 {
-			failing.rates = make(map[string]float64)
+			failing.cumulative = make(map[string]float64)
 		}
 		for i := range evidence {
 			evidence[i].Incarnation = core.Incarnation(1 + failing.second/301)
@@ -283,7 +283,7 @@
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
 	for _, key := range []string{"calls", "failures", "slow"} {
-		r.rates["readv2"+key] = 5000
+		r.cumulative["readv2"+key] = 5000
 	}
 	r.run(func() bool { return r.second == 120 })
 	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
@@ -303,13 +303,13 @@
 func TestLateReportsFromBeforeTheMove(t *testing.T) {
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
-	r.rates["readv2calls"] = 1000
+	r.cumulative["readv2calls"] = 1000
 	var before []core.EvidenceCount
 	r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		if before == nil {
 			before = slices.Clone(evidence)
-			r.rates["readv2calls"] += 20
-			r.rates["readv2failures"] += 20
+			r.cumulative["readv2calls"] += 20
+			r.cumulative["readv2failures"] += 20
 		}
 		if r.second <= 5 {
 			return before
