--- a/core/callreplay/file.go
+++ b/core/callreplay/file.go
@@ -14,7 +14,7 @@
 // ErrOutcome is returned if the default policy does not meet the expectations of a trace.
 const ErrOutcome = errors.ConstError("outcome differs from the stated one")
 
-// fileSeed is the seed of the replays of a file.
+// fileSeed fixes the random durations and failures of the runs in the replays of a file.
 const fileSeed = 1
 
 // ReadFile reads a trace file. An error names the file.
--- a/core/callreplay/server.go
+++ b/core/callreplay/server.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// crash ends the process: running calls have an unknown outcome, and the node refuses the waiting ones as not run.
+// crash ends the process: running calls have an unknown outcome. The node is still alive and refuses the waiting ones as not run.
 func (s *server) crash() {
 	s.up = false
 	s.run++
--- a/core/rollout/fleet.go
+++ b/core/rollout/fleet.go
@@ -99,7 +99,8 @@
 }
 
 // latencyUsable reports whether latencies can be compared. They cannot while at least a tenth of either release's backend servers is
-// cold, nor until the answers of these have been reported, even if the backend servers have left by then.
+// cold, since cold ones are slow whatever their release, nor until the answers of these have been reported, even if the backend servers
+// have left by then.
 func (f *fleet) latencyUsable(now time.Time) bool {
 	return !now.Before(f.latencyUnusableUntil)
 }
--- a/core/rollout/pace.go
+++ b/core/rollout/pace.go
@@ -188,7 +188,8 @@
 	return !d.enoughTraffic(now, move, d.all)
 }
 
-// shareSince returns the time since which this decider has seen evidence about the present share.
+// shareSince returns the time since which this decider has seen evidence about the present share. After a leader change, the new
+// leader's decider has seen none from before.
 func (d *SequentialDecider) shareSince(move core.Move) time.Time {
 	if d.firstDecisionAt.After(move.SteppedAt) {
 		return d.firstDecisionAt
