--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -175,7 +175,7 @@
 }
 
 // Guards against verdicts that are evicted too early, or never, so that memory and snapshots grow without limit (4.1).
-func TestLatestVerdictsAreStored(t *testing.T) {
+func TestLatestVerdictsAreRemembered(t *testing.T) {
 	c := qt.New(t)
 	r := newReplica(c)
 	oldest := r.abort(c, "0", "m9")
--- a/core/lease/table_test.go
+++ b/core/lease/table_test.go
@@ -154,7 +154,7 @@
 }
 
 // Guards against a subscriber that ends up with other endpoints than its parent after some order of changes.
-func TestSubscriberHasTheEndpointsOfItsParent(t *testing.T) {
+func TestFollowerHasTheEndpointsOfItsParent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, child := lease.New(), lease.New()
 		subscriber := lease.Owner{Name: "viewer"}
