--- a/core/catalog/snapshot.go
+++ b/core/catalog/snapshot.go
@@ -133,12 +133,12 @@
 
 func sortedLastChanges(changes map[core.RecordKey]lastChange) []keyedChange {
 	sorted := make([]keyedChange, 0, len(changes))
-	for key, s := range changes {
+	for key, change := range changes {
 		sorted = append(sorted, keyedChange{
 			Kind:          key.Kind,
 			Name:          key.Name,
 			SchemaVersion: key.SchemaVersion,
-			Change:        s,
+			Change:        change,
 		})
 	}
 	sort.Slice(sorted, func(i, j int) bool {
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -18,7 +18,8 @@
 	movedLeaseGrace = 5 * time.Second
 )
 
-// Owner holds leases on endpoints. Endpoints of remote owners (a parent, another control instance) are not sent back up.
+// Owner holds leases on endpoints. Endpoints that only remote owners (a parent, another control instance) have leased are not sent to
+// the parent or to other control instances.
 type Owner struct {
 	Name   string
 	Remote bool
@@ -67,8 +68,8 @@
 	services   map[core.ServiceName]map[core.NodeID]bool
 	tombstones map[endpointKey]Tombstone
 	lostOwners map[Owner]lostOwner
-	expiring   map[expiringLease]time.Time
-	dirty      map[core.ServiceName]bool
+	expiring   map[expiringLease]time.Time // when leases on moved endpoints end
+	dirty      map[core.ServiceName]bool   // services whose live endpoints have changed since TakeDirty
 	logs       [viewCount]changeLog
 	refused    uint64
 }
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -28,25 +28,25 @@
 // simulation drives a decider second by second. Its rates are exact, not random.
 type simulation struct {
 	*qt.C
-	decider   *rollout.SequentialDecider
-	move      core.Move
-	second    int
-	loads     func(second int) map[core.RouteName]load
-	endpoints func(second int) []core.Endpoint
-	deliver   func(evidence []core.EvidenceCount) []core.EvidenceCount
-	rates     map[string]float64
-	steps     []core.MoveStep
-	decisions int     // per second, 1 if zero
-	faultFrom int     // second of the first faulty call
-	calls     float64 // since the move was accepted
-	badCalls  float64 // of the new release since faultFrom
+	decider    *rollout.SequentialDecider
+	move       core.Move
+	second     int
+	loads      func(second int) map[core.RouteName]load
+	endpoints  func(second int) []core.Endpoint
+	deliver    func(evidence []core.EvidenceCount) []core.EvidenceCount
+	cumulative map[string]float64 // counts by route, release and measure
+	steps      []core.MoveStep
+	decisions  int     // per second, 1 if zero
+	faultFrom  int     // second of the first faulty call
+	calls      float64 // since the move was accepted
+	badCalls   float64 // of the new release since faultFrom
 }
 
 func newSimulation(c *qt.C, deadline time.Duration, loads func(second int) map[core.RouteName]load) *simulation {
-	r := &simulation{
-		C:     c,
-		loads: loads,
-		rates: make(map[string]float64),
+	s := &simulation{
+		C:          c,
+		loads:      loads,
+		cumulative: make(map[string]float64),
 		move: core.Move{
 			MoveID:    "m",
 			State:     rollout.InitialState(),
@@ -55,8 +55,8 @@
 			Request:   core.MoveRequest{Service: "s", Deadline: start.Add(deadline)},
 		},
 	}
-	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
-	return r
+	s.decider = rollout.NewSequentialDecider(s.move, "v1", "v2")
+	return s
 }
 
 func constantLoads(l load) func(int) map[core.RouteName]load {
@@ -64,10 +64,10 @@
 }
 
 // evidence adds one second of calls to the cumulative counts of node n1.
-func (r *simulation) evidence() []core.EvidenceCount {
+func (s *simulation) evidence() []core.EvidenceCount {
 	var counts []core.EvidenceCount
-	share := float64(r.move.Share) / 1000
-	loads := r.loads(r.second)
+	share := float64(s.move.Share) / 1000
+	loads := s.loads(s.second)
 	for _, route := range slices.Sorted(maps.Keys(loads)) {
 		l := loads[route]
 		for _, side := range []struct {
@@ -78,18 +78,18 @@
 			{"v1", l.calls * (1 - share), l.oldFail, l.oldSlow, l.oldCrash},
 			{"v2", l.calls * share, l.newFail, l.newSlow, l.newCrash},
 		} {
-			r.calls += side.calls
-			if side.release == "v2" && r.second >= r.faultFrom {
-				r.badCalls += side.calls
+			s.calls += side.calls
+			if side.release == "v2" && s.second >= s.faultFrom {
+				s.badCalls += side.calls
 			}
 			sum := func(what string, n float64) uint64 {
 				key := fmt.Sprint(route, side.release, what)
-				if _, known := r.rates[key]; !known {
+				if _, known := s.cumulative[key]; !known {
 					// Multiples of the golden ratio, so that the routes do not fail in the same second.
-					r.rates[key] = math.Mod(0.618*float64(len(r.rates)), 1)
+					s.cumulative[key] = math.Mod(0.618*float64(len(s.cumulative)), 1)
 				}
-				r.rates[key] += n
-				return uint64(r.rates[key])
+				s.cumulative[key] += n
+				return uint64(s.cumulative[key])
 			}
 			count := core.EvidenceCount{
 				Node:        "n1",
@@ -110,38 +110,38 @@
 }
 
 // run continues until the move is closed or the condition holds, and checks each step as the catalog does.
-func (r *simulation) run(until func() bool) *simulation {
-	for !rollout.IsFinal(r.move.State) && (until == nil || !until()) {
-		r.second++
-		now := start.Add(time.Duration(r.second) * time.Second)
-		r.Assert(now.After(r.move.Request.Deadline.Add(time.Second)), qt.IsFalse, qt.Commentf("still open after the deadline"))
-		if r.endpoints != nil {
-			r.decider.ObserveEndpoints(now, r.endpoints(r.second))
+func (s *simulation) run(until func() bool) *simulation {
+	for !rollout.IsFinal(s.move.State) && (until == nil || !until()) {
+		s.second++
+		now := start.Add(time.Duration(s.second) * time.Second)
+		s.Assert(now.After(s.move.Request.Deadline.Add(time.Second)), qt.IsFalse, qt.Commentf("still open after the deadline"))
+		if s.endpoints != nil {
+			s.decider.ObserveEndpoints(now, s.endpoints(s.second))
 		}
-		evidence := r.evidence()
-		if r.deliver != nil {
-			evidence = r.deliver(evidence)
+		evidence := s.evidence()
+		if s.deliver != nil {
+			evidence = s.deliver(evidence)
 		}
-		for i := range max(1, r.decisions) {
-			r.decide(now.Add(time.Duration(i)*time.Second/time.Duration(max(1, r.decisions))), evidence)
+		for i := range max(1, s.decisions) {
+			s.decide(now.Add(time.Duration(i)*time.Second/time.Duration(max(1, s.decisions))), evidence)
 		}
 	}
-	return r
+	return s
 }
 
-func (r *simulation) decide(now time.Time, evidence []core.EvidenceCount) {
-	step, due := r.decider.Decide(now, r.move, evidence)
+func (s *simulation) decide(now time.Time, evidence []core.EvidenceCount) {
+	step, due := s.decider.Decide(now, s.move, evidence)
 	if !due {
 		return
 	}
-	r.Assert(step.Step, qt.Equals, r.move.Step+1)
-	r.Assert(rollout.IsTransition(r.move.State, step.State), qt.IsTrue)
-	r.steps = append(r.steps, step)
-	r.move.Step, r.move.State, r.move.Share, r.move.SteppedAt = step.Step, step.State, step.Share, step.At
-	r.move.Cause, r.move.Evidence = step.Cause, step.Evidence
+	s.Assert(step.Step, qt.Equals, s.move.Step+1)
+	s.Assert(rollout.IsTransition(s.move.State, step.State), qt.IsTrue)
+	s.steps = append(s.steps, step)
+	s.move.Step, s.move.State, s.move.Share, s.move.SteppedAt = step.Step, step.State, step.Share, step.At
+	s.move.Cause, s.move.Evidence = step.Cause, step.Evidence
 }
 
-func (r *simulation) share() core.PerMille { return r.move.Share }
+func (s *simulation) share() core.PerMille { return s.move.Share }
 
 // Guards against a fault that is missed or found late. Each kind of fault is tested alone, from the beginning and after a long time
 // without faults, which must not outweigh it.
@@ -252,7 +252,7 @@
 		}
 		if restarted.second%50 == 0 {
 			incarnation, before = core.Incarnation(start.Add(time.Duration(restarted.second)*time.Second).UnixNano()), evidence
-			restarted.rates = make(map[string]float64)
+			restarted.cumulative = make(map[string]float64)
 		}
 		return slices.Concat(evidence, before)
 	}
@@ -266,7 +266,7 @@
 	failing.faultFrom = 301
 	failing.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		if failing.second == 300 {
-			failing.rates = make(map[string]float64)
+			failing.cumulative = make(map[string]float64)
 		}
 		for i := range evidence {
 			evidence[i].Incarnation = core.Incarnation(1 + failing.second/301)
@@ -283,7 +283,7 @@
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
 	for _, key := range []string{"calls", "failures", "slow"} {
-		r.rates["readv2"+key] = 5000
+		r.cumulative["readv2"+key] = 5000
 	}
 	r.run(func() bool { return r.second == 120 })
 	r.decider = rollout.NewSequentialDecider(r.move, "v1", "v2")
@@ -303,13 +303,13 @@
 func TestLateReportsFromBeforeTheMove(t *testing.T) {
 	c := qt.New(t)
 	r := newSimulation(c, 10*time.Minute, constantLoads(load{calls: 200, oldFail: 0.001, newFail: 0.001}))
-	r.rates["readv2calls"] = 1000
+	r.cumulative["readv2calls"] = 1000
 	var before []core.EvidenceCount
 	r.deliver = func(evidence []core.EvidenceCount) []core.EvidenceCount {
 		if before == nil {
 			before = slices.Clone(evidence)
-			r.rates["readv2calls"] += 20
-			r.rates["readv2failures"] += 20
+			r.cumulative["readv2calls"] += 20
+			r.cumulative["readv2failures"] += 20
 		}
 		if r.second <= 5 {
 			return before
@@ -320,7 +320,7 @@
 }
 
 // Guards against a new leader that starts the move again, that loses the verdict implied by the share, or that misses a fault.
-func TestLeaderChangeInTheMiddle(t *testing.T) {
+func TestLeaderChangeDuringMove(t *testing.T) {
 	c := qt.New(t)
 	for _, fault := range []float64{0.001, 0.3} {
 		changed := false
