--- a/io/control/audit.go
+++ b/io/control/audit.go
@@ -110,25 +110,25 @@
 	}
 }
 
-func (b *backfill) answer(to core.ControlID, asked auditRange) {
-	first, entries, err := b.archive.Batch(asked.First)
-	if err != nil || asked.End <= asked.First {
+func (b *backfill) answer(to core.ControlID, requested auditRange) {
+	first, entries, err := b.archive.Batch(requested.First)
+	if err != nil || requested.End <= requested.First {
 		return // another instance may hold them
 	}
-	entries = entries[asked.First-first:]
+	entries = entries[requested.First-first:]
 	b.sendRange(to, auditEntriesTopic, auditRange{
-		First:   asked.First,
-		Entries: entries[:min(uint64(len(entries)), asked.End-asked.First)],
+		First:   requested.First,
+		Entries: entries[:min(uint64(len(entries)), requested.End-requested.First)],
 	})
 }
 
 // store appends received entries if they begin with the first missing one, and requests the next ones at once.
-func (b *backfill) store(from core.ControlID, got auditRange) {
+func (b *backfill) store(from core.ControlID, received auditRange) {
 	first, end := b.catalog.MissingAudit()
-	if got.First != first || len(got.Entries) == 0 || uint64(len(got.Entries)) > end-first {
+	if received.First != first || len(received.Entries) == 0 || uint64(len(received.Entries)) > end-first {
 		return
 	}
-	if err := b.archive.Append(first, got.Entries); err != nil {
+	if err := b.archive.Append(first, received.Entries); err != nil {
 		b.log.Error().Err(err).Msg("missing audit entries not stored") // a fault of the disk stops the instance at the next snapshot
 		return
 	}
--- a/io/control/moves.go
+++ b/io/control/moves.go
@@ -60,8 +60,8 @@
 		open[move.MoveID] = decider
 		decider.ObserveEndpoints(now, endpoints)
 		decider.ObserveLateness(m.source.EvidenceLateness(move.MoveID))
-		counted := lo.Filter(evidence, func(count core.EvidenceCount, _ int) bool { return count.Move == move.MoveID })
-		if step, due := decider.Decide(now, move, counted); due {
+		moveEvidence := lo.Filter(evidence, func(count core.EvidenceCount, _ int) bool { return count.Move == move.MoveID })
+		if step, due := decider.Decide(now, move, moveEvidence); due {
 			step.Evidence = m.withReporting(step)
 			m.propose(ctx, step)
 		}
--- a/io/control/voters.go
+++ b/io/control/voters.go
@@ -39,11 +39,11 @@
 		return
 	}
 	statuses := lo.Map(replica.Members(), func(m raft.Member, _ int) membership.MemberStatus { return p.memberStatus(now, replica, m) })
-	newcomers := lo.Map(replica.RecentNonMembers(now), func(i raftpeer.Introduction, _ int) membership.Newcomer {
+	newcomers := lo.Map(replica.RecentNonMembers(now), func(introduction raftpeer.Introduction, _ int) membership.Newcomer {
 		return membership.Newcomer{
-			Peer:       i.Peer,
-			Address:    i.Address,
-			DataCentre: i.DataCentre,
+			Peer:       introduction.Peer,
+			Address:    introduction.Address,
+			DataCentre: introduction.DataCentre,
 		}
 	})
 	change, due := membership.NextChange(now, p.settings.Voters, statuses, newcomers)
--- a/io/operatorhttp/client.go
+++ b/io/operatorhttp/client.go
@@ -262,8 +262,8 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		var failed *net.OpError
-		notSent := errors.As(err, &failed) && failed.Op == "dial"
+		var opError *net.OpError
+		notSent := errors.As(err, &opError) && opError.Op == "dial"
 		return !notSent, errors.Annotate(err, server)
 	}
 	defer response.Body.Close()
@@ -295,19 +295,19 @@
 
 // problemText returns the detail of an error answer, or the answer itself if it has another format.
 func problemText(content []byte) string {
-	var described struct {
+	var problem struct {
 		Detail string `json:"detail"`
 		Errors []struct {
 			Message  string `json:"message"`
 			Location string `json:"location"`
 		} `json:"errors"`
 	}
-	if err := json.Unmarshal(content, &described); err != nil || described.Detail == "" {
+	if err := json.Unmarshal(content, &problem); err != nil || problem.Detail == "" {
 		return strings.TrimSpace(string(content))
 	}
-	text := described.Detail
-	for _, each := range described.Errors {
-		text += "; " + strings.TrimSpace(each.Location+" "+each.Message)
+	text := problem.Detail
+	for _, fieldError := range problem.Errors {
+		text += "; " + strings.TrimSpace(fieldError.Location+" "+fieldError.Message)
 	}
 	return text
 }
--- a/io/operatorhttp/members.go
+++ b/io/operatorhttp/members.go
@@ -170,14 +170,14 @@
 	if err := s.checkLeader(); err != nil {
 		return nil, err
 	}
-	proposing, cancel := context.WithTimeout(ctx, proposeTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	if earlier, err := s.recordRequest(proposing, input); err != nil || earlier != nil {
+	if earlier, err := s.recordRequest(proposeCtx, input); err != nil || earlier != nil {
 		return earlier, err
 	}
 	term := s.options.Replicator.Status().Term
 	change := input.change()
-	switch err := s.options.Membership.Change(proposing, change); {
+	switch err := s.options.Membership.Change(proposeCtx, change); {
 	case errors.Is(err, raft.ErrTransient):
 		s.countError("membership-busy")
 		return nil, huma.Error503ServiceUnavailable(err.Error())
--- a/io/operatorhttp/operations.go
+++ b/io/operatorhttp/operations.go
@@ -191,7 +191,7 @@
 }
 
 func (s *Server) status(ctx context.Context, input *statusInput) (*output[Status], error) {
-	by := principalOf(ctx)
+	principal := principalOf(ctx)
 	if input.Nodes {
 		if err := s.checkAllRights(ctx); err != nil {
 			return nil, err
@@ -205,7 +205,7 @@
 		Current:   current,
 		Revision:  configuration.Revision(),
 		Hash:      fmt.Sprintf("%016x", uint64(configuration.Hash())),
-		OpenMoves: s.openMoves(by),
+		OpenMoves: s.openMoves(principal),
 		Fleet:     s.options.Fleet.Fleet(),
 		Replica:   s.options.Replicator.Status(),
 		Rules:     s.options.Catalog.Rules(),
@@ -214,7 +214,7 @@
 		status.Nodes = s.options.Fleet.Nodes()
 	}
 	return &output[Status]{
-		Body: status.restrictedTo(by, s.tenant),
+		Body: status.restrictedTo(principal, s.tenant),
 	}, nil
 }
 
--- a/io/operatorhttp/rate.go
+++ b/io/operatorhttp/rate.go
@@ -62,15 +62,15 @@
 // newQuotas returns all quotas by key. They are made at the start, so that there are no more quotas than tokens.
 func newQuotas(o Options) map[string]*quota {
 	quotas, maxConcurrent := make(map[string]*quota, len(o.Tokens)), maxConcurrentPerQuota(o.Tokens)
-	add := func(by catalog.Principal) {
+	add := func(principal catalog.Principal) {
 		q := &quota{
 			submissions: newTokenBucket(o.Submissions),
 			queries:     newTokenBucket(o.Queries),
 		}
-		if by.IsLimited() {
+		if principal.IsLimited() {
 			q.concurrent = make(chan struct{}, maxConcurrent)
 		}
-		quotas[quotaKey(by)] = q
+		quotas[quotaKey(principal)] = q
 	}
 	for _, token := range o.Tokens {
 		add(token.Principal)
@@ -91,33 +91,33 @@
 }
 
 // quotaKey returns the same key for all tokens of the same tenants, so that a second token does not double their quota.
-func quotaKey(by catalog.Principal) string {
-	if by.IsLimited() {
-		return "tenants " + by.Scope()
+func quotaKey(principal catalog.Principal) string {
+	if principal.IsLimited() {
+		return "tenants " + principal.Scope()
 	}
-	return "token " + by.Token
+	return "token " + principal.Token
 }
 
 // limitRate rejects requests above the quota before their bodies are read, so that a rejected request costs little.
 func (s *Server) limitRate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		by := principalOf(r.Context())
-		own := s.quotas[quotaKey(by)]
-		kind, requests := "submissions", own.submissions
+		principal := principalOf(r.Context())
+		limits := s.quotas[quotaKey(principal)]
+		kind, bucket := "submissions", limits.submissions
 		if r.Method == http.MethodGet || r.Method == http.MethodHead {
-			kind, requests = "queries", own.queries
+			kind, bucket = "queries", limits.queries
 		}
-		if own.concurrent != nil {
+		if limits.concurrent != nil {
 			select {
-			case own.concurrent <- struct{}{}:
-				defer func() { <-own.concurrent }()
+			case limits.concurrent <- struct{}{}:
+				defer func() { <-limits.concurrent }()
 			default:
-				s.refuseLimited(w, by, "at-once", time.Second, fmt.Sprintf("more than %d requests at the same time", cap(own.concurrent)))
+				s.refuseLimited(w, principal, "at-once", time.Second, fmt.Sprintf("more than %d requests at the same time", cap(limits.concurrent)))
 				return
 			}
 		}
-		if wait := requests.take(time.Now(), costOf(r)); wait > 0 {
-			s.refuseLimited(w, by, kind, wait, fmt.Sprintf("more than %v %s a second", requests.rate.PerSecond, kind))
+		if wait := bucket.take(time.Now(), costOf(r)); wait > 0 {
+			s.refuseLimited(w, principal, kind, wait, fmt.Sprintf("more than %v %s a second", bucket.rate.PerSecond, kind))
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -138,12 +138,12 @@
 }
 
 // refuseLimited answers with status 429. The text names the token and not its tenants, since operators know the token by its name.
-func (s *Server) refuseLimited(w http.ResponseWriter, by catalog.Principal, kind string, wait time.Duration, reason string) {
-	s.options.Metrics.GetOrCreateCounter(fmt.Sprintf("parsleyport_operator_limited_total{token=%q,kind=%q}", by.Token, kind)).Inc()
+func (s *Server) refuseLimited(w http.ResponseWriter, principal catalog.Principal, kind string, wait time.Duration, reason string) {
+	s.options.Metrics.GetOrCreateCounter(fmt.Sprintf("parsleyport_operator_limited_total{token=%q,kind=%q}", principal.Token, kind)).Inc()
 	seconds := int(math.Ceil(wait.Seconds()))
 	w.Header().Set("Retry-After", strconv.Itoa(seconds))
-	text := fmt.Sprintf("%s with token %q or others of the same tenants; nothing was changed, try again in %d s", reason, by.Token, seconds)
-	if !by.IsLimited() {
+	text := fmt.Sprintf("%s with token %q or others of the same tenants; nothing was changed, try again in %d s", reason, principal.Token, seconds)
+	if !principal.IsLimited() {
 		text = fmt.Sprintf("%s with one token; nothing was changed, try again in %d s", reason, seconds)
 	}
 	http.Error(w, text, http.StatusTooManyRequests)
--- a/io/operatorhttp/server.go
+++ b/io/operatorhttp/server.go
@@ -84,12 +84,12 @@
 	config.CreateHooks = nil                     // no schema links in answers
 	api := humago.New(mux, config)
 	s.register(api)
-	open := http.NewServeMux()
-	open.Handle("GET "+metricsPath, s.metrics())
-	open.Handle("GET "+readyPath, s.limitConcurrency(http.HandlerFunc(s.ready)))
-	open.Handle("GET "+statePath, s.limitConcurrency(s.requireAllRights(http.HandlerFunc(s.state))))
-	open.Handle("/", s.limitConcurrency(s.authenticate(s.limitRate(s.readWholeBody(mux)))))
-	return open
+	root := http.NewServeMux()
+	root.Handle("GET "+metricsPath, s.metrics())
+	root.Handle("GET "+readyPath, s.limitConcurrency(http.HandlerFunc(s.ready)))
+	root.Handle("GET "+statePath, s.limitConcurrency(s.requireAllRights(http.HandlerFunc(s.state))))
+	root.Handle("/", s.limitConcurrency(s.authenticate(s.limitRate(s.readWholeBody(mux)))))
+	return root
 }
 
 // readWholeBody reads the body before huma does: huma answers a truncated body with status 500, from which the client would conclude
@@ -143,14 +143,14 @@
 	gauge("parsleyport_moves_open", func() float64 { return float64(len(s.openMoves(catalog.Principal{}))) })
 }
 
-func (s *Server) openMoves(by catalog.Principal) []core.MoveID {
-	return lo.FilterMap(s.moves(by), func(m core.Move, _ int) (core.MoveID, bool) {
+func (s *Server) openMoves(principal catalog.Principal) []core.MoveID {
+	return lo.FilterMap(s.moves(principal), func(m core.Move, _ int) (core.MoveID, bool) {
 		return m.MoveID, !catalog.Ended(m.State)
 	})
 }
 
-func (s *Server) moves(by catalog.Principal) []core.Move {
-	return lo.Filter(s.options.Catalog.Moves(), func(m core.Move, _ int) bool { return by.CanAccess(s.tenant(m.Request.Service)) })
+func (s *Server) moves(principal catalog.Principal) []core.Move {
+	return lo.Filter(s.options.Catalog.Moves(), func(m core.Move, _ int) bool { return principal.CanAccess(s.tenant(m.Request.Service)) })
 }
 
 func (s *Server) tenant(service core.ServiceName) core.TenantID {
--- a/io/operatorhttp/tokens.go
+++ b/io/operatorhttp/tokens.go
@@ -60,10 +60,10 @@
 	if len(a.digests) == 0 {
 		return catalog.Principal{}, true
 	}
-	got := sha256.Sum256([]byte(secret))
+	digest := sha256.Sum256([]byte(secret))
 	found := -1
 	for i := range a.digests {
-		found = subtle.ConstantTimeSelect(subtle.ConstantTimeCompare(got[:], a.digests[i][:]), i, found)
+		found = subtle.ConstantTimeSelect(subtle.ConstantTimeCompare(digest[:], a.digests[i][:]), i, found)
 	}
 	if found < 0 {
 		return catalog.Principal{}, false
@@ -78,32 +78,32 @@
 type principalKey struct{}
 
 func principalOf(ctx context.Context) catalog.Principal {
-	by, authorized := ctx.Value(principalKey{}).(catalog.Principal)
+	principal, authorized := ctx.Value(principalKey{}).(catalog.Principal)
 	if !authorized {
 		panic("request without a principal") // the zero principal would have all rights
 	}
-	return by
+	return principal
 }
 
 // commandPrincipal returns the principal of a command with the limits for deciding it.
 func (s *Server) commandPrincipal(ctx context.Context) catalog.Principal {
-	by := principalOf(ctx)
+	principal := principalOf(ctx)
 	if s.options.Limits != nil {
-		by.Limits = s.options.Limits()
+		principal.Limits = s.options.Limits()
 	}
-	return by
+	return principal
 }
 
 func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		by, exists := s.authenticator.authenticate(token)
+		principal, exists := s.authenticator.authenticate(token)
 		if !exists {
 			s.countError("unauthorized")
 			http.Error(w, "the operators' token is missing or wrong", http.StatusUnauthorized)
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), principalKey{}, by)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), principalKey{}, principal)))
 	})
 }
 
@@ -131,18 +131,18 @@
 
 // restrictedTo returns the status that a limited token may see: what concerns its services, and what is needed to tell when a change of
 // them is in force.
-func (s Status) restrictedTo(by catalog.Principal, tenant func(core.ServiceName) core.TenantID) Status {
-	if !by.IsLimited() {
+func (s Status) restrictedTo(principal catalog.Principal, tenant func(core.ServiceName) core.TenantID) Status {
+	if !principal.IsLimited() {
 		return s
 	}
 	endpoints := make(map[core.ServiceName]int)
 	for service, count := range s.Fleet.Endpoints {
-		if by.CanAccess(tenant(service)) {
+		if principal.CanAccess(tenant(service)) {
 			endpoints[service] = count
 		}
 	}
 	return Status{
-		Tenants:   by.Tenants,
+		Tenants:   principal.Tenants,
 		Current:   s.Current,
 		Revision:  s.Revision,
 		OpenMoves: s.OpenMoves, // already only those of its tenants
--- a/io/settings/control.go
+++ b/io/settings/control.go
@@ -63,7 +63,7 @@
 		file:   file,
 		source: source,
 	}
-	top, ok := r.open()
+	top, ok := r.parse()
 	if !ok {
 		return Control{}, r.err()
 	}
@@ -75,7 +75,7 @@
 		PeerAddress:     self.PeerAddress,
 		NodeAddress:     self.NodeAddress,
 		DataFolder:      top.text("data-folder", "path of a folder", notEmpty),
-		Bootstrap:       top.flag("bootstrap"),
+		Bootstrap:       top.boolean("bootstrap"),
 		TokenFile:       top.optionalText("token-file", "path of a file, or empty", "", func(string) bool { return true }),
 		Limits:          readLimits(top),
 		LogLevel:        top.logLevel("log-level"),
@@ -84,7 +84,7 @@
 	control.Members = readMembers(r, elements)
 	checkMembers(top, control.Members)
 	checkSelf(top, self, control.Members)
-	top.finish()
+	top.rejectUnknownKeys()
 	if err := r.err(); err != nil {
 		return Control{}, err
 	}
@@ -99,7 +99,7 @@
 		PeerAddress:     o.address("peer-address"),
 		NodeAddress:     o.address("node-address"),
 	}
-	o.distinct(memberAddressKeys, member.addresses())
+	o.checkDistinct(memberAddressKeys, member.addresses())
 	return member
 }
 
@@ -117,7 +117,7 @@
 			continue
 		}
 		member := readMember(o)
-		o.finish()
+		o.rejectUnknownKeys()
 		if first, exists := ids[member.ID]; exists && member.ID != "" {
 			o.fault("id", "an id that is unique", fmt.Sprintf("%q as in %s", member.ID, first))
 		}
--- a/io/settings/limits.go
+++ b/io/settings/limits.go
@@ -47,7 +47,7 @@
 	}
 	if value, exists := top.take("limits"); exists {
 		parsed, ok := top.reader.object(element{
-			path:  top.key("limits"),
+			path:  top.keyPath("limits"),
 			line:  top.lineOf("limits"),
 			value: value,
 		})
@@ -57,22 +57,22 @@
 		o = parsed
 	}
 	limits := Limits{
-		SubmissionsPerSecond:  o.number("submissions-per-second", 1, maxRate, 20),
-		SubmissionsBurst:      o.number("submissions-burst", minBurst, maxRate, 200),
-		QueriesPerSecond:      o.number("queries-per-second", 1, maxRate, 100),
-		QueriesBurst:          o.number("queries-burst", minBurst, maxRate, 500),
-		TenantSubmissions:     o.number("tenant-submissions-per-day", 1, maxCount, 10_000),
-		TenantSubmissionBytes: o.number("tenant-submission-bytes-per-day", minSubmissionBytes, maxSubmissionBytes, 16<<20),
-		TenantRecords:         o.number("tenant-records", 1, maxCount, 5_000),
-		TenantRecordBytes:     o.number("tenant-record-bytes", 1, maxRecordBytes, 3<<20),
-		TenantDeletedNames:    o.number("tenant-deleted-names", 1, maxCount, 50_000),
+		SubmissionsPerSecond:  o.integer("submissions-per-second", 1, maxRate, 20),
+		SubmissionsBurst:      o.integer("submissions-burst", minBurst, maxRate, 200),
+		QueriesPerSecond:      o.integer("queries-per-second", 1, maxRate, 100),
+		QueriesBurst:          o.integer("queries-burst", minBurst, maxRate, 500),
+		TenantSubmissions:     o.integer("tenant-submissions-per-day", 1, maxCount, 10_000),
+		TenantSubmissionBytes: o.integer("tenant-submission-bytes-per-day", minSubmissionBytes, maxSubmissionBytes, 16<<20),
+		TenantRecords:         o.integer("tenant-records", 1, maxCount, 5_000),
+		TenantRecordBytes:     o.integer("tenant-record-bytes", 1, maxRecordBytes, 3<<20),
+		TenantDeletedNames:    o.integer("tenant-deleted-names", 1, maxCount, 50_000),
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 	return limits
 }
 
 // number reads an optional integer.
-func (o *object) number(name string, lowest, highest, defaultValue int) int {
+func (o *object) integer(name string, lowest, highest, defaultValue int) int {
 	value, exists := o.take(name)
 	if !exists {
 		return defaultValue
--- a/io/settings/node.go
+++ b/io/settings/node.go
@@ -40,7 +40,7 @@
 		file:   file,
 		source: source,
 	}
-	top, ok := r.open()
+	top, ok := r.parse()
 	if !ok {
 		return Node{}, r.err()
 	}
@@ -55,12 +55,12 @@
 		LogLevel:       top.logLevel("log-level"),
 	}
 	node.ControlAddresses = readAddresses(r, top.list("control-addresses", "list of the node addresses of control instances"))
-	own := []string{node.CallerAddress, node.PeerAddress, node.RelayAddress, node.BackendAddress, node.AdminAddress}
-	top.distinct(nodeAddressKeys, own)
-	for _, address := range lo.Intersect(node.ControlAddresses, own) {
+	ownAddresses := []string{node.CallerAddress, node.PeerAddress, node.RelayAddress, node.BackendAddress, node.AdminAddress}
+	top.checkDistinct(nodeAddressKeys, ownAddresses)
+	for _, address := range lo.Intersect(node.ControlAddresses, ownAddresses) {
 		top.fault("control-addresses", "addresses of control instances", address+", which is this node's own")
 	}
-	top.finish()
+	top.rejectUnknownKeys()
 	if err := r.err(); err != nil {
 		return Node{}, err
 	}
--- a/io/settings/reader.go
+++ b/io/settings/reader.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	expectedName    = "1 to 128 lower-case letters, digits, dots and hyphens"
-	expectedAddress = "IP number and port such as 127.0.0.1:7101"
-	expectedLevel   = "trace, debug, info, warn or error"
+	expectedName     = "1 to 128 lower-case letters, digits, dots and hyphens"
+	expectedAddress  = "IP number and port such as 127.0.0.1:7101"
+	expectedLogLevel = "trace, debug, info, warn or error"
 )
 
-var levels = []string{"trace", "debug", "info", "warn", "error"}
+var logLevels = []string{"trace", "debug", "info", "warn", "error"}
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
@@ -82,7 +82,7 @@
 }
 
 // open parses the file and returns its top-level object, or false and one fault if the file cannot be used.
-func (r *reader) open() (*object, bool) {
+func (r *reader) parse() (*object, bool) {
 	if len(r.source) > maxFileBytes {
 		r.fault(1, "", fmt.Sprintf("at most %d bytes", maxFileBytes), "a longer file")
 		return nil, false
@@ -140,7 +140,7 @@
 	for _, member := range parsed.Members {
 		key := member.Name.Value.(hujson.Literal).String()
 		if _, exists := o.values[key]; exists {
-			r.fault(r.line(member.Name), o.key(key), "each key once", "a second one")
+			r.fault(r.line(member.Name), o.keyPath(key), "each key once", "a second one")
 			continue
 		}
 		o.values[key] = member.Value
@@ -149,7 +149,7 @@
 	return o, true
 }
 
-func (o *object) key(name string) string {
+func (o *object) keyPath(name string) string {
 	if o.path == "" {
 		return name
 	}
@@ -165,7 +165,7 @@
 }
 
 func (o *object) fault(name, expected, found string) {
-	o.reader.fault(o.lineOf(name), o.key(name), expected, found)
+	o.reader.fault(o.lineOf(name), o.keyPath(name), expected, found)
 }
 
 func (o *object) take(name string) (hujson.Value, bool) {
@@ -176,7 +176,7 @@
 }
 
 // finish reports the keys that were not read as unknown.
-func (o *object) finish() {
+func (o *object) rejectUnknownKeys() {
 	names := lo.Keys(o.values)
 	sort.Strings(names)
 	for _, name := range names {
@@ -216,7 +216,7 @@
 	return o.text(key, expectedAddress, isAddress)
 }
 
-func (o *object) flag(name string) bool {
+func (o *object) boolean(name string) bool {
 	value, exists := o.take(name)
 	if !exists {
 		return false
@@ -230,8 +230,8 @@
 }
 
 func (o *object) logLevel(name string) zerolog.Level {
-	text := o.optionalText(name, expectedLevel, "info", func(text string) bool {
-		return slices.Contains(levels, text)
+	text := o.optionalText(name, expectedLogLevel, "info", func(text string) bool {
+		return slices.Contains(logLevels, text)
 	})
 	level, err := zerolog.ParseLevel(text)
 	if err != nil {
@@ -253,7 +253,7 @@
 	}
 	return lo.Map(array.Elements, func(each hujson.Value, i int) element {
 		return element{
-			path:  fmt.Sprintf("%s[%d]", o.key(name), i),
+			path:  fmt.Sprintf("%s[%d]", o.keyPath(name), i),
 			line:  o.reader.line(each),
 			value: each,
 		}
@@ -261,7 +261,7 @@
 }
 
 // distinct reports addresses that occur at more than one of the keys.
-func (o *object) distinct(keys []string, values []string) {
+func (o *object) checkDistinct(keys []string, values []string) {
 	for i, value := range values {
 		first := slices.Index(values, value)
 		if value != "" && first < i {
--- a/io/settings/tokens.go
+++ b/io/settings/tokens.go
@@ -69,7 +69,7 @@
 		r.fault(line, "", "JSON with comments", "")
 		return nil, r.err()
 	}
-	top, ok := r.open()
+	top, ok := r.parse()
 	if !ok {
 		return nil, r.err()
 	}
@@ -77,7 +77,7 @@
 	if len(tokens) > maxTokens {
 		top.fault("tokens", fmt.Sprintf("at most %d tokens", maxTokens), fmt.Sprint(len(tokens)))
 	}
-	top.finish()
+	top.rejectUnknownKeys()
 	if err := r.err(); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 			Secret:  o.secret("secret"),
 			Tenants: readTenants(r, o),
 		}
-		o.finish()
+		o.rejectUnknownKeys()
 		for _, other := range tokens {
 			if other.Name == token.Name && token.Name != "" {
 				o.fault("name", "a name that is unique", fmt.Sprintf("%q again", token.Name))
@@ -127,7 +127,7 @@
 
 // readTenants reads the tenants of a token. All rights have to be stated, so that a forgotten list of tenants does not grant them.
 func readTenants(r *reader, o *object) []core.TenantID {
-	allRights := o.flag("all-rights")
+	allRights := o.boolean("all-rights")
 	if _, exists := o.values["tenants"]; !exists {
 		o.known = append(o.known, "tenants")
 		if !allRights {
