--- a/io/cli/limits_test.go
+++ b/io/cli/limits_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a rate limit that is reported as an unknown outcome or as a stored verdict.
-func TestLimitsAreShown(t *testing.T) {
+// Guards against a refusal by a rate limit or by a limit of a tenant that a script takes for an unknown outcome or a stored verdict.
+func TestExitStatusesOfLimits(t *testing.T) {
 	f := newFixture(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
--- a/io/cli/operator.go
+++ b/io/cli/operator.go
@@ -31,7 +31,7 @@
 	}
 	for i, submission := range submissions {
 		verdict, err := request(ctx, o, func(ctx context.Context) (catalog.Verdict, error) { return client.Submit(ctx, submission) })
-		if status := p.verdict(o, verdict, derived[i], err); status != StatusOK {
+		if status := p.printVerdict(o, verdict, derived[i], err); status != StatusOK {
 			return status
 		}
 	}
@@ -79,7 +79,7 @@
 		fmt.Fprintf(p.stderr, "To resend this move after a lost answer, use --submission-id %s --by %s in the same command.\n", move.ID, move.Deadline.Format(time.RFC3339Nano))
 	}
 	verdict, err := request(ctx, o, func(ctx context.Context) (catalog.Verdict, error) { return client.Move(ctx, move) })
-	status := p.verdict(o, verdict, o.submissionID == "", err)
+	status := p.printVerdict(o, verdict, o.submissionID == "", err)
 	if status != StatusOK || !o.wait {
 		return status
 	}
@@ -101,7 +101,7 @@
 		abort.ID = id
 	}
 	verdict, err := request(ctx, o, func(ctx context.Context) (catalog.Verdict, error) { return client.Abort(ctx, abort) })
-	return p.verdict(o, verdict, o.submissionID == "", err)
+	return p.printVerdict(o, verdict, o.submissionID == "", err)
 }
 
 // request applies --timeout to one request only, so that --wait may take longer.
@@ -111,7 +111,7 @@
 	return send(ctx)
 }
 
-func (p *program) verdict(o options, verdict catalog.Verdict, derived bool, err error) int {
+func (p *program) printVerdict(o options, verdict catalog.Verdict, derived bool, err error) int {
 	if err != nil {
 		return p.failRequest(err)
 	}
@@ -160,10 +160,10 @@
 	if err != nil {
 		return p.failRequest(err)
 	}
-	waiting := lo.FilterMap(moves, func(m core.Move, _ int) (core.MoveID, bool) {
+	awaitedIDs := lo.FilterMap(moves, func(m core.Move, _ int) (core.MoveID, bool) {
 		return m.MoveID, o.moveID != "" || !catalog.Ended(m.State)
 	})
-	isAwaited := func(m core.Move) bool { return lo.Contains(waiting, m.MoveID) }
+	isAwaited := func(m core.Move) bool { return lo.Contains(awaitedIDs, m.MoveID) }
 	for o.wait && lo.SomeBy(moves, func(m core.Move) bool { return isAwaited(m) && !catalog.Ended(m.State) }) {
 		select {
 		case <-ctx.Done():
--- a/io/cli/options.go
+++ b/io/cli/options.go
@@ -151,7 +151,7 @@
 func addSubmissionCommands(app *kingpin.Application, r *rawOptions) {
 	apply := app.Command(commandApply, "Submit record files, each as one submission, up to the first that is refused.\n\nExample: parsleyport apply --server 127.0.0.1:7101 orders.jsonc")
 	apply.Arg("file", "Record file, JSON with comments.").Required().StringsVar(&r.files)
-	addOperator(apply, r, derivedIDHelp)
+	addOperatorFlags(apply, r, derivedIDHelp)
 
 	move := app.Command(commandMove, "Move a service's traffic from one upstream to another.\n\nExample: parsleyport move --server 127.0.0.1:7101 --operator amina --service orders --from orders-v1 --to orders-v2 --by 10m")
 	move.Flag("service", "Service whose traffic moves.").Required().StringVar((*string)(&r.service))
@@ -160,14 +160,14 @@
 	move.Flag("by", "Time by which all traffic must have moved: 2026-12-04T10:00:00Z, or 10m for a duration from now.").Required().StringVar(&r.by)
 	move.Flag("max-risk", "Largest share of traffic at risk before the evidence suffices, per mille; 0 for the default of 15.").Uint32Var(&r.maxRisk)
 	move.Flag("wait", "Wait until the move has ended; exit status 1 unless it is done.").BoolVar(&r.wait)
-	addOperator(move, r, derivedIDHelp)
+	addOperatorFlags(move, r, derivedIDHelp)
 
 	abort := app.Command(commandAbort, "Take an open move back.\n\nExample: parsleyport abort --server 127.0.0.1:7101 --operator amina m3")
 	abort.Arg("move-id", "Move to take back.").Required().StringVar((*string)(&r.moveID))
-	addOperator(abort, r, derivedIDHelp)
+	addOperatorFlags(abort, r, derivedIDHelp)
 
 	for _, command := range []*kingpin.CmdClause{apply, move, abort} {
-		addRemote(command, r)
+		addServerFlags(command, r)
 	}
 }
 
@@ -193,13 +193,13 @@
 	audit.Flag("before", "Only entries before this number, as printed by a command that reached its limit.").Uint64Var(&r.before)
 
 	for _, command := range []*kingpin.CmdClause{moves, status, records, audit} {
-		addRemote(command, r)
+		addServerFlags(command, r)
 	}
 }
 
 func addMemberCommands(app *kingpin.Application, r *rawOptions) {
 	members := app.Command(commandMembers, "List the control instances, or change which of them are members.\n\nAfter the loss of a disk: members replace ID makes the instance with the new disk a learner and takes the vote from the old identity; members promote ID gives the learner its vote once it has caught up. Until then, one instance fewer may fail.")
-	addRemote(members, r)
+	addServerFlags(members, r)
 	members.Command("list", "List voters, learners, and instances that have introduced themselves without being members; say which changes are missing. The default.\n\nExample: parsleyport members --server 127.0.0.1:7101").Default()
 	for _, subcommand := range []struct{ name, help string }{
 		{"replace", "Replace a member that lost its disk by the instance of the same name that has introduced itself."},
@@ -208,7 +208,7 @@
 		{"remove", "Remove a voter or a learner."},
 	} {
 		change := members.Command(subcommand.name, subcommand.help+"\n\nExample: parsleyport members "+subcommand.name+" --server 127.0.0.1:7101 c2")
-		addOperator(change, r, "new for each run")
+		addOperatorFlags(change, r, "new for each run")
 		change.Arg("id", "Control instance as in the settings.").Required().StringVar((*string)(&r.member))
 	}
 }
@@ -221,30 +221,30 @@
 	check.Arg("file", "Settings or record file, JSON with comments.").Required().StringsVar(&r.files)
 	check.Flag("as", "Kind of the files; auto detects it from their keys.").Default(kindAuto).EnumVar(&r.as, kindAuto, kindControl, kindNode, kindRecords)
 	check.Flag("complete", "The record files together hold all records: also check the references between them.").BoolVar(&r.complete)
-	addOutput(check, r)
+	addOutputFlag(check, r)
 
 	explain := app.Command(commandExplain, "Show the log lines of a call from several processes, and the cause of its outcome. The exit status is 1 if no line names the call.\n\nExample: parsleyport explain b64a36d3cf29b8f6 node.log node-2.log")
 	explain.Arg("id", "Id of the call, as in the header of its answer.").Required().StringVar(&r.callID)
 	explain.Arg("log", "Log of a process, one JSON object a line.").Required().ExistingFilesVar(&r.files)
-	addOutput(explain, r)
+	addOutputFlag(explain, r)
 
 	app.Command(commandVersion, "Print the version from the build information.\n\nExample: parsleyport version")
 }
 
-// addOperator adds --operator and --submission-id; defaultID describes the submission id that is used if none is given.
-func addOperator(command *kingpin.CmdClause, r *rawOptions, defaultID string) {
+// addOperatorFlags adds --operator and --submission-id; defaultID describes the submission id that is used if none is given.
+func addOperatorFlags(command *kingpin.CmdClause, r *rawOptions, defaultID string) {
 	command.Flag("operator", "Operator who submits. By default the one that the record file names, or that of "+operatorVariable+" in the environment.").StringVar((*string)(&r.operator))
 	command.Flag("submission-id", "Id by which a resend is recognised; "+defaultID+" if none is given.").StringVar((*string)(&r.submissionID))
 }
 
-func addRemote(command *kingpin.CmdClause, r *rawOptions) {
+func addServerFlags(command *kingpin.CmdClause, r *rawOptions) {
 	command.Flag("server", "Operator address of a control instance; may be repeated. By default the addresses in "+serversVariable+", separated by commas.").StringsVar(&r.servers)
 	command.Flag("token-file", "File with the operators' token.").StringVar(&r.tokenFile)
 	command.Flag("timeout", "How long a request is retried until it is answered.").Default(defaultTimeout.String()).DurationVar(&r.timeout)
-	addOutput(command, r)
+	addOutputFlag(command, r)
 }
 
-func addOutput(command *kingpin.CmdClause, r *rawOptions) {
+func addOutputFlag(command *kingpin.CmdClause, r *rawOptions) {
 	command.Flag("output", "Output format: text or json.").Default("text").EnumVar(&r.output, "text", "json")
 }
 
--- a/io/control/audit.go
+++ b/io/control/audit.go
@@ -21,10 +21,10 @@
 	auditRequestTopic = "audit-request"
 	auditEntriesTopic = "audit-entries"
 	backfillInterval  = time.Second // an unanswered request goes to the next instance
-	backfillCapacity  = 16
+	backfillCapacity  = 16          // messages
 )
 
-// auditRange asks for entries of the audit trail, or carries them from First on.
+// auditRange asks for the entries of the audit trail from First up to and without End, or carries entries from First on.
 type auditRange struct {
 	First   uint64   `msgpack:"first"`
 	End     uint64   `msgpack:"end"`
@@ -113,7 +113,7 @@
 func (b *backfill) answer(to core.ControlID, requested auditRange) {
 	first, entries, err := b.archive.Batch(requested.First)
 	if err != nil || requested.End <= requested.First {
-		return // another instance may hold them
+		return // another instance may hold the entries
 	}
 	entries = entries[requested.First-first:]
 	b.sendRange(to, auditEntriesTopic, auditRange{
--- a/io/control/operators.go
+++ b/io/control/operators.go
@@ -68,7 +68,8 @@
 	return server, nil
 }
 
-// tenantLimits returns a function that returns no limits until the rules in force know them.
+// tenantLimits returns a function that returns the limits for new commands, or nil until catalog.LimitRules are in force: before that,
+// a member may run a program that does not know limits and would decide the same command differently.
 func (p *process) tenantLimits(records *catalog.Catalog) func() *catalog.Limits {
 	limits := &catalog.Limits{
 		Submissions:  p.settings.Limits.TenantSubmissions,
--- a/io/control/voters.go
+++ b/io/control/voters.go
@@ -21,7 +21,7 @@
 	changeTimeout = time.Second
 )
 
-// startVoterMaintenance starts the background task that maintains the number of voters in the settings, without an operator.
+// startVoterMaintenance starts the background task that keeps as many voters as the settings state, without an operator.
 func (p *process) startVoterMaintenance(injector do.Injector) {
 	if p.settings.Voters == 0 {
 		return
--- a/io/operatorhttp/api.go
+++ b/io/operatorhttp/api.go
@@ -10,9 +10,9 @@
 // Limits of the API.
 const (
 	proposeTimeout    = 4 * time.Second         // shorter than the client's attemptTimeout, so that the client receives the reason
-	recordTimeout     = 1500 * time.Millisecond // of an audit entry about a membership change; the result is recorded after proposeTimeout
+	recordTimeout     = 1500 * time.Millisecond // of an audit entry about a membership change; that of the result may follow a whole proposeTimeout
 	confirmTimeout    = 4 * time.Second
-	statusTimeout     = time.Second // short, because status is also asked for without a leader
+	statusTimeout     = time.Second // short, because the status must also be answered without a leader, when no read is confirmed
 	headerTimeout     = 5 * time.Second
 	bodyTimeout       = 30 * time.Second
 	answerTimeout     = time.Minute // from the end of the request header
@@ -27,9 +27,9 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// Costs of requests against the rate limits, in requests. They keep one tenant from using up the capacity of the others.
+// Costs of requests in a token bucket, where an ordinary request costs 1. They keep one tenant from using up the capacity of the others.
 const (
-	bytesPerCost = 256 << 10 // of a body cost as much as one more request
+	bytesPerCost = 256 << 10 // so many bytes of a body add 1 to the cost
 	// AuditCost is the cost of a query of the audit trail.
 	AuditCost = 10
 	// MaxCost is the highest cost of a request.
--- a/io/operatorhttp/dump_test.go
+++ b/io/operatorhttp/dump_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a control instance that reports itself ready without a leader, and against a dump or a metrics page that
 // lacks what a fault report needs.
-func TestMonitoringOfAControlInstance(t *testing.T) {
+func TestReadinessMetricsAndStateDump(t *testing.T) {
 	c := qt.New(t)
 	replicator := &fakeReplicator{membership: &fakeMembership{members: []raft.Member{voter("c1")}}}
 	f := start(c, "", replicator)
--- a/io/operatorhttp/members_test.go
+++ b/io/operatorhttp/members_test.go
@@ -91,7 +91,7 @@
 }
 
 // Guards against a list from an instance that lost its disk and knows no members, and against a list that hides a missing leader.
-func TestMembersAreListedByAMember(t *testing.T) {
+func TestOnlyMembersListTheMembership(t *testing.T) {
 	c := qt.New(t)
 	nonMember := start(c, "", &fakeReplicator{membership: &fakeMembership{}})
 	_, err := nonMember.client.Members(withTimeout(c, 300*time.Millisecond))
--- a/io/operatorhttp/operations.go
+++ b/io/operatorhttp/operations.go
@@ -99,7 +99,7 @@
 	return s.propose(ctx, catalog.ActionAbort, input.Body.Operator, command, err)
 }
 
-// propose proposes a command, or returns the error of its encoder as a malformed request.
+// propose proposes an encoded command and returns its verdict. If the command could not be encoded, err is answered with status 422.
 func (s *Server) propose(ctx context.Context, action catalog.Action, operator core.Operator, command []byte, err error) (*verdictOutput, error) {
 	if err == nil {
 		command, err = catalog.WithPrincipal(command, s.commandPrincipal(ctx))
--- a/io/operatorhttp/operatorhttp_test.go
+++ b/io/operatorhttp/operatorhttp_test.go
@@ -207,7 +207,7 @@
 }
 
 // Guards against a malformed or truncated request that reaches the log.
-func TestBadRequestsChangeNothing(t *testing.T) {
+func TestMalformedRequestsAreNotProposed(t *testing.T) {
 	c := qt.New(t)
 	f := start(c, "", &fakeReplicator{})
 	for _, s := range []core.Submission{
@@ -275,7 +275,7 @@
 }
 
 // Guards against moves and audit filters that are encoded or decoded wrongly.
-func TestMovesAndAudit(t *testing.T) {
+func TestMovesAndAuditFiltersRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	f := start(c, "", &fakeReplicator{})
 	ctx := withTimeout(c, 20*time.Second)
@@ -308,7 +308,7 @@
 }
 
 // Guards against requests without the token that are accepted, and against metrics that need a token although no token is limited.
-func TestToken(t *testing.T) {
+func TestRequestsNeedTheToken(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "token")
 	c.Assert(os.WriteFile(path, []byte(" secret\n"), 0o600), qt.IsNil)
@@ -337,7 +337,7 @@
 }
 
 // Guards against clients that exhaust a control instance with concurrent requests.
-func TestRequestsAtTheSameTimeAreBounded(t *testing.T) {
+func TestConcurrentRequestsAreLimited(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
 	f := start(c, "", &fakeReplicator{
--- a/io/operatorhttp/rate.go
+++ b/io/operatorhttp/rate.go
@@ -16,14 +16,14 @@
 // Rate limits requests; PerSecond zero means no limit.
 type Rate struct {
 	PerSecond float64
-	Burst     int // requests at once after a pause; requests of a cost above Burst are never admitted, so it must be at least MaxCost
+	Burst     int // cost of the requests that are admitted at once after a pause; at least MaxCost, or longer requests are never admitted
 }
 
 // tokenBucket limits the rate of requests.
 type tokenBucket struct {
 	rate      Rate
 	mu        sync.Mutex
-	tokens    float64 // cost of the requests that are admitted now
+	tokens    float64 // cost that could be admitted at once at updatedAt
 	updatedAt time.Time
 }
 
@@ -124,8 +124,8 @@
 	})
 }
 
-// costOf returns the cost of a request in requests. A query of the audit trail may read ten files, and the command of a long body may
-// be written to the leader's disk even if it is refused. A body of unknown length costs as much as the longest one.
+// costOf returns the cost of a request. It is 1 but for a query of the audit trail, which may read ten files, and for a long body, whose
+// command may be written to the leader's disk even if it is refused. A body of unknown length costs as much as the longest one.
 func costOf(r *http.Request) float64 {
 	if r.URL.Path == auditPath {
 		return AuditCost
--- a/io/settings/limits.go
+++ b/io/settings/limits.go
@@ -21,12 +21,13 @@
 	TenantDeletedNames    int
 }
 
-// Lowest and highest values. maxRecordBytes leaves room for the names in the single frame with which a node receives all records.
+// Lowest and highest values of limits. maxRecordBytes leaves room for the names in the single frame with which a node receives all
+// records.
 const (
 	maxRate            = 10_000
 	minBurst           = 20 // a submission of 4 MiB costs as much as 17 requests, and a query of the audit trail as much as 10
 	maxCount           = 1_000_000
-	minSubmissionBytes = 4 << 20 // of one submission
+	minSubmissionBytes = 4 << 20 // the longest submission, which a lower limit would never admit
 	maxSubmissionBytes = 1 << 30
 	maxRecordBytes     = 12 << 20
 )
@@ -71,7 +72,7 @@
 	return limits
 }
 
-// number reads an optional integer.
+// integer reads an optional integer.
 func (o *object) integer(name string, lowest, highest, defaultValue int) int {
 	value, exists := o.take(name)
 	if !exists {
--- a/io/settings/reader.go
+++ b/io/settings/reader.go
@@ -25,7 +25,7 @@
 
 const (
 	expectedName     = "1 to 128 lower-case letters, digits, dots and hyphens"
-	expectedAddress  = "IP number and port such as 127.0.0.1:7101"
+	expectedAddress  = "an IP address and port such as 127.0.0.1:7101"
 	expectedLogLevel = "trace, debug, info, warn or error"
 )
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// open parses the file and returns its top-level object, or false and one fault if the file cannot be used.
+// parse parses the file and returns its top-level object, or false and one fault if the file cannot be used.
 func (r *reader) parse() (*object, bool) {
 	if len(r.source) > maxFileBytes {
 		r.fault(1, "", fmt.Sprintf("at most %d bytes", maxFileBytes), "a longer file")
@@ -175,7 +175,7 @@
 	return value, exists
 }
 
-// finish reports the keys that were not read as unknown.
+// rejectUnknownKeys reports the keys that were not read.
 func (o *object) rejectUnknownKeys() {
 	names := lo.Keys(o.values)
 	sort.Strings(names)
@@ -260,7 +260,7 @@
 	})
 }
 
-// distinct reports addresses that occur at more than one of the keys.
+// checkDistinct reports addresses that occur at more than one of the keys.
 func (o *object) checkDistinct(keys []string, values []string) {
 	for i, value := range values {
 		first := slices.Index(values, value)
@@ -293,8 +293,8 @@
 	return text
 }
 
-// isAddress reports whether a text is an IP address with a port. An unspecified IP address is refused, because other processes dial
-// the addresses in a settings file.
+// isAddress reports whether a text is an IP address and port. An unspecified IP address is refused, because other processes dial the
+// addresses in a settings file.
 func isAddress(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() != 0 && !address.Addr().IsUnspecified() && !address.Addr().IsMulticast()
--- a/standin/outside/backend.go
+++ b/standin/outside/backend.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	announcementTimeout       = time.Second // until the node has acknowledged one announcement
+	announcementTimeout       = time.Second // of one announcement and its acknowledgement
 	announcementRetryInterval = 100 * time.Millisecond
-	leaveTimeout              = 2 * time.Second // until the node has acknowledged that the server leaves
+	leaveTimeout              = 2 * time.Second // for the acknowledgement that the server leaves
 	drainTimeout              = 10 * time.Second
 	maxLogLineBytes           = 1 << 20
 	checksumHeader            = "Standin-Checksum"
@@ -238,7 +238,7 @@
 	b.answer(w, r, faulty && current.CutAnswer)
 }
 
-// callNested makes the nested call of a run, with the time that the run has left as its deadline.
+// callNested makes the nested call of a run, with the deadline header of the run's request.
 func (b *backendServer) callNested(r *http.Request) error {
 	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+b.options.nestedNode+b.options.nestedPath, nil)
 	if err != nil {
--- a/standin/outside/faults.go
+++ b/standin/outside/faults.go
@@ -14,7 +14,7 @@
 	FailPerMille  int    `json:"fail-per-mille"`  // share of runs answered with status 500
 	SlowMS        int    `json:"slow-ms"`         // added to each run
 	PathPrefix    string `json:"path-prefix"`     // only requests with this path prefix are affected
-	AboveLoad     int    `json:"above-load"`      // only requests are affected that exceed this number of concurrent runs
+	AboveLoad     int    `json:"above-load"`      // only requests beyond this number of concurrent runs are affected
 	CrashOnHeader bool   `json:"crash-on-header"` // a request with the header Standin-Crash makes the process exit
 	Silent        bool   `json:"silent"`          // runs never answer but keep their connections open
 	CutAnswer     bool   `json:"cut-answer"`      // answers end after half of their body
@@ -26,13 +26,13 @@
 	current faults
 }
 
-func (s *faultHandler) get() faults {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.current
+func (h *faultHandler) get() faults {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.current
 }
 
-func (s *faultHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *faultHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var next faults
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -40,9 +40,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.current = next
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.current = next
 	w.WriteHeader(http.StatusNoContent)
 }
 
