--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -170,9 +170,9 @@
 }
 
 func (d *deployment) startNode(i int) {
-	var control []string
+	var controlAddresses []string
 	for m := 1; m <= controls; m++ {
-		control = append(control, d.address(fmt.Sprintf("c%d-node", m)))
+		controlAddresses = append(controlAddresses, d.address(fmt.Sprintf("c%d-node", m)))
 	}
 	name := fmt.Sprintf("n%d", i)
 	d.start(name, programs.parsleyport, "node", "--settings", d.writeSettings(name, map[string]any{
@@ -183,7 +183,7 @@
 		"relay-address":     d.address(name + "-relay"),
 		"backend-address":   d.address(name + "-backend"),
 		"admin-address":     d.address(name + "-admin"),
-		"control-addresses": control,
+		"control-addresses": controlAddresses,
 	}))
 }
 
--- a/io/cli/cli_test.go
+++ b/io/cli/cli_test.go
@@ -344,12 +344,12 @@
 func TestCompletion(t *testing.T) {
 	f := newFixture(t)
 	printed := func(args ...string) string {
-		own, err := os.Create(filepath.Join(f.folder, "stdout")) // kingpin writes completions to os.Stdout
+		stdoutFile, err := os.Create(filepath.Join(f.folder, "stdout")) // kingpin writes completions to os.Stdout
 		f.c.Assert(err, qt.IsNil)
-		defer own.Close()
-		f.c.Patch(&os.Stdout, own)
+		defer stdoutFile.Close()
+		f.c.Patch(&os.Stdout, stdoutFile)
 		f.c.Assert(f.run(StatusOK, args...), qt.Equals, "")
-		content, err := os.ReadFile(own.Name())
+		content, err := os.ReadFile(stdoutFile.Name())
 		f.c.Assert(err, qt.IsNil)
 		return string(content)
 	}
--- a/io/control/catchup_test.go
+++ b/io/control/catchup_test.go
@@ -18,39 +18,39 @@
 func TestPromotionIsRefusedUntilCaughtUp(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	tracked := newCatchUp(func(id core.ControlID) bool { return id == "c2" })
+	catchUps := newCatchUp(func(id core.ControlID) bool { return id == "c2" })
 	learner := raft.Peer{ID: "c2", Identity: "new"}
 	report := func(from core.ControlID, r catchUpReport) {
 		payload, err := msgpack.Marshal(r)
 		c.Assert(err, qt.IsNil)
-		tracked.receive(now, from, payload)
+		catchUps.receive(now, from, payload)
 	}
-	refused := func(text string) {
-		err := tracked.checkPromotion(now, learner, 5000)
+	assertRefused := func(text string) {
+		err := catchUps.checkPromotion(now, learner, 5000)
 		c.Assert(err, qt.ErrorMatches, `promotion of "c2": `+text+`: .*`)
 		c.Assert(errors.Is(err, raft.ErrTransient), qt.IsTrue) // so that the client asks again
 	}
-	refused("it has not reported what it holds")
+	assertRefused("it has not reported what it holds")
 	report("c2", catchUpReport{Identity: "old", Applied: 5000})
-	refused("it has not reported what it holds")
+	assertRefused("it has not reported what it holds")
 	report("c2", catchUpReport{Identity: "new", Applied: 4000})
-	refused("it holds entry 4000 of 5000")
+	assertRefused("it holds entry 4000 of 5000")
 	report("c2", catchUpReport{Identity: "new", Applied: 4990, MissingAudit: 12})
-	refused("it lacks 12 entries of the audit trail")
+	assertRefused("it lacks 12 entries of the audit trail")
 	report("c2", catchUpReport{Identity: "new", Applied: 4990})
-	c.Assert(tracked.checkPromotion(now, learner, 5000), qt.IsNil)
+	c.Assert(catchUps.checkPromotion(now, learner, 5000), qt.IsNil)
 	now = now.Add(maxCatchUpReportAge + 1)
-	refused("it has not reported what it holds")
+	assertRefused("it has not reported what it holds")
 	report("stranger", catchUpReport{})
-	c.Assert(tracked.reports, qt.HasLen, 1)
+	c.Assert(catchUps.reports, qt.HasLen, 1)
 
 	members := []raft.Member{{Peer: raft.Peer{ID: "c1"}}, {Peer: learner}}
-	known := func() core.RulesVersion { return tracked.knownToAll(now, members[0].Peer, members) }
-	c.Assert(known(), qt.Equals, core.RulesVersion(0)) // else an instance that is away could not follow the rules later
+	knownRules := func() core.RulesVersion { return catchUps.knownToAll(now, members[0].Peer, members) }
+	c.Assert(knownRules(), qt.Equals, core.RulesVersion(0)) // an instance that has not reported may not know newer rules
 	report("c2", catchUpReport{Identity: "new"})
-	c.Assert(known(), qt.Equals, core.RulesVersion(0)) // from a program without this field
+	c.Assert(knownRules(), qt.Equals, core.RulesVersion(0)) // from a program without this field
 	report("c2", catchUpReport{Identity: "new", KnownRules: catalog.KnownRules + 1})
-	c.Assert(known(), qt.Equals, catalog.KnownRules)
+	c.Assert(knownRules(), qt.Equals, catalog.KnownRules)
 }
 
 // Guards against limits in the commands while an older program, which does not know them, may decide these commands.
