--- a/e2e/failures_test.go
+++ b/e2e/failures_test.go
@@ -29,20 +29,20 @@
 	accepted := make(map[core.SubmissionID]core.Revision)
 	version := core.RecordVersion(0)
 	for round := range 6 {
-		victims := lo.Samples([]int{1, 2, 3}, 1+round%2)
+		targets := lo.Samples([]int{1, 2, 3}, 1+round%2)
 		killed := make(chan struct{})
 		delay := time.Duration(random.IntN(200)) * time.Millisecond
 		go func() {
 			defer close(killed)
 			time.Sleep(delay) // kills at a random moment while submissions are made
-			for _, i := range victims {
+			for _, i := range targets {
 				_ = d.processes[fmt.Sprintf("c%d", i)].Process.Kill()
 			}
 		}()
 		for range 5 {
 			version++
 			submission := serviceSubmission("survivor", version)
-			if len(victims) == 1 {
+			if len(targets) == 1 {
 				verdict := d.submit(client, submission)
 				c.Assert(verdict.Result, qt.Equals, catalog.Accepted, qt.Commentf("%+v", verdict))
 				accepted[submission.ID] = verdict.Revision
@@ -51,7 +51,7 @@
 			<-killed
 		}
 		<-killed
-		for _, i := range victims {
+		for _, i := range targets {
 			name := fmt.Sprintf("c%d", i)
 			_ = d.processes[name].Wait()
 			delete(d.processes, name)
--- a/io/cli/cli.go
+++ b/io/cli/cli.go
@@ -25,9 +25,9 @@
 // Exit statuses of the program.
 const (
 	StatusOK      = 0
-	StatusRefused = 1
-	StatusUsage   = 2
-	StatusUnknown = 3
+	StatusRefused = 1 // refused by a control instance, or a process, trace or look-up failed
+	StatusUsage   = 2 // invalid options, settings or files
+	StatusUnknown = 3 // no control instance was reached, or the outcome is unknown
 	StatusLimited = 4 // still rate-limited at the end of --timeout; nothing was changed
 )
 
--- a/io/settings/node.go
+++ b/io/settings/node.go
@@ -70,7 +70,7 @@
 func readAddresses(r *reader, elements []element) []string {
 	addresses := make([]string, 0, len(elements))
 	for _, e := range elements {
-		text, isText := literal(e.value)
+		text, isText := stringLiteral(e.value)
 		if !isText || !isAddress(text) {
 			r.fault(e.line, e.path, expectedAddress, r.describeValue(e.value))
 			continue
--- a/io/settings/reader.go
+++ b/io/settings/reader.go
@@ -43,12 +43,12 @@
 
 // object is one JSON object of the file. Each key that is read is taken out of values, so that the unknown keys remain.
 type object struct {
-	reader *reader
-	path   string
-	line   int
-	known  []string
-	values map[string]hujson.Value
-	lines  map[string]int
+	reader    *reader
+	path      string
+	line      int
+	knownKeys []string
+	values    map[string]hujson.Value
+	lines     map[string]int
 }
 
 // element is one value and its position in the file.
@@ -169,7 +169,7 @@
 }
 
 func (o *object) take(name string) (hujson.Value, bool) {
-	o.known = append(o.known, name)
+	o.knownKeys = append(o.knownKeys, name)
 	value, exists := o.values[name]
 	delete(o.values, name)
 	return value, exists
@@ -180,7 +180,7 @@
 	names := lo.Keys(o.values)
 	sort.Strings(names)
 	for _, name := range names {
-		o.fault(name, "one of "+strings.Join(o.known, ", "), "an unknown key")
+		o.fault(name, "one of "+strings.Join(o.knownKeys, ", "), "an unknown key")
 	}
 }
 
@@ -190,7 +190,7 @@
 		o.fault(name, expected, "nothing")
 		return ""
 	}
-	text, isText := literal(value)
+	text, isText := stringLiteral(value)
 	if !isText || !valid(text) {
 		o.fault(name, expected, o.reader.describeValue(value))
 		return ""
@@ -200,7 +200,7 @@
 
 func (o *object) optionalText(name, expected, defaultValue string, valid func(string) bool) string {
 	if _, exists := o.values[name]; !exists {
-		o.known = append(o.known, name)
+		o.knownKeys = append(o.knownKeys, name)
 		return defaultValue
 	}
 	return o.text(name, expected, valid)
@@ -270,7 +270,7 @@
 	}
 }
 
-func literal(value hujson.Value) (string, bool) {
+func stringLiteral(value hujson.Value) (string, bool) {
 	text, isLiteral := value.Value.(hujson.Literal)
 	if !isLiteral || text.Kind() != '"' {
 		return "", false
--- a/io/settings/tokens.go
+++ b/io/settings/tokens.go
@@ -117,7 +117,7 @@
 
 func (o *object) secret(name string) string {
 	value, _ := o.take(name)
-	text, isText := literal(value)
+	text, isText := stringLiteral(value)
 	if !isText || len(text) < minSecretBytes || len(text) > maxSecretBytes || strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' }) {
 		o.fault(name, expectedSecret, o.reader.describeValue(value))
 		return ""
@@ -129,7 +129,7 @@
 func readTenants(r *reader, o *object) []core.TenantID {
 	allRights := o.boolean("all-rights")
 	if _, exists := o.values["tenants"]; !exists {
-		o.known = append(o.known, "tenants")
+		o.knownKeys = append(o.knownKeys, "tenants")
 		if !allRights {
 			o.fault("tenants", "a list of tenants, or all-rights true", "neither")
 		}
@@ -140,7 +140,7 @@
 	}
 	var tenants []core.TenantID
 	for _, e := range o.list("tenants", "list of tenants") {
-		text, isText := literal(e.value)
+		text, isText := stringLiteral(e.value)
 		if !isText || text == "" || len(text) > maxNameBytes {
 			r.fault(e.line, e.path, expectedTenant, r.describeValue(e.value))
 			continue
