--- a/io/operatorhttp/api.go
+++ b/io/operatorhttp/api.go
@@ -29,7 +29,7 @@
 
 // Costs of requests in a token bucket, where an ordinary request costs 1. They keep one tenant from using up the capacity of the others.
 const (
-	bytesPerCost = 256 << 10 // so many bytes of a body add 1 to the cost
+	bytesPerCost = 256 << 10 // bytes of a body that add 1 to the cost
 	// AuditCost is the cost of a query of the audit trail.
 	AuditCost = 10
 	// MaxCost is the highest cost of a request.
--- a/io/operatorhttp/rate.go
+++ b/io/operatorhttp/rate.go
@@ -124,7 +124,7 @@
 	})
 }
 
-// costOf returns the cost of a request. It is 1 but for a query of the audit trail, which may read ten files, and for a long body, whose
+// costOf returns the cost of a request. It is 1 except for a query of the audit trail, which may read ten files, and a long body, whose
 // command may be written to the leader's disk even if it is refused. A body of unknown length costs as much as the longest one.
 func costOf(r *http.Request) float64 {
 	if r.URL.Path == auditPath {
