--- a/io/operatorhttp/operations.go
+++ b/io/operatorhttp/operations.go
@@ -99,7 +99,7 @@
 	return s.propose(ctx, catalog.ActionAbort, input.Body.Operator, command, err)
 }
 
-// propose proposes a command, or returns the error of its encoder as a malformed request.
+// propose proposes an encoded command and returns its verdict. If the command could not be encoded, err is answered with status 422.
 func (s *Server) propose(ctx context.Context, action catalog.Action, operator core.Operator, command []byte, err error) (*verdictOutput, error) {
 	if err == nil {
 		command, err = catalog.WithPrincipal(command, s.commandPrincipal(ctx))
@@ -191,7 +191,7 @@
 }
 
 func (s *Server) status(ctx context.Context, input *statusInput) (*output[Status], error) {
-	by := principalOf(ctx)
+	principal := principalOf(ctx)
 	if input.Nodes {
 		if err := s.checkAllRights(ctx); err != nil {
 			return nil, err
@@ -205,7 +205,7 @@
 		Current:   current,
 		Revision:  configuration.Revision(),
 		Hash:      fmt.Sprintf("%016x", uint64(configuration.Hash())),
-		OpenMoves: s.openMoves(by),
+		OpenMoves: s.openMoves(principal),
 		Fleet:     s.options.Fleet.Fleet(),
 		Replica:   s.options.Replicator.Status(),
 		Rules:     s.options.Catalog.Rules(),
@@ -214,7 +214,7 @@
 		status.Nodes = s.options.Fleet.Nodes()
 	}
 	return &output[Status]{
-		Body: status.restrictedTo(by, s.tenant),
+		Body: status.restrictedTo(principal, s.tenant),
 	}, nil
 }
 
--- a/io/settings/reader.go
+++ b/io/settings/reader.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	expectedName    = "1 to 128 lower-case letters, digits, dots and hyphens"
-	expectedAddress = "IP number and port such as 127.0.0.1:7101"
-	expectedLevel   = "trace, debug, info, warn or error"
+	expectedName     = "1 to 128 lower-case letters, digits, dots and hyphens"
+	expectedAddress  = "an IP address and port such as 127.0.0.1:7101"
+	expectedLogLevel = "trace, debug, info, warn or error"
 )
 
-var levels = []string{"trace", "debug", "info", "warn", "error"}
+var logLevels = []string{"trace", "debug", "info", "warn", "error"}
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
@@ -43,12 +43,12 @@
 
 // object is one JSON object of the file. Each key that is read is taken out of values, so that the unknown keys remain.
 type object struct {
-	reader *reader
-	path   string
-	line   int
-	known  []string
-	values map[string]hujson.Value
-	lines  map[string]int
+	reader    *reader
+	path      string
+	line      int
+	knownKeys []string
+	values    map[string]hujson.Value
+	lines     map[string]int
 }
 
 // element is one value and its position in the file.
@@ -81,8 +81,8 @@
 	}
 }
 
-// open parses the file and returns its top-level object, or false and one fault if the file cannot be used.
-func (r *reader) open() (*object, bool) {
+// parse parses the file and returns its top-level object, or false and one fault if the file cannot be used.
+func (r *reader) parse() (*object, bool) {
 	if len(r.source) > maxFileBytes {
 		r.fault(1, "", fmt.Sprintf("at most %d bytes", maxFileBytes), "a longer file")
 		return nil, false
@@ -140,7 +140,7 @@
 	for _, member := range parsed.Members {
 		key := member.Name.Value.(hujson.Literal).String()
 		if _, exists := o.values[key]; exists {
-			r.fault(r.line(member.Name), o.key(key), "each key once", "a second one")
+			r.fault(r.line(member.Name), o.keyPath(key), "each key once", "a second one")
 			continue
 		}
 		o.values[key] = member.Value
@@ -149,7 +149,7 @@
 	return o, true
 }
 
-func (o *object) key(name string) string {
+func (o *object) keyPath(name string) string {
 	if o.path == "" {
 		return name
 	}
@@ -165,22 +165,22 @@
 }
 
 func (o *object) fault(name, expected, found string) {
-	o.reader.fault(o.lineOf(name), o.key(name), expected, found)
+	o.reader.fault(o.lineOf(name), o.keyPath(name), expected, found)
 }
 
 func (o *object) take(name string) (hujson.Value, bool) {
-	o.known = append(o.known, name)
+	o.knownKeys = append(o.knownKeys, name)
 	value, exists := o.values[name]
 	delete(o.values, name)
 	return value, exists
 }
 
-// finish reports the keys that were not read as unknown.
-func (o *object) finish() {
+// rejectUnknownKeys reports the keys that were not read.
+func (o *object) rejectUnknownKeys() {
 	names := lo.Keys(o.values)
 	sort.Strings(names)
 	for _, name := range names {
-		o.fault(name, "one of "+strings.Join(o.known, ", "), "an unknown key")
+		o.fault(name, "one of "+strings.Join(o.knownKeys, ", "), "an unknown key")
 	}
 }
 
@@ -190,7 +190,7 @@
 		o.fault(name, expected, "nothing")
 		return ""
 	}
-	text, isText := literal(value)
+	text, isText := stringLiteral(value)
 	if !isText || !valid(text) {
 		o.fault(name, expected, o.reader.describeValue(value))
 		return ""
@@ -200,7 +200,7 @@
 
 func (o *object) optionalText(name, expected, defaultValue string, valid func(string) bool) string {
 	if _, exists := o.values[name]; !exists {
-		o.known = append(o.known, name)
+		o.knownKeys = append(o.knownKeys, name)
 		return defaultValue
 	}
 	return o.text(name, expected, valid)
@@ -216,7 +216,7 @@
 	return o.text(key, expectedAddress, isAddress)
 }
 
-func (o *object) flag(name string) bool {
+func (o *object) boolean(name string) bool {
 	value, exists := o.take(name)
 	if !exists {
 		return false
@@ -230,8 +230,8 @@
 }
 
 func (o *object) logLevel(name string) zerolog.Level {
-	text := o.optionalText(name, expectedLevel, "info", func(text string) bool {
-		return slices.Contains(levels, text)
+	text := o.optionalText(name, expectedLogLevel, "info", func(text string) bool {
+		return slices.Contains(logLevels, text)
 	})
 	level, err := zerolog.ParseLevel(text)
 	if err != nil {
@@ -253,15 +253,15 @@
 	}
 	return lo.Map(array.Elements, func(each hujson.Value, i int) element {
 		return element{
-			path:  fmt.Sprintf("%s[%d]", o.key(name), i),
+			path:  fmt.Sprintf("%s[%d]", o.keyPath(name), i),
 			line:  o.reader.line(each),
 			value: each,
 		}
 	})
 }
 
-// distinct reports addresses that occur at more than one of the keys.
-func (o *object) distinct(keys []string, values []string) {
+// checkDistinct reports addresses that occur at more than one of the keys.
+func (o *object) checkDistinct(keys []string, values []string) {
 	for i, value := range values {
 		first := slices.Index(values, value)
 		if value != "" && first < i {
@@ -270,7 +270,7 @@
 	}
 }
 
-func literal(value hujson.Value) (string, bool) {
+func stringLiteral(value hujson.Value) (string, bool) {
 	text, isLiteral := value.Value.(hujson.Literal)
 	if !isLiteral || text.Kind() != '"' {
 		return "", false
@@ -293,8 +293,8 @@
 	return text
 }
 
-// isAddress reports whether a text is an IP address with a port. An unspecified IP address is refused, because other processes dial
-// the addresses in a settings file.
+// isAddress reports whether a text is an IP address and port. An unspecified IP address is refused, because other processes dial the
+// addresses in a settings file.
 func isAddress(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() != 0 && !address.Addr().IsUnspecified() && !address.Addr().IsMulticast()
--- a/io/settings/tokens.go
+++ b/io/settings/tokens.go
@@ -69,7 +69,7 @@
 		r.fault(line, "", "JSON with comments", "")
 		return nil, r.err()
 	}
-	top, ok := r.open()
+	top, ok := r.parse()
 	if !ok {
 		return nil, r.err()
 	}
@@ -77,7 +77,7 @@
 	if len(tokens) > maxTokens {
 		top.fault("tokens", fmt.Sprintf("at most %d tokens", maxTokens), fmt.Sprint(len(tokens)))
 	}
-	top.finish()
+	top.rejectUnknownKeys()
 	if err := r.err(); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 			Secret:  o.secret("secret"),
 			Tenants: readTenants(r, o),
 		}
-		o.finish()
+		o.rejectUnknownKeys()
 		for _, other := range tokens {
 			if other.Name == token.Name && token.Name != "" {
 				o.fault("name", "a name that is unique", fmt.Sprintf("%q again", token.Name))
@@ -117,7 +117,7 @@
 
 func (o *object) secret(name string) string {
 	value, _ := o.take(name)
-	text, isText := literal(value)
+	text, isText := stringLiteral(value)
 	if !isText || len(text) < minSecretBytes || len(text) > maxSecretBytes || strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' }) {
 		o.fault(name, expectedSecret, o.reader.describeValue(value))
 		return ""
@@ -127,9 +127,9 @@
 
 // readTenants reads the tenants of a token. All rights have to be stated, so that a forgotten list of tenants does not grant them.
 func readTenants(r *reader, o *object) []core.TenantID {
-	allRights := o.flag("all-rights")
+	allRights := o.boolean("all-rights")
 	if _, exists := o.values["tenants"]; !exists {
-		o.known = append(o.known, "tenants")
+		o.knownKeys = append(o.knownKeys, "tenants")
 		if !allRights {
 			o.fault("tenants", "a list of tenants, or all-rights true", "neither")
 		}
@@ -140,7 +140,7 @@
 	}
 	var tenants []core.TenantID
 	for _, e := range o.list("tenants", "list of tenants") {
-		text, isText := literal(e.value)
+		text, isText := stringLiteral(e.value)
 		if !isText || text == "" || len(text) > maxNameBytes {
 			r.fault(e.line, e.path, expectedTenant, r.describeValue(e.value))
 			continue
