--- a/io/callerhttp/timeoutestimate.go
+++ b/io/callerhttp/timeoutestimate.go
@@ -23,16 +23,16 @@
 }
 
 // elapsed returns a lower bound of the time since the caller's first attempt.
-func (p *timeoutEstimate) elapsed(now time.Time, remaining time.Duration) time.Duration {
-	if now.After(p.windowEnd) {
-		p.longest[1] = p.longest[0]
-		if now.After(p.windowEnd.Add(timeoutWindow)) {
-			p.longest[1] = 0
+func (e *timeoutEstimate) elapsed(now time.Time, remaining time.Duration) time.Duration {
+	if now.After(e.windowEnd) {
+		e.longest[1] = e.longest[0]
+		if now.After(e.windowEnd.Add(timeoutWindow)) {
+			e.longest[1] = 0
 		}
-		p.longest[0], p.windowEnd = 0, now.Add(timeoutWindow)
+		e.longest[0], e.windowEnd = 0, now.Add(timeoutWindow)
 	}
-	p.longest[0] = max(p.longest[0], remaining)
-	usualTimeout := (1 - timeoutSpreadRatio) * float64(max(p.longest[0], p.longest[1]))
+	e.longest[0] = max(e.longest[0], remaining)
+	usualTimeout := (1 - timeoutSpreadRatio) * float64(max(e.longest[0], e.longest[1]))
 	return max(0, time.Duration(usualTimeout)-remaining)
 }
 
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -128,17 +128,17 @@
 		return nil, refusal
 	}
 	startedAt := time.Now()
-	return func(ending backendhttp.CallResult) { a.finish(ticket, startedAt, ending) }, nil
+	return func(result backendhttp.CallResult) { a.finish(ticket, startedAt, result) }, nil
 }
 
-func (a *admission) finish(ticket limiter.Ticket, startedAt time.Time, ending backendhttp.CallResult) {
+func (a *admission) finish(ticket limiter.Ticket, startedAt time.Time, result backendhttp.CallResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	a.apply(a.limiter.Finish(now, ticket, limiter.Result{
 		Latency:    now.Sub(startedAt),
-		Overloaded: ending == backendhttp.ResultOverloaded,
-		Failed:     ending == backendhttp.ResultFailed,
+		Overloaded: result == backendhttp.ResultOverloaded,
+		Failed:     result == backendhttp.ResultFailed,
 	}))
 }
 
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -27,22 +27,22 @@
 
 // Options configure a node beyond its settings; the zero value of each field selects its default.
 type Options struct {
-	Headers           core.HeaderNames
-	CallerNamesCalls  bool // the call id comes from a header of the caller
-	NoHedges          bool
-	Policy            balancer.Policy     // for choosing endpoints
-	TrustSlots        bool                // see limiter.Options
-	SoftDeadlineFirst bool                // see limiter.Options
-	RefusalTries      int                 // endpoints tried after refusals for overload, outside the retry budget; zero for the usual attempts
-	Budget            retry.BudgetOptions // for retries, of each service
-	RetryAfter        func(*core.Refusal) string
-	BackendLease      time.Duration // how long an announcement of the backend server is valid
-	AllowUnframed     bool          // see backendhttp.Options
-	QueueLimit        time.Duration // how long a call may wait for a slot, zero for the whole time until its deadline
-	DrainLinger       time.Duration // how long a planned stop still accepts calls of callers that have not noticed it
-	RefusingLinger    time.Duration // how long new calls are refused after DrainLinger
-	DrainLimit        time.Duration // how long a planned stop may take
-	EvidenceInterval  time.Duration // between two reports of evidence about open moves
+	Headers             core.HeaderNames
+	CallerSetsCallID    bool // the call id comes from a header of the caller
+	DisableHedging      bool
+	Policy              balancer.Policy     // for choosing endpoints
+	TrustSlots          bool                // see limiter.Options
+	SoftDeadlineFirst   bool                // see limiter.Options
+	FreeCapacityRetries int                 // endpoints tried after refusals for overload, outside the retry budget; zero for the usual attempts
+	RetryBudget         retry.BudgetOptions // for retries, of each service
+	RetryAfter          func(*core.Refusal) string
+	BackendLease        time.Duration // how long an announcement of the backend server is valid
+	AllowCloseDelimited bool          // see backendhttp.Options
+	MaxQueueTime        time.Duration // how long a call may wait for a slot, zero for the whole time until its deadline
+	DrainPeriod         time.Duration // how long a planned stop still accepts calls of callers that have not noticed it
+	RefusalPeriod       time.Duration // how long new calls are refused after DrainPeriod
+	DrainLimit          time.Duration // how long a planned stop may take
+	EvidenceInterval    time.Duration // between two reports of evidence about open moves
 }
 
 // process holds what the parts of one node share.
