--- a/io/backendhttp/handle.go
+++ b/io/backendhttp/handle.go
@@ -249,9 +249,9 @@
 
 // abort closes the connection. It returns false if a cancellation has closed it already.
 func (x *exchange) abort() bool {
-	own := x.stopCancelling()
+	notCancelled := x.stopCancelling()
 	_ = x.conn.Close()
-	return own
+	return notCancelled
 }
 
 // fail closes the connection and returns the error of the call. Unless the call was cancelled, it is recorded as broken.
--- a/io/callerhttp/callerhttp_test.go
+++ b/io/callerhttp/callerhttp_test.go
@@ -264,7 +264,7 @@
 }
 
 // Guards against a call that is retried again and again at the only node, which accepts no calls.
-func TestOnlyNodeThatDrainsIsTriedOnce(t *testing.T) {
+func TestLeavingNodeIsNotRetried(t *testing.T) {
 	c := qt.New(t)
 	e := newEntry(c, allV1, nil)
 	e.endpoints.endpoints = e.endpoints.endpoints[:1]
@@ -358,7 +358,7 @@
 }
 
 // Guards against a truncated answer that the caller takes for complete.
-func TestCutBodyAbortsTheConnection(t *testing.T) {
+func TestTruncatedBodyAbortsConnection(t *testing.T) {
 	c := qt.New(t)
 	for _, length := range []int{0, 10, 200_000} {
 		e := newEntry(c, allV1, nil)
--- a/io/callerhttp/hedge.go
+++ b/io/callerhttp/hedge.go
@@ -20,7 +20,7 @@
 // ended by then.
 type hedge struct {
 	server      *Server
-	q           *request
+	request     *request
 	history     attemptHistory // including the first attempt
 	ctx         context.Context
 	cancelFirst context.CancelFunc
@@ -39,7 +39,7 @@
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	h := &hedge{
 		server:      s,
-		q:           q,
+		request:     q,
 		ctx:         ctx,
 		cancelFirst: cancelFirst,
 		results:     make(chan attemptResult, 1),
@@ -61,7 +61,7 @@
 
 // start makes the second attempt. It runs on the timer's goroutine.
 func (h *hedge) start() {
-	s, q := h.server, h.q
+	s, q := h.server, h.request
 	if !s.startTask() {
 		return
 	}
@@ -84,7 +84,7 @@
 // chooseEndpoint returns false if the hedge is no longer needed, the budgets do not allow it, or there is no other endpoint.
 // h.mu must be held.
 func (h *hedge) chooseEndpoint() (core.Endpoint, bool) {
-	s, q, now := h.server, h.q, time.Now()
+	s, q, now := h.server, h.request, time.Now()
 	if h.discarded || s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
 		return core.Endpoint{}, false
 	}
@@ -147,14 +147,14 @@
 	case won:
 		s.hedgesWon.Inc()
 		s.reportDiscarded(first)
-		s.reportOvertaken(h.q, first)
+		s.reportOvertaken(h.request, first)
 	case succeeded(second) || first.outcome == core.OutcomeNotRun && second.outcome != core.OutcomeNotRun:
-		s.reportFailure(h.ctx, h.q, first)
+		s.reportFailure(h.ctx, h.request, first)
 	default:
 		if second.outcome == core.OutcomeNotRun {
 			s.reportDiscarded(second)
 		} else {
-			s.reportFailure(h.ctx, h.q, second)
+			s.reportFailure(h.ctx, h.request, second)
 		}
 		first.concurrent = &h.endpoint
 		return first
--- a/io/callerhttp/path_test.go
+++ b/io/callerhttp/path_test.go
@@ -59,16 +59,16 @@
 func (noEvidence) Record(core.ServiceName, core.RouteName, core.Release, bool, bool, time.Duration) {}
 
 func configuration(t testing.TB, weights string) *record.Configuration {
-	body := func(kind core.Kind, name, text string) core.Record {
+	newRecord := func(kind core.Kind, name, text string) core.Record {
 		return core.Record{Kind: kind, Name: name, SchemaVersion: 1, Version: 1, Body: []byte(text)}
 	}
 	c, err := record.New(7, []core.Record{
-		body(core.KindService, "orders", `{"tenant":"shops"}`),
-		body(core.KindUpstream, "orders-v1", `{"service":"orders","release":"v1","slots":64}`),
-		body(core.KindUpstream, "orders-v2", `{"service":"orders","release":"v2","slots":64}`),
-		body(core.KindPolicy, "orders", `{"service":"orders","weights":[`+weights+`]}`),
-		body(core.KindRoute, "read", `{"path-prefix":"/orders","methods":["GET"],"service":"orders","idempotent":true,"timeout-ms":60000}`),
-		body(core.KindRoute, "write", `{"path-prefix":"/orders","methods":["POST"],"service":"orders","timeout-ms":60000}`),
+		newRecord(core.KindService, "orders", `{"tenant":"shops"}`),
+		newRecord(core.KindUpstream, "orders-v1", `{"service":"orders","release":"v1","slots":64}`),
+		newRecord(core.KindUpstream, "orders-v2", `{"service":"orders","release":"v2","slots":64}`),
+		newRecord(core.KindPolicy, "orders", `{"service":"orders","weights":[`+weights+`]}`),
+		newRecord(core.KindRoute, "read", `{"path-prefix":"/orders","methods":["GET"],"service":"orders","idempotent":true,"timeout-ms":60000}`),
+		newRecord(core.KindRoute, "write", `{"path-prefix":"/orders","methods":["POST"],"service":"orders","timeout-ms":60000}`),
 	}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/io/node/moves.go
+++ b/io/node/moves.go
@@ -101,7 +101,7 @@
 
 // since returns the open moves and what was added to the cumulative counts of their services since the last call.
 func (m *moveEvidence) since(configuration *record.Configuration, counts []core.EvidenceCount) ([]core.MoveID, []core.EvidenceCount) {
-	known := m.open
+	openBefore := m.open
 	m.open = make(map[core.ServiceName]core.MoveID)
 	var moves []core.MoveID
 	for _, override := range configuration.Overrides() {
@@ -121,7 +121,7 @@
 		}
 		m.last[key] = count
 		move, open := m.open[count.Service]
-		if !open || known[count.Service] != move || count == last[key] {
+		if !open || openBefore[count.Service] != move || count == last[key] {
 			continue
 		}
 		count = addedSince(count, last[key])
--- a/io/node/moves_test.go
+++ b/io/node/moves_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against calls from before a move, or from another move, that pass for calls of this one.
-func TestEvidenceOfAMoveBeginsWithIt(t *testing.T) {
+func TestEvidenceStartsWithMove(t *testing.T) {
 	c := qt.New(t)
 	opened := func(moves ...core.MoveID) *record.Configuration {
 		var overrides []core.Override
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -175,12 +175,12 @@
 func (p *process) injector() do.Injector {
 	injector := do.New()
 	do.Provide(injector, p.newSubscriber)
-	do.Provide(injector, p.newBackend)
+	do.Provide(injector, p.newBackendServer)
 	do.Provide(injector, p.newCompressor)
 	do.Provide(injector, p.newPeerServer)
 	do.Provide(injector, p.newDialer)
 	do.Provide(injector, p.newBalancer)
-	do.Provide(injector, p.newCallers)
+	do.Provide(injector, p.newCallerServer)
 	return injector
 }
 
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -39,7 +39,7 @@
 	return registerCleanup(p, subscriber, cleanup, err)
 }
 
-func (p *process) newBackend(injector do.Injector) (*backendhttp.Server, error) {
+func (p *process) newBackendServer(injector do.Injector) (*backendhttp.Server, error) {
 	subscriber, err := do.Invoke[*distribution.Subscriber](injector)
 	if err != nil {
 		return nil, err
@@ -159,13 +159,13 @@
 	}), nil
 }
 
-func (p *process) newCallers(injector do.Injector) (*callerhttp.Server, error) {
+func (p *process) newCallerServer(injector do.Injector) (*callerhttp.Server, error) {
 	dialer, err := do.Invoke[*nodepeer.Dialer](injector)
 	if err != nil {
 		return nil, err
 	}
 	subscriber := do.MustInvoke[*distribution.Subscriber](injector)
-	keys, err := p.newKeys(injector, dialer)
+	keys, err := p.newKeyClaimer(injector, dialer)
 	if err != nil {
 		return nil, err
 	}
@@ -204,8 +204,8 @@
 	return registerCleanup(p, server, cleanup, err)
 }
 
-// newKeys returns nil if callers have no header for idempotency keys, so that no node asks another one about keys.
-func (p *process) newKeys(injector do.Injector, dialer *nodepeer.Dialer) (callerhttp.KeyClaimer, error) {
+// newKeyClaimer returns nil if callers have no header for idempotency keys, so that no node asks another one about keys.
+func (p *process) newKeyClaimer(injector do.Injector, dialer *nodepeer.Dialer) (callerhttp.KeyClaimer, error) {
 	if p.headers().IdempotencyKey == "" {
 		return nil, nil
 	}
--- a/io/node/parts_test.go
+++ b/io/node/parts_test.go
@@ -9,14 +9,14 @@
 )
 
 // Guards against requests to other nodes about idempotency keys when callers have no header to send a key.
-func TestNodesWithoutAHeaderForKeysClaimNone(t *testing.T) {
+func TestNoKeyClaimsWithoutKeyHeader(t *testing.T) {
 	c := qt.New(t)
 	p := &process{
 		options: Options{
 			Headers: core.HeaderNames{CallID: "X-Call"},
 		},
 	}
-	keys, err := p.newKeys(nil, nil)
+	keys, err := p.newKeyClaimer(nil, nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(keys, qt.IsNil)
 }
--- a/io/nodepeer/answer.go
+++ b/io/nodepeer/answer.go
@@ -76,8 +76,8 @@
 		Header:   answer.Header,
 		Load:     newLoadMessage(answer.Load),
 	}
-	stated, err := strconv.Atoi(answer.Header.Get("Content-Length"))
-	if err == nil && stated >= 0 && stated <= core.MaxChunkBytes && c.call.Method != "HEAD" {
+	contentLength, err := strconv.Atoi(answer.Header.Get("Content-Length"))
+	if err == nil && contentLength >= 0 && contentLength <= core.MaxChunkBytes && c.call.Method != "HEAD" {
 		body, err := io.ReadAll(answer.Body)
 		if err != nil {
 			c.conn.refuse(c.key.Sequence, core.OutcomeUnknown, &core.Refusal{
--- a/io/nodepeer/claims_test.go
+++ b/io/nodepeer/claims_test.go
@@ -21,16 +21,16 @@
 func (l fixedEndpoints) Endpoints(core.ServiceName) []core.Endpoint { return l }
 
 // newTestClaims returns the claims of an entry node that is itself a holder.
-func newTestClaims(t *testing.T, b *testPair, endpoints fixedEndpoints) *Claims {
+func newTestClaims(t *testing.T, pair *testPair, endpoints fixedEndpoints) *Claims {
 	own := newFakeNetwork()
-	server, stop, err := NewServer(ServerOptions{Listener: own, Backend: b.backend})
+	server, stop, err := NewServer(ServerOptions{Listener: own, Backend: pair.backend})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(stop)
 	server.SetAnnounced("orders", true)
 	claims, stopClaims, err := NewClaims(ClaimsOptions{
-		Self: "entry", Server: server, Dialer: b.dialer, Endpoints: endpoints,
+		Self: "entry", Server: server, Dialer: pair.dialer, Endpoints: endpoints,
 		Services:     func() []core.ServiceName { return []core.ServiceName{"orders"} },
 		ServiceSince: func(core.ServiceName) (time.Time, bool) { return time.Now(), true },
 	})
@@ -52,10 +52,10 @@
 func TestOnlyFirstClaimWaitsForUnresponsiveHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.server.SetAnnounced("orders", true)
+		pair := newTestPair(t, 1)
+		pair.server.SetAnnounced("orders", true)
 		var silent, asked atomic.Int64
-		b.network.actionFor = func(_ int, direction bool, kind frame.Type) frameAction {
+		pair.network.actionFor = func(_ int, direction bool, kind frame.Type) frameAction {
 			if direction == toServer && kind == typeKey {
 				asked.Add(1)
 			}
@@ -64,7 +64,7 @@
 			}
 			return pass
 		}
-		claims := newTestClaims(t, b, fixedEndpoints{{Node: "entry", Service: "orders"}, {Node: "b", Address: "b", Service: "orders"}})
+		claims := newTestClaims(t, pair, fixedEndpoints{{Node: "entry", Service: "orders"}, {Node: "b", Address: "b", Service: "orders"}})
 		claim := func(n int) time.Duration {
 			began := time.Now()
 			_, _ = claims.Claim(context.Background(), keyedCall(n))
--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -38,8 +38,8 @@
 
 	mu                sync.Mutex
 	streams           map[uint64]*stream
-	revokes           map[uint64]chan bool
-	claims            map[uint64]chan keyReply
+	revocations       map[uint64]chan bool
+	keyRequests       map[uint64]chan keyReply
 	lastSequence      uint64 // sequence of the latest attempt
 	lastToken         uint64 // token of the latest revocation, claim or settlement
 	lost              bool
@@ -188,7 +188,7 @@
 
 // revoke asks the peer to ensure that an attempt of an earlier connection never runs. It returns false if it may have run.
 func (c *clientConn) revoke(ctx context.Context, s *stream) (bool, error) {
-	token, verdict, err := beginRequest(c, &c.revokes)
+	token, verdict, err := beginRequest(c, &c.revocations)
 	if err != nil {
 		return false, err
 	}
@@ -233,7 +233,7 @@
 
 // askKey sends a claim or settlement to a holder and waits for its reply.
 func (c *clientConn) askKey(ctx context.Context, message keyMessage) (keyReply, error) {
-	token, replies, err := beginRequest(c, &c.claims)
+	token, replies, err := beginRequest(c, &c.keyRequests)
 	if err != nil {
 		return keyReply{}, err
 	}
@@ -246,8 +246,8 @@
 func (c *clientConn) endRequest(token uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.revokes, token)
-	delete(c.claims, token)
+	delete(c.revocations, token)
+	delete(c.keyRequests, token)
 	c.idleUntil = time.Now().Add(idleTimeout)
 }
 
@@ -340,11 +340,11 @@
 }
 
 func (c *clientConn) handleRevoked(message revokedMessage) error {
-	return deliverReply(c, &c.revokes, message.Token, message.Revoked)
+	return deliverReply(c, &c.revocations, message.Token, message.Revoked)
 }
 
 func (c *clientConn) handleKeyReply(message keyReply) error {
-	return deliverReply(c, &c.claims, message.Token, message)
+	return deliverReply(c, &c.keyRequests, message.Token, message)
 }
 
 // deliverReply passes a reply to the goroutine that waits for it, and drops a second reply. The request stays outstanding until
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -34,7 +34,7 @@
 	tasks   sync.WaitGroup
 
 	dials             *metrics.Counter
-	failures          *metrics.Counter
+	failedDials       *metrics.Counter
 	silentConnections *metrics.Counter
 
 	mu       sync.Mutex
@@ -72,7 +72,7 @@
 		ctx:               ctx,
 		cancel:            cancel,
 		dials:             options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="connected"}`),
-		failures:          options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
+		failedDials:       options.Metrics.GetOrCreateCounter(`parsleyport_peer_dials_total{result="failed"}`),
 		silentConnections: options.Metrics.GetOrCreateCounter("parsleyport_peer_silent_connections_total"),
 		pools:             make(map[string]*peerPool),
 	}
@@ -313,7 +313,7 @@
 		c.start()
 	} else {
 		p.failedAt = time.Now()
-		d.failures.Inc()
+		d.failedDials.Inc()
 	}
 	close(p.dialing)
 	p.dialing = nil
--- a/io/nodepeer/handover_test.go
+++ b/io/nodepeer/handover_test.go
@@ -24,10 +24,10 @@
 	accepted  time.Time               // when the service's record was accepted
 }
 
-func (f *testCluster) dial(ctx context.Context, address string) (net.Conn, error) {
-	f.mu.Lock()
-	n, started := f.networks[address]
-	f.mu.Unlock()
+func (cluster *testCluster) dial(ctx context.Context, address string) (net.Conn, error) {
+	cluster.mu.Lock()
+	n, started := cluster.networks[address]
+	cluster.mu.Unlock()
 	if !started {
 		return nil, net.ErrClosed
 	}
@@ -39,30 +39,30 @@
 	}
 }
 
-func (f *testCluster) Endpoints(core.ServiceName) []core.Endpoint {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.endpoints[:3])
+func (cluster *testCluster) Endpoints(core.ServiceName) []core.Endpoint {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return slices.Clone(cluster.endpoints[:3])
 }
 
 // startNode starts a run of a node. The last node of the cluster is an entry node that holds no keys.
-func (f *testCluster) startNode(c *qt.C, i int, incarnation core.Incarnation) (*Server, *Claims, func()) {
+func (cluster *testCluster) startNode(c *qt.C, i int, incarnation core.Incarnation) (*Server, *Claims, func()) {
 	address, n := fmt.Sprint(i, "-", incarnation), newFakeNetwork()
 	server, stopServer, err := NewServer(ServerOptions{Listener: n})
 	c.Assert(err, qt.IsNil)
-	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: f.dial})
+	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: cluster.dial})
 	c.Assert(err, qt.IsNil)
-	f.mu.Lock()
-	f.networks[address] = n
-	f.endpoints[i] = core.Endpoint{Node: core.NodeID(fmt.Sprint(i)), Service: "orders", Address: address, Incarnation: incarnation}
-	f.mu.Unlock()
+	cluster.mu.Lock()
+	cluster.networks[address] = n
+	cluster.endpoints[i] = core.Endpoint{Node: core.NodeID(fmt.Sprint(i)), Service: "orders", Address: address, Incarnation: incarnation}
+	cluster.mu.Unlock()
 	if i < 3 {
 		server.SetAnnounced("orders", true)
 	}
 	claims, stopClaims, err := NewClaims(ClaimsOptions{
-		Self: core.NodeID(fmt.Sprint(i)), Incarnation: incarnation, Server: server, Dialer: dialer, Endpoints: f,
+		Self: core.NodeID(fmt.Sprint(i)), Incarnation: incarnation, Server: server, Dialer: dialer, Endpoints: cluster,
 		Services:     func() []core.ServiceName { return nil }, // claims observe the service
-		ServiceSince: func(core.ServiceName) (time.Time, bool) { return f.accepted, true },
+		ServiceSince: func(core.ServiceName) (time.Time, bool) { return cluster.accepted, true },
 	})
 	c.Assert(err, qt.IsNil)
 	stop := sync.OnceFunc(func() { stopClaims(); stopDialer(); stopServer(); n.tasks.Wait() })
@@ -77,13 +77,13 @@
 }
 
 func rollingRestart(c *qt.C) {
-	f := &testCluster{networks: make(map[string]*fakeNetwork)}
+	cluster := &testCluster{networks: make(map[string]*fakeNetwork)}
 	var claims [4]*Claims
 	var stops [4]func()
 	for i := range 4 {
-		_, claims[i], stops[i] = f.startNode(c, i, 1)
+		_, claims[i], stops[i] = cluster.startNode(c, i, 1)
 	}
-	f.accepted = time.Now()
+	cluster.accepted = time.Now()
 	time.Sleep(time.Second) // nodes that start at the time of a claim do not know whether it was made before
 	entry := claims[3]
 	first := keyedCall(1)
@@ -99,13 +99,13 @@
 		entry.Settle(context.Background(), handedOver, idempotency.VerdictGranted, nil)
 		stops[i]()
 		var server *Server
-		server, claims[i], stops[i] = f.startNode(c, i, 2)
+		server, claims[i], stops[i] = cluster.startNode(c, i, 2)
 		end := time.Now().Add(restoreTimeout)
 		for restored := false; !restored; time.Sleep(restoreRetryInterval) {
 			c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("node %d has not restored its keys", i))
 			server.mu.Lock()
 			member, _ := server.membershipAges(time.Now(), "orders")
-			restored = !time.Now().Add(-member).After(f.accepted)
+			restored = !time.Now().Add(-member).After(cluster.accepted)
 			server.mu.Unlock()
 		}
 	}
@@ -125,20 +125,20 @@
 func TestStartedEntryNodeAdoptsHolderAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		f := &testCluster{networks: make(map[string]*fakeNetwork)}
+		cluster := &testCluster{networks: make(map[string]*fakeNetwork)}
 		var claims [4]*Claims
 		var stops [4]func()
 		for i := range 4 {
-			_, claims[i], stops[i] = f.startNode(c, i, 1)
+			_, claims[i], stops[i] = cluster.startNode(c, i, 1)
 		}
-		f.accepted = time.Now()
+		cluster.accepted = time.Now()
 		time.Sleep(time.Second)
 		verdict, _ := claims[2].Claim(context.Background(), keyedCall(1)) // node 2 observes the other nodes from now on
 		c.Assert(verdict, qt.Equals, idempotency.VerdictGranted)
 		time.Sleep(time.Minute)
 		for _, i := range []int{0, 1, 3} {
 			stops[i]()
-			_, claims[i], _ = f.startNode(c, i, 2)
+			_, claims[i], _ = cluster.startNode(c, i, 2)
 		}
 		time.Sleep(time.Second)
 		verdict, _ = claims[3].Claim(context.Background(), keyedCall(2))
@@ -156,19 +156,19 @@
 		r.Node = "n"
 		return held.handle(now, &r, false).Parts
 	}
-	take := func(incarnation core.Incarnation) int {
+	fetch := func(incarnation core.Incarnation) int {
 		return ask(handoverRequest{Incarnation: incarnation, Fetch: true})
 	}
 	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 0, Parts: 2}), qt.Equals, 2)
-	c.Assert(take(2), qt.Equals, 0) // the second part is missing
+	c.Assert(fetch(2), qt.Equals, 0) // the second part is missing
 	c.Assert(ask(handoverRequest{Incarnation: 1, Part: 1, Parts: 2}), qt.Equals, 2)
-	c.Assert(take(1), qt.Equals, 0)
-	c.Assert(take(2), qt.Equals, 2)
-	c.Assert(take(3), qt.Equals, 0)
-	c.Assert(take(2), qt.Equals, 2)
+	c.Assert(fetch(1), qt.Equals, 0)
+	c.Assert(fetch(2), qt.Equals, 2)
+	c.Assert(fetch(3), qt.Equals, 0)
+	c.Assert(fetch(2), qt.Equals, 2)
 	c.Assert(ask(handoverRequest{Incarnation: 2, Part: 0, Parts: 1}), qt.Equals, 1)
 	now = now.Add(idempotency.Window + 1)
-	c.Assert(take(3), qt.Equals, 0)
+	c.Assert(fetch(3), qt.Equals, 0)
 	c.Assert(held, qt.HasLen, 0)
 	c.Assert(held.handle(now, &handoverRequest{Node: "n", Parts: 1}, true).Parts, qt.Equals, 0) // this node is leaving too
 	c.Assert(ask(handoverRequest{Parts: 1, Entries: []idempotency.Entry{{Answer: &idempotency.RecordedAnswer{Body: make([]byte, maxSnapshotBytes)}}}}), qt.Equals, 0)
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -13,13 +13,13 @@
 func (s *Server) setHolderAgesFunc(ages func(idempotency.Key) map[core.NodeID]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.agesFunc = ages
+	s.holderAgesFunc = ages
 }
 
 // holderAges returns how long this node has known each of the key's holders.
 func (s *Server) holderAges(key idempotency.Key) map[core.NodeID]time.Duration {
 	s.mu.Lock()
-	ages := s.agesFunc
+	ages := s.holderAgesFunc
 	s.mu.Unlock()
 	if ages == nil {
 		return nil
--- a/io/nodepeer/keepalive.go
+++ b/io/nodepeer/keepalive.go
@@ -18,7 +18,7 @@
 
 // hasOutstanding reports whether a reply from the peer is outstanding. It needs the lock.
 func (c *clientConn) hasOutstanding() bool {
-	return len(c.streams)+len(c.revokes)+len(c.claims) > 0
+	return len(c.streams)+len(c.revocations)+len(c.keyRequests) > 0
 }
 
 // beginUse prepares the connection for a call or request, or returns errUnsent if it is lost or being closed. The caller
--- a/io/nodepeer/keepalive_test.go
+++ b/io/nodepeer/keepalive_test.go
@@ -23,8 +23,8 @@
 	for _, running := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newTestPair(t, 1)
-			b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
+			pair := newTestPair(t, 1)
+			pair.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 				if call.ID != "first" {
 					return answerWith(nil), core.OutcomeAnswered, nil
 				}
@@ -34,21 +34,21 @@
 				<-ctx.Done()
 				return nil, core.OutcomeUnknown, ctx.Err()
 			}
-			b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
+			pair.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 				if number == 1 && (kind == typePing || kind == typePong) {
 					return blackhole
 				}
 				return pass
 			}
 			began := time.Now()
-			_, outcome, _ := b.call(callFor("first", nil))
+			_, outcome, _ := pair.call(callFor("first", nil))
 			c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue, qt.Commentf("took %v", time.Since(began)))
 			if running {
 				c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 			} else {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 			}
-			_, outcome, _ = b.call(callFor("second", nil))
+			_, outcome, _ = pair.call(callFor("second", nil))
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		})
 	}
@@ -78,10 +78,10 @@
 // Guards against a call or claim that starts on a connection while it is closed as idle, and so becomes unknown.
 func TestNothingStartsOnClosingConnection(t *testing.T) {
 	c := qt.New(t)
-	b := newTestPair(t, 1)
-	claims := &Claims{options: ClaimsOptions{Dialer: b.dialer}, unresponsive: make(map[string]time.Time)}
+	pair := newTestPair(t, 1)
+	claims := &Claims{options: ClaimsOptions{Dialer: pair.dialer}, unresponsive: make(map[string]time.Time)}
 	for i := range 1000 {
-		conn, err := b.dialer.connectionAfter(context.Background(), "b", 0)
+		conn, err := pair.dialer.connectionAfter(context.Background(), "b", 0)
 		c.Assert(err, qt.IsNil)
 		conn.mu.Lock()
 		conn.idleUntil = time.Now()
@@ -95,7 +95,7 @@
 					c.Check(err, qt.IsNil)
 					return
 				}
-				answer, outcome, err := b.call(callFor(fmt.Sprint(i), nil))
+				answer, outcome, err := pair.call(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered, qt.Commentf("error %v", err))
 				if answer != nil {
 					_, err = io.ReadAll(answer.Body)
--- a/io/nodepeer/network_test.go
+++ b/io/nodepeer/network_test.go
@@ -166,25 +166,25 @@
 }
 
 func newTestPair(t *testing.T, connections int) *testPair {
-	b := &testPair{network: newFakeNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
-	b.startServer(t)
+	pair := &testPair{network: newFakeNetwork(), backend: &countingBackend{runs: make(map[core.CallID]int)}}
+	pair.startServer(t)
 	time.Sleep(time.Second) // a server that starts at the time of the dial does not know of earlier attempts
-	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: b.network.dial, ConnectionsPerPeer: connections})
+	dialer, stopDialer, err := NewDialer(DialerOptions{Dial: pair.network.dial, ConnectionsPerPeer: connections})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.dialer = dialer
+	pair.dialer = dialer
 	t.Cleanup(func() {
 		stopDialer()
-		b.stop()
-		b.network.tasks.Wait()
+		pair.stop()
+		pair.network.tasks.Wait()
 	})
-	return b
+	return pair
 }
 
-func (b *testPair) startServer(t *testing.T) {
+func (pair *testPair) startServer(t *testing.T) {
 	var err error
-	if b.server, b.stop, err = NewServer(ServerOptions{Listener: b.network, Backend: b.backend}); err != nil {
+	if pair.server, pair.stop, err = NewServer(ServerOptions{Listener: pair.network, Backend: pair.backend}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -193,8 +193,8 @@
 	return &core.Call{ID: core.CallID(id), Method: "POST", Target: "/", Body: body, Deadline: time.Now().Add(20 * time.Second)}
 }
 
-func (b *testPair) call(call *core.Call) (*core.Answer, core.Outcome, error) {
-	return b.dialer.Forward(context.Background(), core.Endpoint{Node: "b", Address: "b"}, call)
+func (pair *testPair) call(call *core.Call) (*core.Answer, core.Outcome, error) {
+	return pair.dialer.Forward(context.Background(), core.Endpoint{Node: "b", Address: "b"}, call)
 }
 
 func longBody(seed string) []byte { return []byte(strings.Repeat(seed, 100_000/len(seed))) }
--- a/io/nodepeer/nodepeer_test.go
+++ b/io/nodepeer/nodepeer_test.go
@@ -38,10 +38,10 @@
 // cutAt cuts the connection at a message. It returns false if the call ends before that message.
 func cutAt(t *testing.T, action frameAction, position int64) bool {
 	c := qt.New(t)
-	b := newTestPair(t, 1)
+	pair := newTestPair(t, 1)
 	var frames atomic.Int64
 	var cut atomic.Bool
-	b.network.actionFor = func(int, bool, frame.Type) frameAction {
+	pair.network.actionFor = func(int, bool, frame.Type) frameAction {
 		if frames.Add(1) == position {
 			cut.Store(true)
 			return action
@@ -50,11 +50,11 @@
 	}
 	call := callFor("once", longBody("abc"))
 	for range 5 { // as for a call that is not idempotent, which is retried only after not-run
-		ranBefore := b.backend.runCount("once")
-		answer, outcome, err := b.call(call)
+		ranBefore := pair.backend.runCount("once")
+		answer, outcome, err := pair.call(call)
 		switch outcome {
 		case core.OutcomeNotRun:
-			c.Assert(b.backend.runCount("once"), qt.Equals, ranBefore)
+			c.Assert(pair.backend.runCount("once"), qt.Equals, ranBefore)
 			continue
 		case core.OutcomeAnswered:
 			got, readErr := io.ReadAll(answer.Body)
@@ -66,7 +66,7 @@
 		break
 	}
 	synctest.Wait()
-	c.Assert(b.backend.runCount("once") <= 1, qt.IsTrue, qt.Commentf("cut at message %d", position))
+	c.Assert(pair.backend.runCount("once") <= 1, qt.IsTrue, qt.Commentf("cut at message %d", position))
 	return cut.Load()
 }
 
@@ -74,8 +74,8 @@
 func TestAnswersOutOfOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
+		pair := newTestPair(t, 1)
+		pair.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			delay := time.Duration(0)
 			_, _ = fmt.Sscan(string(call.ID), (*int64)(&delay))
 			time.Sleep(10*time.Second - delay*time.Millisecond) // the first call is answered last
@@ -85,7 +85,7 @@
 		for i := range 50 {
 			callers.Go(func() {
 				id := fmt.Sprint(i)
-				answer, outcome, _ := b.call(callFor(id, nil))
+				answer, outcome, _ := pair.call(callFor(id, nil))
 				c.Check(outcome, qt.Equals, core.OutcomeAnswered)
 				got, err := io.ReadAll(answer.Body)
 				c.Check(err, qt.IsNil)
@@ -101,17 +101,17 @@
 	for _, kind := range []frame.Type{typeAnswerBody, typeAnswerEnd, typeBody} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newTestPair(t, 1)
-			b.network.actionFor = func(number int, _ bool, seen frame.Type) frameAction {
+			pair := newTestPair(t, 1)
+			pair.network.actionFor = func(number int, _ bool, seen frame.Type) frameAction {
 				if seen == kind && number == 1 {
 					return corrupt
 				}
 				return pass
 			}
-			answer, outcome, _ := b.call(callFor("x", longBody("abc")))
+			answer, outcome, _ := pair.call(callFor("x", longBody("abc")))
 			if kind == typeBody {
 				c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
-				c.Assert(b.backend.runCount("x"), qt.Equals, 0)
+				c.Assert(pair.backend.runCount("x"), qt.Equals, 0)
 				return
 			}
 			c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
@@ -126,14 +126,14 @@
 	for _, stated := range []string{"", "9"} { // the body is sent in several frames, and in one
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			b := newTestPair(t, 1)
-			b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
+			pair := newTestPair(t, 1)
+			pair.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 				answer := answerWith(nil)
 				answer.Header.Set("Content-Length", stated)
 				answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte("part")), iotest.ErrReader(io.ErrUnexpectedEOF)))
 				return answer, core.OutcomeAnswered, nil
 			}
-			answer, outcome, err := b.call(callFor("x", nil))
+			answer, outcome, err := pair.call(callFor("x", nil))
 			if outcome == core.OutcomeAnswered {
 				_, err = io.ReadAll(answer.Body)
 			} else {
@@ -148,23 +148,23 @@
 func TestSlowUploadIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		conn, err := b.network.dial(t.Context(), "b")
+		pair := newTestPair(t, 1)
+		conn, err := pair.network.dial(t.Context(), "b")
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
 		frames := frame.New(conn, nil)
 		c.Assert(frames.Send(time.Time{}, typeHello, helloMessage{Connection: 1}), qt.IsNil)
 		c.Assert(frames.Send(time.Time{}, typeOpen, openMessage{Sequence: 1, Length: 10}), qt.IsNil)
-		b.network.tasks.Go(func() {
+		pair.network.tasks.Go(func() {
 			for range 9 {
 				time.Sleep(400 * time.Millisecond)
 				_ = frames.Send(time.Time{}, typeBody, bodyMessage{Sequence: 1, Bytes: []byte{1}})
 			}
 		})
-		for heard, pongs := time.Now(), 0; pongs < 4; heard = time.Now() {
+		for lastFrameAt, pongs := time.Now(), 0; pongs < 4; lastFrameAt = time.Now() {
 			received, err := frames.Receive(time.Time{})
 			c.Assert(err, qt.IsNil)
-			c.Assert(time.Since(heard) < silenceTimeout, qt.IsTrue)
+			c.Assert(time.Since(lastFrameAt) < silenceTimeout, qt.IsTrue)
 			if received.Type == typePong {
 				pongs++
 			}
@@ -176,10 +176,10 @@
 func TestRevocationUsesNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 2)
-		b.backend.handle = queueUntilCancelled
+		pair := newTestPair(t, 2)
+		pair.backend.handle = queueUntilCancelled
 		var silent atomic.Bool
-		b.network.actionFor = func(number int, _ bool, _ frame.Type) frameAction {
+		pair.network.actionFor = func(number int, _ bool, _ frame.Type) frameAction {
 			if number <= 2 && silent.Load() {
 				return blackhole
 			}
@@ -188,14 +188,14 @@
 		var callers sync.WaitGroup
 		for i := range poolGrowthCalls + 1 { // the last call makes the pool grow
 			callers.Go(func() {
-				_, outcome, err := b.call(callFor(fmt.Sprint(i), nil))
+				_, outcome, err := pair.call(callFor(fmt.Sprint(i), nil))
 				c.Check(outcome, qt.Equals, core.OutcomeNotRun, qt.Commentf("error %v", err))
 			})
 			synctest.Wait()
 		}
-		b.network.mu.Lock()
-		c.Assert(b.network.dials, qt.Equals, 2)
-		b.network.mu.Unlock()
+		pair.network.mu.Lock()
+		c.Assert(pair.network.dials, qt.Equals, 2)
+		pair.network.mu.Unlock()
 		silent.Store(true)
 		callers.Wait()
 	})
@@ -205,14 +205,14 @@
 func TestLostConnectionCancelsQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.backend.handle = queueUntilCancelled
-		go func() { _, _, _ = b.call(callFor("x", nil)) }()
+		pair := newTestPair(t, 1)
+		pair.backend.handle = queueUntilCancelled
+		go func() { _, _, _ = pair.call(callFor("x", nil)) }()
 		synctest.Wait()
-		c.Assert(b.server.calls, qt.HasLen, 1)
-		b.dialer.close()
+		c.Assert(pair.server.calls, qt.HasLen, 1)
+		pair.dialer.close()
 		synctest.Wait()
-		c.Assert(b.server.calls, qt.HasLen, 0)
+		c.Assert(pair.server.calls, qt.HasLen, 0)
 	})
 }
 
@@ -220,17 +220,17 @@
 func TestSlowBackendKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
+		pair := newTestPair(t, 1)
+		pair.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 			time.Sleep(15 * time.Second)
 			return answerWith([]byte("late")), core.OutcomeAnswered, nil
 		}
-		answer, outcome, _ := b.call(callFor("x", nil))
+		answer, outcome, _ := pair.call(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		got, err := io.ReadAll(answer.Body)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(got), qt.Equals, "late")
-		c.Assert(b.network.dials, qt.Equals, 1)
+		c.Assert(pair.network.dials, qt.Equals, 1)
 	})
 }
 
@@ -238,21 +238,21 @@
 func TestOpenAfterRevocationNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
+		pair := newTestPair(t, 1)
+		pair.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toServer && kind == typeOpen {
 				return delay
 			}
 			return pass
 		}
 		began := time.Now()
-		_, outcome, err := b.call(callFor("x", nil))
+		_, outcome, err := pair.call(callFor("x", nil))
 		c.Assert(time.Since(began) <= 2500*time.Millisecond, qt.IsTrue) // although the ping is blocked in its write
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(err, qt.ErrorMatches, "not run: revoked.*")
-		close(b.network.release)
+		close(pair.network.release)
 		time.Sleep(5 * time.Second)
-		c.Assert(b.backend.runCount("x"), qt.Equals, 0)
+		c.Assert(pair.backend.runCount("x"), qt.Equals, 0)
 	})
 }
 
@@ -260,10 +260,10 @@
 func TestRevocationAtRestartedServerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
+		pair := newTestPair(t, 1)
 		started, restarted := make(chan struct{}), make(chan struct{})
-		b.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
-			b.backend.countRun(call.ID)
+		pair.backend.handle = func(ctx context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
+			pair.backend.countRun(call.ID)
 			close(started)
 			<-ctx.Done()
 			return nil, core.OutcomeUnknown, ctx.Err()
@@ -271,21 +271,21 @@
 		go func() {
 			<-started
 			time.Sleep(time.Second)
-			b.stop()
-			b.network.closed = make(chan struct{})
-			b.network.once = sync.Once{}
-			b.startServer(t)
+			pair.stop()
+			pair.network.closed = make(chan struct{})
+			pair.network.once = sync.Once{}
+			pair.startServer(t)
 			close(restarted)
 		}()
-		b.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
+		pair.network.actionFor = func(number int, direction bool, kind frame.Type) frameAction {
 			if number == 1 && direction == toDialer && kind == typeRefused {
 				return blackhole
 			}
 			return pass
 		}
-		_, outcome, _ := b.call(callFor("x", nil))
+		_, outcome, _ := pair.call(callFor("x", nil))
 		<-restarted
-		c.Assert(b.backend.runCount("x"), qt.Equals, 1)
+		c.Assert(pair.backend.runCount("x"), qt.Equals, 1)
 		c.Assert(outcome, qt.Equals, core.OutcomeUnknown)
 	})
 }
@@ -294,20 +294,20 @@
 func TestSlowReaderDoesNotDelayOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
+		pair := newTestPair(t, 1)
 		big := bytes.Repeat([]byte("x"), 5*answerWindowBytes)
-		b.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
+		pair.backend.handle = func(_ context.Context, call *core.Call) (*core.Answer, core.Outcome, error) {
 			if call.ID == "slow" {
 				return answerWith(big), core.OutcomeAnswered, nil
 			}
 			return answerWith([]byte("quick")), core.OutcomeAnswered, nil
 		}
-		slow, outcome, _ := b.call(callFor("slow", nil))
+		slow, outcome, _ := pair.call(callFor("slow", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		synctest.Wait()
 		c.Assert(slow.Body.(*answerBody).stream.unreadBytes <= answerWindowBytes, qt.IsTrue)
 		began := time.Now()
-		quick, outcome, _ := b.call(callFor("quick", nil))
+		quick, outcome, _ := pair.call(callFor("quick", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeAnswered)
 		_, err := io.ReadAll(quick.Body)
 		c.Assert(err, qt.IsNil)
@@ -315,7 +315,7 @@
 		got, err := io.ReadAll(slow.Body)
 		c.Assert(err, qt.IsNil)
 		c.Assert(bytes.Equal(got, big), qt.IsTrue)
-		c.Assert(b.network.dials, qt.Equals, 1)
+		c.Assert(pair.network.dials, qt.Equals, 1)
 	})
 }
 
@@ -323,9 +323,9 @@
 func TestFailedConnectIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.network.refuse = true
-		_, outcome, err := b.call(callFor("x", nil))
+		pair := newTestPair(t, 1)
+		pair.network.refuse = true
+		_, outcome, err := pair.call(callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		var refusal *core.Refusal
 		c.Assert(errors.As(err, &refusal), qt.IsTrue)
@@ -337,28 +337,28 @@
 func TestCancelledCallLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.backend.handle = queueUntilCancelled
+		pair := newTestPair(t, 1)
+		pair.backend.handle = queueUntilCancelled
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, outcome, _ := b.dialer.Forward(ctx, core.Endpoint{Address: "b"}, callFor("x", nil))
+		_, outcome, _ := pair.dialer.Forward(ctx, core.Endpoint{Address: "b"}, callFor("x", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		synctest.Wait()
-		c.Assert(b.server.calls, qt.HasLen, 0)
+		c.Assert(pair.server.calls, qt.HasLen, 0)
 	})
 }
 
 // Guards against a planned stop that cuts off an accepted call or accepts a new one.
-func TestDrainFinishesBegunCalls(t *testing.T) {
+func TestDrainFinishesAcceptedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newTestPair(t, 1)
-		b.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
+		pair := newTestPair(t, 1)
+		pair.backend.handle = func(context.Context, *core.Call) (*core.Answer, core.Outcome, error) {
 			time.Sleep(3 * time.Second)
 			return answerWith(longBody("abc")), core.OutcomeAnswered, nil
 		}
 		var opens atomic.Int64
-		b.network.actionFor = func(_ int, _ bool, kind frame.Type) frameAction {
+		pair.network.actionFor = func(_ int, _ bool, kind frame.Type) frameAction {
 			if kind == typeOpen {
 				opens.Add(1)
 			}
@@ -366,7 +366,7 @@
 		}
 		begun := make(chan error, 1)
 		go func() {
-			answer, outcome, err := b.call(callFor("begun", nil))
+			answer, outcome, err := pair.call(callFor("begun", nil))
 			if outcome == core.OutcomeAnswered {
 				_, err = io.ReadAll(answer.Body)
 			}
@@ -376,15 +376,15 @@
 		drained := make(chan error, 1)
 		began := time.Now()
 		go func() {
-			err := b.server.Drain(context.Background())
+			err := pair.server.Drain(context.Background())
 			c.Check(time.Since(began), qt.Equals, 2*time.Second) // when the accepted call ends
 			drained <- err
 		}()
 		synctest.Wait()
-		_, outcome, err := b.call(callFor("new", nil))
+		_, outcome, err := pair.call(callFor("new", nil))
 		c.Assert(outcome, qt.Equals, core.OutcomeNotRun)
 		c.Assert(err, qt.ErrorMatches, "not run: leaving")
-		c.Assert(b.network.dials, qt.Equals, 1) // calls to a leaving peer do not dial it
+		c.Assert(pair.network.dials, qt.Equals, 1) // calls to a leaving peer do not dial it
 		c.Assert(opens.Load(), qt.Equals, int64(1))
 		c.Assert(<-begun, qt.IsNil)
 		c.Assert(<-drained, qt.IsNil)
--- a/io/nodepeer/server.go
+++ b/io/nodepeer/server.go
@@ -43,24 +43,24 @@
 	started  time.Time
 	tasks    sync.WaitGroup
 
-	accepted *metrics.Counter
-	refused  *metrics.Counter
-	revoked  *metrics.Counter
-	tooLate  *metrics.Counter
-
-	mu          sync.Mutex
-	attempts    *idempotency.AttemptLog
-	keys        *idempotency.KeyStore
-	memberships map[core.ServiceName]membership
-	snapshots   heldSnapshots
-	handedOver  bool
-	agesFunc    func(idempotency.Key) map[core.NodeID]time.Duration // nil until NewClaims sets it
-	calls       map[idempotency.AttemptKey]*serverCall
-	connections map[*serverConn]struct{}
-	bodyBytes   int
-	leaving     bool
-	closed      bool
-	idle        chan struct{} // closed when the server is leaving and its last call has ended
+	accepted           *metrics.Counter
+	refused            *metrics.Counter
+	revocationsDone    *metrics.Counter
+	revocationsTooLate *metrics.Counter
+
+	mu             sync.Mutex
+	attempts       *idempotency.AttemptLog
+	keys           *idempotency.KeyStore
+	memberships    map[core.ServiceName]membership
+	snapshots      heldSnapshots
+	handedOver     bool
+	holderAgesFunc func(idempotency.Key) map[core.NodeID]time.Duration // nil until NewClaims sets it
+	calls          map[idempotency.AttemptKey]*serverCall
+	connections    map[*serverConn]struct{}
+	bodyBytes      int
+	leaving        bool
+	closed         bool
+	drained        chan struct{} // closed when the server is leaving and its last call has ended
 }
 
 // NewServer listens and starts to accept connections. The cleanup function closes all connections and waits for the goroutines.
@@ -79,20 +79,20 @@
 		options.MaxCalls = defaultMaxCalls
 	}
 	s := &Server{
-		options:     options,
-		listener:    listener,
-		started:     time.Now(),
-		accepted:    options.Metrics.GetOrCreateCounter("parsleyport_peer_calls_total"),
-		refused:     options.Metrics.GetOrCreateCounter("parsleyport_peer_calls_refused_total"),
-		revoked:     options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="not-run"}`),
-		tooLate:     options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="unknown"}`),
-		attempts:    idempotency.NewAttemptLog(),
-		keys:        idempotency.NewKeyStore(),
-		memberships: make(map[core.ServiceName]membership),
-		snapshots:   make(heldSnapshots),
-		calls:       make(map[idempotency.AttemptKey]*serverCall),
-		connections: make(map[*serverConn]struct{}),
-		idle:        make(chan struct{}),
+		options:            options,
+		listener:           listener,
+		started:            time.Now(),
+		accepted:           options.Metrics.GetOrCreateCounter("parsleyport_peer_calls_total"),
+		refused:            options.Metrics.GetOrCreateCounter("parsleyport_peer_calls_refused_total"),
+		revocationsDone:    options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="not-run"}`),
+		revocationsTooLate: options.Metrics.GetOrCreateCounter(`parsleyport_peer_revocations_total{verdict="unknown"}`),
+		attempts:           idempotency.NewAttemptLog(),
+		keys:               idempotency.NewKeyStore(),
+		memberships:        make(map[core.ServiceName]membership),
+		snapshots:          make(heldSnapshots),
+		calls:              make(map[idempotency.AttemptKey]*serverCall),
+		connections:        make(map[*serverConn]struct{}),
+		drained:            make(chan struct{}),
 	}
 	s.tasks.Go(s.accept)
 	return s, s.close, nil
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	if !s.leaving {
 		s.leaving = true
-		s.signalIfIdle()
+		s.signalDrained()
 	}
 	connections := make([]*serverConn, 0, len(s.connections))
 	for c := range s.connections {
@@ -118,22 +118,22 @@
 		c.send(typeGoaway, emptyMessage{})
 	}
 	select {
-	case <-s.idle:
+	case <-s.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// signalIfIdle wakes Drain if the last call has ended. It needs the lock.
-func (s *Server) signalIfIdle() {
+// signalDrained wakes Drain if the last call has ended. It needs the lock.
+func (s *Server) signalDrained() {
 	if !s.leaving || len(s.calls) > 0 {
 		return
 	}
 	select {
-	case <-s.idle:
+	case <-s.drained:
 	default:
-		close(s.idle)
+		close(s.drained)
 	}
 }
 
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -24,14 +24,14 @@
 
 // serverCall is one attempt. The server's lock guards the fields of the second group.
 type serverCall struct {
-	key      idempotency.AttemptKey
-	conn     *serverConn
-	call     *core.Call
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	credit   *credit
-	length   int
-	checksum uint64
+	key          idempotency.AttemptKey
+	conn         *serverConn
+	call         *core.Call
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	credit       *credit
+	bodyLength   int
+	bodyChecksum uint64
 
 	body               []byte
 	reservedBytes      int
@@ -161,7 +161,7 @@
 			delete(s.calls, key)
 		}
 	}
-	s.signalIfIdle()
+	s.signalDrained()
 }
 
 func (c *serverConn) attemptKey(sequence uint64) idempotency.AttemptKey {
@@ -197,8 +197,8 @@
 		ctx:           ctx,
 		cancel:        cancel,
 		credit:        newCredit(answerWindowBytes),
-		length:        message.Length,
-		checksum:      message.Checksum,
+		bodyLength:    message.Length,
+		bodyChecksum:  message.Checksum,
 		body:          message.Body,
 		reservedBytes: message.Length,
 	}
@@ -258,7 +258,7 @@
 	if call == nil || call.started {
 		return nil // refused or cancelled while the body was in flight
 	}
-	if len(call.body)+len(message.Bytes) > call.length {
+	if len(call.body)+len(message.Bytes) > call.bodyLength {
 		return errors.Annotatef(errProtocol, "body of sequence %d is too long", message.Sequence)
 	}
 	call.body = append(call.body, message.Bytes...)
@@ -275,7 +275,7 @@
 
 func (c *serverConn) startCall(call *serverCall) error {
 	s := c.server
-	if len(call.body) != call.length || xxhash.Sum64(call.body) != call.checksum {
+	if len(call.body) != call.bodyLength || xxhash.Sum64(call.body) != call.bodyChecksum {
 		return errors.Annotatef(errProtocol, "body of sequence %d is truncated or corrupted", call.key.Sequence)
 	}
 	s.mu.Lock()
@@ -354,9 +354,9 @@
 
 func (c *serverConn) sendRevoked(token uint64, revoked bool) {
 	if revoked {
-		c.server.revoked.Inc()
+		c.server.revocationsDone.Inc()
 	} else {
-		c.server.tooLate.Inc()
+		c.server.revocationsTooLate.Inc()
 	}
 	c.send(typeRevoked, revokedMessage{
 		Token:   token,
@@ -373,5 +373,5 @@
 	s.attempts.Ended(call.key, ran)
 	s.bodyBytes -= call.reservedBytes
 	call.cancel(nil)
-	s.signalIfIdle()
+	s.signalDrained()
 }
--- a/io/nodepeer/stream.go
+++ b/io/nodepeer/stream.go
@@ -276,11 +276,11 @@
 func (b *answerBody) Close() error {
 	s := b.stream
 	s.mu.Lock()
-	cut := s.end == nil && !s.closed
+	unfinished := s.end == nil && !s.closed
 	s.closed = true
 	s.chunks = nil
 	s.mu.Unlock()
-	if cut {
+	if unfinished {
 		s.conn.remove(s.sequence)
 		s.conn.send(typeCancel, sequenceMessage{
 			Sequence: s.sequence,
