--- a/io/backendhttp/pool.go
+++ b/io/backendhttp/pool.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// get returns an idle or a new connection. A failure of get means that no byte of the call was written.
+// get returns an idle or a new connection. If it fails, no byte of the call has been written.
 func (p *pool) get(ctx context.Context, address string) (*backendConn, error) {
 	for c := p.take(); c != nil; c = p.take() {
 		if c.address == address && time.Since(c.idleSince) < maxIdleTime && c.alive() {
--- a/io/backendhttp/server.go
+++ b/io/backendhttp/server.go
@@ -81,7 +81,7 @@
 	Release core.Release
 }
 
-// Server is a node's connection to its local backend server. It implements core.Backend.
+// Server receives the announcements of the local backend server and sends calls to it. It implements core.Backend.
 type Server struct {
 	options   Options
 	admission Admission
--- a/io/callerhttp/request.go
+++ b/io/callerhttp/request.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// parse validates a request except for its body and builds the call. After a refusal nothing of the request has been run.
+// parseRequest validates a request except for its body and builds the call. After a refusal nothing of the request has been run.
 func (s *Server) parseRequest(r *http.Request, configuration *record.Configuration, now time.Time) (*request, *core.Refusal) {
 	names := &s.options.Headers
 	if slices.Contains(strings.Split(r.URL.Path, "/"), "..") {
@@ -103,7 +103,7 @@
 }
 
 // startDeadline returns the time by which a call must get a slot. While the server drains, this is at the latest the end of
-// the drain, since the call has to end before the server stops.
+// RefusalPeriod, since the call has to end before the server stops.
 func (s *Server) startDeadline(now time.Time) time.Time {
 	if s.options.MaxQueueTime == 0 {
 		return time.Time{}
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -375,8 +375,9 @@
 	},
 }
 
-// copyBody copies a body and flushes often, since a streaming answer may pause. The flag sourceFailed tells a read error from a
-// write error. With a recorder it reads the body to its end even if the caller has disconnected.
+// copyBody copies a body. It flushes after each full chunk, and after each read if the answer has no Content-Length, since a streaming
+// answer may pause. The flag sourceFailed tells a read error from a write error. With a recorder it reads the body to its end even if
+// the caller has disconnected.
 func copyBody(w http.ResponseWriter, body io.Reader, recorder *recorder) (sourceFailed bool, err error) {
 	flusher, _ := w.(http.Flusher)
 	buffer := chunkPool.Get().(*[]byte)
--- a/io/callerhttp/timeoutestimate.go
+++ b/io/callerhttp/timeoutestimate.go
@@ -14,9 +14,9 @@
 	maxTimeoutEstimates = 4096
 )
 
-// timeoutEstimate estimates the timeout with which the callers of a route start, as the longest remaining time seen of late. A caller
-// that was refused and retries states a shorter remaining time. The difference is the time since its first attempt, which is not
-// known otherwise, since each attempt is a call of its own.
+// timeoutEstimate estimates the timeout with which the callers of a route start, as the longest remaining time of the last two
+// windows. A caller that was refused and retries states a shorter remaining time. The difference is the time since its first attempt,
+// which is not known otherwise, since each attempt is a call of its own.
 type timeoutEstimate struct {
 	longest   [2]time.Duration // longest remaining time of the current and of the previous window
 	windowEnd time.Time        // of the current window
--- a/io/callerhttp/wait.go
+++ b/io/callerhttp/wait.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxWaitingCalls bounds the calls that wait for an endpoint to half of the active ones, and maxWaitingCallsPerService those of
+	// maxWaitingCalls bounds the calls that wait for an endpoint to half of maxActiveRequests, and maxWaitingCallsPerService those of
 	// one service, so that a service without backend servers can't block the others. A node gets about 144 calls a second at the
 	// planned size.
 	maxWaitingCalls           = maxActiveRequests / 2
@@ -121,8 +121,8 @@
 	}
 }
 
-// waitForChange waits for a change of the endpoints, for at most probeInterval. The result expired means that
-// the call may wait no longer.
+// waitForChange waits for a change of the endpoints, for at most probeInterval. The result expired means that the call may wait no
+// longer.
 func waitForChange(ctx context.Context, q *request, changed <-chan struct{}) (expired, changedInTime bool) {
 	remaining := time.Until(q.waitDeadline())
 	if remaining <= 0 {
@@ -141,7 +141,7 @@
 }
 
 // allowRetry reports whether another attempt may be made. A call that has used up its free retries on nodes that accept no calls
-// goes on at probeInterval.
+// makes one more attempt after each probeInterval.
 func (s *Server) allowRetry(ctx context.Context, q *request, class retry.Class) bool {
 	takeBudget := func() bool { return s.takeRetryBudget(q.route.Service) }
 	if q.attempts.AllowRetry(class, takeBudget) {
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -67,7 +67,7 @@
 	a.scheduleExpiry()
 }
 
-// scheduleExpiry makes expireLoop check the deadlines again if calls wait; the caller holds the lock.
+// scheduleExpiry makes expireLoop check the deadlines again if calls wait. a.mu must be held.
 func (a *admission) scheduleExpiry() {
 	if a.limiter.Waiting() > 0 {
 		a.expiryNeeded.TryPush(struct{}{})
@@ -152,7 +152,7 @@
 	return true
 }
 
-// apply wakes the calls that a change starts or sheds; the caller holds the lock.
+// apply wakes the calls that a change starts or sheds. a.mu must be held.
 func (a *admission) apply(change limiter.Change) {
 	for _, ticket := range change.Start {
 		a.wake(ticket, nil)
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -13,7 +13,7 @@
 	"parsleyport/io/distribution"
 )
 
-// dump is the state of a node for support.
+// dump is the state of a node that the admin interface shows.
 type dump struct {
 	Node         core.NodeID                          `json:"node"`
 	Incarnation  core.Incarnation                     `json:"incarnation"`
--- a/io/node/holders_test.go
+++ b/io/node/holders_test.go
@@ -8,8 +8,8 @@
 	"parsleyport/core"
 )
 
-// Guards against a key that is claimed only at nodes that cannot know it, because its holders have left, and against the
-// address of an earlier run of a node that is back.
+// Guards against claiming a key only at nodes that cannot know it, because its holders have left, and against using the address of
+// an earlier run of a node that is back.
 func TestKeyHoldersIncludeNodesThatLeft(t *testing.T) {
 	c := qt.New(t)
 	live := []core.Endpoint{{Node: "a", Incarnation: 2}, {Node: "b", Incarnation: 1}}
--- a/io/node/moves.go
+++ b/io/node/moves.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// defaultEvidenceInterval is how often a node reports its counts of services with an open move. A move reacts to a fault within
+	// defaultEvidenceInterval is how often a node reports the counts of services with an open move. A move reacts to a fault within
 	// a few intervals.
 	defaultEvidenceInterval = time.Second
 )
--- a/io/node/moves_test.go
+++ b/io/node/moves_test.go
@@ -9,7 +9,7 @@
 	"parsleyport/core/record"
 )
 
-// Guards against calls from before a move, or from another move, that pass for calls of this one.
+// Guards against counting calls from before a move, or from another move, as calls of this one.
 func TestEvidenceStartsWithMove(t *testing.T) {
 	c := qt.New(t)
 	opened := func(moves ...core.MoveID) *record.Configuration {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -27,22 +27,38 @@
 
 // Options configure a node beyond its settings; the zero value of each field selects its default.
 type Options struct {
-	Headers             core.HeaderNames
-	CallerSetsCallID    bool // the call id comes from a header of the caller
-	DisableHedging      bool
-	Policy              balancer.Policy     // for choosing endpoints
-	TrustSlots          bool                // see limiter.Options
-	SoftDeadlineFirst   bool                // see limiter.Options
-	FreeCapacityRetries int                 // endpoints tried after refusals for overload, outside the retry budget; zero for the usual attempts
-	RetryBudget         retry.BudgetOptions // for retries, of each service
-	RetryAfter          func(*core.Refusal) string
-	BackendLease        time.Duration // how long an announcement of the backend server is valid
-	AllowCloseDelimited bool          // see backendhttp.Options
-	MaxQueueTime        time.Duration // how long a call may wait for a slot, zero for the whole time until its deadline
-	DrainPeriod         time.Duration // how long a planned stop still accepts calls of callers that have not noticed it
-	RefusalPeriod       time.Duration // how long new calls are refused after DrainPeriod
-	DrainLimit          time.Duration // how long a planned stop may take
-	EvidenceInterval    time.Duration // between two reports of evidence about open moves
+	// Headers names the HTTP headers; the zero value stands for the default names.
+	Headers core.HeaderNames
+	// CallerSetsCallID uses the call ID header of a request as the call's ID, instead of a random one.
+	CallerSetsCallID bool
+	// DisableHedging turns hedged attempts off.
+	DisableHedging bool
+	// Policy selects the load-balancing policy.
+	Policy balancer.Policy
+	// TrustSlots keeps the concurrency limit at the announced number of slots; see limiter.Options.
+	TrustSlots bool
+	// SoftDeadlineFirst serves calls that can still meet their soft deadline first; see limiter.Options.
+	SoftDeadlineFirst bool
+	// FreeCapacityRetries is the number of retries after capacity refusals that cost no retry budget.
+	FreeCapacityRetries int
+	// RetryBudget configures the retry budget of each service.
+	RetryBudget retry.BudgetOptions
+	// RetryAfter returns the Retry-After header of answers with status 503. If it is nil, the header is not set.
+	RetryAfter func(*core.Refusal) string
+	// BackendLease is how long an announcement of the backend server is valid unless it is repeated.
+	BackendLease time.Duration
+	// AllowCloseDelimited accepts answers of the backend server without a length; see backendhttp.Options.
+	AllowCloseDelimited bool
+	// MaxQueueTime bounds how long a call may wait for a slot. Zero means until its deadline.
+	MaxQueueTime time.Duration
+	// DrainPeriod is how long a planned stop still answers the calls of callers that have not noticed it.
+	DrainPeriod time.Duration
+	// RefusalPeriod follows DrainPeriod: the node still listens for callers, but refuses their calls.
+	RefusalPeriod time.Duration
+	// DrainLimit is how long a planned stop may take.
+	DrainLimit time.Duration
+	// EvidenceInterval is the time between two reports of evidence about open moves.
+	EvidenceInterval time.Duration
 }
 
 // process holds what the parts of one node share.
@@ -150,8 +166,8 @@
 	return n.process.serving.Load()
 }
 
-// openForCallers waits until the configuration is confirmed and the endpoints are known. A caller that cannot connect tries another
-// node at once, while a caller that gets a refusal here may not.
+// openForCallers starts to listen for callers once the configuration is confirmed and the endpoints are known. A caller that cannot
+// connect tries another node at once, while a caller that gets a refusal may not.
 func (p *process) openForCallers(ctx context.Context, injector do.Injector) error {
 	subscriber := do.MustInvoke[*distribution.Subscriber](injector)
 	for _, signal := range []<-chan struct{}{subscriber.ConfirmedSignal(), subscriber.EndpointsSignal()} {
@@ -213,7 +229,7 @@
 	})
 }
 
-// drain stops a node without cutting off calls: the fleet learns that it is leaving, while callers and other nodes finish the calls
+// drain stops a node without cutting off calls: it reports that the node is leaving, while callers and other nodes finish the calls
 // that they have begun here.
 func (p *process) drain(injector do.Injector) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.DrainLimit)
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -63,8 +63,8 @@
 	return registerCleanup(p, server, cleanup, err)
 }
 
-// announce tells the fleet about the local backend server. It also tells the peer server, since a holder of idempotency keys needs to
-// know since when this node is one of the service's nodes.
+// announce reports the state of the local backend server to the distribution tree. It also tells the peer server, since a holder of
+// idempotency keys must know since when this node has been one of the service's nodes.
 func (p *process) announce(subscriber *distribution.Subscriber, a backendhttp.Announcement) {
 	p.service.Store(a.Service)
 	subscriber.Announce(core.Endpoint{
@@ -79,7 +79,7 @@
 	}
 }
 
-// reportCrash tells the fleet which requests were running, so that none of them can crash many backend servers.
+// reportCrash reports the requests that were running in a crash to all nodes, so that none of them can crash many backend servers.
 func (p *process) reportCrash(subscriber *distribution.Subscriber, crash backendhttp.Crash) {
 	for _, call := range crash.Calls {
 		subscriber.ReportCrash(core.CrashReport{
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -21,7 +21,7 @@
 	// runningPollInterval is the interval at which a resend asks whether the running call has been answered.
 	runningPollInterval = 50 * time.Millisecond
 	observeInterval     = time.Second
-	// maxMemberships bounds the services that a node remembers having announced within the window.
+	// maxMemberships bounds the services that a node remembers having announced within idempotency.Window.
 	maxMemberships = 64
 	// probeTimeout bounds a probe of an unresponsive holder. It exceeds silenceTimeout, so that a silent connection is detected
 	// and replaced within one probe.
@@ -59,8 +59,8 @@
 	Ages map[core.NodeID]time.Duration `msgpack:"ages"` // how long the holder has known each of the key's holders
 }
 
-// membership is the time in which this node has announced a service. It is kept for the window after the node has left the
-// service, because other nodes claim keys from it until then.
+// membership is the time in which this node has announced a service. It is kept for idempotency.Window after the node has left
+// the service, because other nodes claim keys from it until then.
 type membership struct {
 	since    time.Time
 	runSince time.Time // start in the current run; later than since if the keys of a previous run were restored
@@ -92,7 +92,7 @@
 	s.memberships[service] = m
 }
 
-// membershipAges returns how long the node has been a node of the service, in total and in its current run. It needs the lock.
+// membershipAges returns how long the node has been a node of the service, in total and in its current run. s.mu must be held.
 func (s *Server) membershipAges(now time.Time, service core.ServiceName) (member, run time.Duration) {
 	m, known := s.memberships[service]
 	if !known || (!m.leftAt.IsZero() && now.Sub(m.leftAt) > idempotency.Window) {
@@ -142,18 +142,25 @@
 	return nil
 }
 
-// ClaimsOptions configures Claims. Server holds this node's own keys. Incarnation increases with each start of the node.
-// ServiceSince returns a time before which no call of the service can have been made; it may be nil. Without such a time, keyed
-// calls are answered with unknown until some node has announced the service for the window.
+// ClaimsOptions configures Claims. Server, Dialer, Endpoints and Services are required.
 type ClaimsOptions struct {
-	Self         core.NodeID
-	Incarnation  core.Incarnation
-	Server       *Server
-	Dialer       *Dialer
-	Endpoints    core.EndpointSource
-	Services     func() []core.ServiceName
+	// Self is the ID of this node.
+	Self core.NodeID
+	// Incarnation increases with each start of the node.
+	Incarnation core.Incarnation
+	// Server holds this node's own keys.
+	Server *Server
+	// Dialer connects to the other holders.
+	Dialer *Dialer
+	// Endpoints lists the nodes that may hold keys of a service.
+	Endpoints core.EndpointSource
+	// Services returns the services whose endpoints are observed.
+	Services func() []core.ServiceName
+	// ServiceSince returns a time before which no call of the service can have been made. It may be nil. Without such a time, keyed
+	// calls are answered with unknown until some node has announced the service for idempotency.Window.
 	ServiceSince func(core.ServiceName) (time.Time, bool)
-	Metrics      *metrics.Set
+	// Metrics gets the metrics of claims. If it is nil, a private set is used.
+	Metrics *metrics.Set
 }
 
 // Claims claims and settles idempotency keys at their holders.
@@ -171,7 +178,7 @@
 }
 
 // NewClaims starts to observe the endpoints of all services, to probe unresponsive holders and to fetch the keys of the node's
-// previous run. The cleanup function ends that.
+// previous run. The cleanup function ends these tasks.
 func NewClaims(options ClaimsOptions) (*Claims, func(), error) {
 	if options.Server == nil || options.Dialer == nil || options.Endpoints == nil || options.Services == nil {
 		return nil, nil, errors.New("server, dialer, endpoints and services must be set")
@@ -337,7 +344,7 @@
 	} else if since, known := c.unresponsive[address]; !known && len(c.unresponsive) < maxUnresponsiveHolders {
 		c.unresponsive[address] = time.Now()
 	} else if known && time.Since(since) > idempotency.Window {
-		delete(c.unresponsive, address) // after the window it is no longer a holder
+		delete(c.unresponsive, address) // after idempotency.Window it is no longer a holder
 	}
 }
 
--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -44,7 +44,7 @@
 	lastToken         uint64 // token of the latest revocation, claim or settlement
 	lost              bool
 	goawayReceived    bool
-	lastReceived      time.Time // latest message from the peer, start of the first outstanding call or pause of this process
+	lastReceived      time.Time // latest of: message from the peer, first outstanding call, end of a pause of this process
 	idleUntil         time.Time // the connection is closed at this time unless something is outstanding
 	peerStartedBefore time.Time // the peer's process started before this time
 	lastPing          time.Time
--- a/io/nodepeer/dialer.go
+++ b/io/nodepeer/dialer.go
@@ -14,16 +14,24 @@
 	"parsleyport/io/frame"
 )
 
-// DialerOptions configures a Dialer. Calls to Self go to Local without a connection. Dial, if set, replaces the TCP dial.
+// DialerOptions configures a Dialer.
 type DialerOptions struct {
-	Self               core.NodeID
-	Local              core.Backend
-	ConnectionsPerPeer int // maximum, 0 for 2
-	DataCentre         core.DataCentre
-	Compressor         *frame.Compressor // for peers in other data centres; nil for no compression
-	Logger             zerolog.Logger
-	Metrics            *metrics.Set
-	Dial               func(ctx context.Context, address string) (net.Conn, error)
+	// Self is the ID of this node. Calls to it go to Local without a connection.
+	Self core.NodeID
+	// Local handles the calls to Self. If it is nil, they use a connection like all others.
+	Local core.Backend
+	// ConnectionsPerPeer is the maximum number of connections to a peer. Zero means 2.
+	ConnectionsPerPeer int
+	// DataCentre is the data centre of this node.
+	DataCentre core.DataCentre
+	// Compressor compresses messages to peers in other data centres. Nil means no compression.
+	Compressor *frame.Compressor
+	// Logger gets a line for each connection that is lost with calls outstanding.
+	Logger zerolog.Logger
+	// Metrics gets the dialer's metrics. If it is nil, a private set is used.
+	Metrics *metrics.Set
+	// Dial connects to a peer. Nil means a TCP dial.
+	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
 // Dialer is a core.Forwarder with a small pool of connections to each peer.
@@ -42,7 +50,7 @@
 	lastDial uint64 // number of the latest dial
 }
 
-// peerPool holds the connections to one address. The dialer's lock guards its fields.
+// peerPool holds the connections to one address. Dialer.mu guards its fields.
 type peerPool struct {
 	connections []*clientConn
 	dialing     chan struct{} // closed when the dial in progress has ended; nil if there is none
@@ -153,7 +161,7 @@
 	return s, err
 }
 
-// retryUnsent repeats use with another connection as long as the chosen one is closed before anything is sent.
+// retryUnsent calls use again, which then uses another connection, as long as the connection was closed before anything was sent.
 func retryUnsent(use func() error) error {
 	for {
 		if err := use(); !errors.Is(err, errUnsent) {
@@ -241,7 +249,7 @@
 	}
 }
 
-// poolFor returns the pool of an address. If there are too many, it removes those without connections. It needs the lock.
+// poolFor returns the pool of an address. If there are too many, it removes those without connections. d.mu must be held.
 func (d *Dialer) poolFor(address string) (*peerPool, error) {
 	if d.ctx.Err() != nil {
 		return nil, errDialerClosed
--- a/io/nodepeer/handover.go
+++ b/io/nodepeer/handover.go
@@ -54,7 +54,7 @@
 	fetchedBy      core.Incarnation // the first later run of the node that fetched it; zero if none
 }
 
-// heldSnapshots are the snapshots that a node holds for others. The server's lock guards them.
+// heldSnapshots are the snapshots that a node holds for others. Server.mu guards them.
 type heldSnapshots map[core.NodeID]*keySnapshot
 
 func (h heldSnapshots) handle(now time.Time, request *handoverRequest, leaving bool) *handoverReply {
@@ -153,8 +153,8 @@
 	return lo.Keys(s.memberships)
 }
 
-// HandOver sends this node's keys to another node of its services, which holds them until this node is started again. From
-// then on this node grants no claims. It is the last step of a planned stop. It returns an error if no node accepts the keys.
+// HandOver stops granting claims and sends this node's keys to another node of its services, which holds them until this node is
+// started again. It is the last step of a planned stop. It returns an error if no node accepts the keys.
 func (c *Claims) HandOver(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -87,7 +87,8 @@
 	return known && !firstSeen.After(since.Add(idempotency.JoinLag))
 }
 
-// covers reports whether a holder that has been a node of the service for that long has seen all claims of the window.
+// covers reports whether a holder that has been a node of the service for that long has seen all claims of the last
+// idempotency.Window.
 func (c *Claims) covers(service core.ServiceName, member time.Duration) bool {
 	if member >= idempotency.Window+idempotency.JoinLag {
 		return true
--- a/io/nodepeer/keepalive.go
+++ b/io/nodepeer/keepalive.go
@@ -16,14 +16,13 @@
 	c.dialer.tasks.Go(c.receive)
 }
 
-// hasOutstanding reports whether a reply from the peer is outstanding. It needs the lock.
+// hasOutstanding reports whether a reply from the peer is outstanding. c.mu must be held.
 func (c *clientConn) hasOutstanding() bool {
 	return len(c.streams)+len(c.revocations)+len(c.keyRequests) > 0
 }
 
-// beginUse prepares the connection for a call or request, or returns errUnsent if it is lost or being closed. The caller
-// holds the lock until the call or request is registered. Silence counts from the first outstanding call, since an idle
-// connection gets no pings.
+// beginUse prepares the connection for a call or request, or returns errUnsent if it is lost or being closed. c.mu must be held
+// until the call or request is registered. Silence counts from the first outstanding call, since an idle connection gets no pings.
 func (c *clientConn) beginUse() error {
 	if c.lost {
 		return errUnsent
@@ -36,7 +35,7 @@
 	return nil
 }
 
-// scheduleCheck lets the next check run no later than the given time. It needs the lock.
+// scheduleCheck lets the next check run no later than the given time. c.mu must be held.
 func (c *clientConn) scheduleCheck(at time.Time) {
 	if c.timer != nil && at.Before(c.nextCheck) {
 		c.nextCheck = at
--- a/io/nodepeer/server.go
+++ b/io/nodepeer/server.go
@@ -23,17 +23,25 @@
 	errProtocol       = errors.ConstError("peer violated the protocol")
 )
 
-// ServerOptions configures a Server. If Listener is set, Address is ignored.
+// ServerOptions configures a Server.
 type ServerOptions struct {
-	Address  string
+	// Address is the TCP address to listen on.
+	Address string
+	// Listener replaces Address if it is set.
 	Listener net.Listener
-	Backend  core.Backend
-	Logger   zerolog.Logger
-	Metrics  *metrics.Set
-	MaxCalls int // maximum number of concurrent calls, 0 for 4096
-
+	// Backend handles the calls.
+	Backend core.Backend
+	// Logger is currently not used.
+	Logger zerolog.Logger
+	// Metrics gets the server's metrics. If it is nil, a private set is used.
+	Metrics *metrics.Set
+	// MaxCalls is the maximum number of concurrent calls. Zero means 4096.
+	MaxCalls int
+
+	// DataCentre is the data centre of this node.
 	DataCentre core.DataCentre
-	Compressor *frame.Compressor // for dialers in other data centres; nil for no compression
+	// Compressor compresses messages to dialers in other data centres. Nil means no compression.
+	Compressor *frame.Compressor
 }
 
 // Server accepts calls from other nodes and passes them to a core.Backend. It also holds idempotency keys.
@@ -125,7 +133,7 @@
 	}
 }
 
-// signalDrained wakes Drain if the last call has ended. It needs the lock.
+// signalDrained closes s.drained if the drain is complete. s.mu must be held.
 func (s *Server) signalDrained() {
 	if !s.leaving || len(s.calls) > 0 {
 		return
--- a/io/nodepeer/serverconn.go
+++ b/io/nodepeer/serverconn.go
@@ -22,7 +22,8 @@
 	lastPong time.Time // latest pong or welcome
 }
 
-// serverCall is one attempt. The server's lock guards the fields of the second group.
+// serverCall is one attempt. Server.mu guards the second group of fields; the connection's reader, which alone changes body and
+// started, reads these two without it.
 type serverCall struct {
 	key          idempotency.AttemptKey
 	conn         *serverConn
@@ -212,8 +213,8 @@
 	return nil
 }
 
-// register records the attempt and returns a cause if it must be refused, or an error if the connection must be closed. It
-// needs the lock.
+// register records the attempt and returns a cause if it must be refused, or an error if the connection must be closed. s.mu must be
+// held.
 func (s *Server) register(key idempotency.AttemptKey, message openMessage, now time.Time) (core.RefusalCause, error) {
 	switch s.attempts.Arrived(now, key) {
 	case idempotency.ArrivalRepeated:
@@ -364,7 +365,7 @@
 	})
 }
 
-// removeCall forgets a call and wakes Drain if it was the last. It needs the lock.
+// removeCall forgets a call and wakes Drain if it was the last. s.mu must be held.
 func (s *Server) removeCall(call *serverCall, ran bool) {
 	if s.calls[call.key] != call {
 		return
