--- a/io/backendhttp/server.go
+++ b/io/backendhttp/server.go
@@ -55,7 +55,7 @@
 	OnCrash func(Crash)
 	// Dial connects to the backend server. Nil means a TCP dial.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Logger gets a line when a backend server comes or goes, and for calls that were not answered.
+	// Logger gets a line when a run of a backend server is first announced, when a lease ends, and for calls that were not answered.
 	Logger zerolog.Logger
 	// Metrics gets the server's metrics. If it is nil, a private set is used.
 	Metrics *metrics.Set
--- a/io/callerhttp/calllog.go
+++ b/io/callerhttp/calllog.go
@@ -36,10 +36,10 @@
 
 // write logs the end of a call: its outcome, the revision of the configuration, and the endpoint with the load that it last
 // reported.
-func (l callLog) write(q *request, last attemptResult, status int) {
+func (l callLog) write(req *request, last attemptResult, status int) {
 	now := time.Now()
-	late := !q.call.SoftDeadline.IsZero() && now.After(q.call.SoftDeadline)
-	log, routine := l.failed, last.outcome == core.OutcomeAnswered && status < 500 && q.attemptCount <= 1 && !late
+	late := !req.call.SoftDeadline.IsZero() && now.After(req.call.SoftDeadline)
+	log, routine := l.failed, last.outcome == core.OutcomeAnswered && status < 500 && req.attemptCount <= 1 && !late
 	if routine {
 		log = l.answered
 	}
@@ -47,9 +47,9 @@
 	if event == nil {
 		return
 	}
-	event.Str("event", "call").Str("call", string(q.call.ID)).Str("route", string(q.route.Name)).Str("service", string(q.route.Service)).
-		Uint64("revision", uint64(q.configuration.Revision())).Str("outcome", string(last.outcome)).Int("status", status).
-		Int("attempts", q.attemptCount).Int64("took-ms", now.Sub(q.arrivedAt).Milliseconds()).Int64("left-ms", q.call.Deadline.Sub(now).Milliseconds()).
+	event.Str("event", "call").Str("call", string(req.call.ID)).Str("route", string(req.route.Name)).Str("service", string(req.route.Service)).
+		Uint64("revision", uint64(req.configuration.Revision())).Str("outcome", string(last.outcome)).Int("status", status).
+		Int("attempts", req.attemptCount).Int64("took-ms", now.Sub(req.arrivedAt).Milliseconds()).Int64("left-ms", req.call.Deadline.Sub(now).Milliseconds()).
 		Bool("late", late)
 	if last.endpoint.Node != "" {
 		event.Str("endpoint", string(last.endpoint.Node)).Str("release", string(last.release)).Int("running", last.load.Running).
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -42,25 +42,25 @@
 
 // chooseEndpoint draws a release by weight and picks one of its endpoints. If the release has none, it falls back only to releases
 // with at least the same share, so that a canary release never gets more than its share.
-func (s *Server) chooseEndpoint(q *request, history attemptHistory, now time.Time) (core.Endpoint, bool) {
-	shares := s.releaseShares(q)
-	ready := s.readyEndpoints(q.route.Service)
+func (s *Server) chooseEndpoint(req *request, history attemptHistory, now time.Time) (core.Endpoint, bool) {
+	shares := s.releaseShares(req)
+	ready := s.readyEndpoints(req.route.Service)
 	for len(shares) > 0 {
 		index := drawShare(shares, func(n core.PerMille) core.PerMille { return rand.N(n) })
 		chosen := shares[index]
 		candidates := candidatesOf(chosen.endpoints(ready, shares), history)
 		if len(candidates) > 0 {
 			endpoint, found := s.options.Picker.Pick(now, core.PickRequest{
-				Call:    q.call.ID,
-				Service: q.route.Service,
-				Route:   q.route.Name,
+				Call:    req.call.ID,
+				Service: req.route.Service,
+				Route:   req.route.Name,
 				Release: chosen.release,
 				Tried:   history.triedNodes(candidates),
-				Session: q.session,
+				Session: req.session,
 
-				SoftDeadline:    q.call.SoftDeadline,
-				Deadline:        q.call.Deadline,
-				CapacityRefused: q.capacityRefusals > 0,
+				SoftDeadline:    req.call.SoftDeadline,
+				Deadline:        req.call.Deadline,
+				CapacityRefused: req.capacityRefusals > 0,
 			}, candidates)
 			if found {
 				return endpoint, true
@@ -74,17 +74,17 @@
 }
 
 // releaseShares returns the releases that may get the call, with their shares.
-func (s *Server) releaseShares(q *request) []releaseShare {
-	shares := make([]releaseShare, 0, len(q.weights))
-	target, moving := q.configuration.MoveTarget(q.route.Service)
-	for _, weight := range q.weights {
-		upstream, _ := q.configuration.UpstreamOf(q.route.Service, weight.Upstream)
-		if weight.PerMille > 0 && s.options.ReleaseAllowed(q.route.Service, upstream.Release) {
+func (s *Server) releaseShares(req *request) []releaseShare {
+	shares := make([]releaseShare, 0, len(req.weights))
+	target, moving := req.configuration.MoveTarget(req.route.Service)
+	for _, weight := range req.weights {
+		upstream, _ := req.configuration.UpstreamOf(req.route.Service, weight.Upstream)
+		if weight.PerMille > 0 && s.options.ReleaseAllowed(req.route.Service, upstream.Release) {
 			shares = append(shares, releaseShare{
 				release:    upstream.Release,
 				perMille:   weight.PerMille,
 				canary:     moving && weight.Upstream == target,
-				allWeights: q.weights,
+				allWeights: req.weights,
 			})
 		}
 	}
@@ -152,9 +152,9 @@
 
 // hasUsableEndpoint reports whether a release with the largest share has an untried endpoint, so that chooseEndpoint is certain to
 // find one. Smaller shares are ignored: a call that waited and drew again until it got such a release would raise its share.
-func (s *Server) hasUsableEndpoint(q *request, history attemptHistory) bool {
-	ready := s.readyEndpoints(q.route.Service)
-	shares := s.releaseShares(q)
+func (s *Server) hasUsableEndpoint(req *request, history attemptHistory) bool {
+	ready := s.readyEndpoints(req.route.Service)
+	shares := s.releaseShares(req)
 	largest := lo.MaxBy(shares, func(a, b releaseShare) bool { return a.perMille > b.perMille }).perMille
 	return slices.ContainsFunc(shares, func(each releaseShare) bool {
 		candidates := candidatesOf(each.endpoints(ready, shares), history)
--- a/io/callerhttp/hedge.go
+++ b/io/callerhttp/hedge.go
@@ -35,11 +35,11 @@
 }
 
 // attemptHedged makes an attempt, and a second one at another endpoint if the first is not answered within the delay.
-func (s *Server) attemptHedged(ctx context.Context, q *request, history attemptHistory, endpoint core.Endpoint, delay time.Duration) attemptResult {
+func (s *Server) attemptHedged(ctx context.Context, req *request, history attemptHistory, endpoint core.Endpoint, delay time.Duration) attemptResult {
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	h := &hedge{
 		server:      s,
-		request:     q,
+		request:     req,
 		ctx:         ctx,
 		cancelFirst: cancelFirst,
 		results:     make(chan attemptResult, 1),
@@ -48,9 +48,9 @@
 			unusable: append(slices.Clone(history.unusable), endpoint),
 		},
 	}
-	call := startAttempt(q, endpoint)
+	call := startAttempt(req, endpoint)
 	timer := time.AfterFunc(delay, h.start)
-	first := s.forward(firstCtx, q, call, endpoint)
+	first := s.forward(firstCtx, req, call, endpoint)
 	timer.Stop()
 	last := h.resolve(first)
 	if last.outcome != core.OutcomeAnswered {
@@ -61,7 +61,7 @@
 
 // start makes the second attempt. It runs on the timer's goroutine.
 func (h *hedge) start() {
-	s, q := h.server, h.request
+	s, req := h.server, h.request
 	if !s.startTask() {
 		return
 	}
@@ -72,27 +72,27 @@
 		h.mu.Unlock()
 		return
 	}
-	call := startAttempt(q, endpoint)
+	call := startAttempt(req, endpoint)
 	call.Hedge = true
 	ctx, cancel := context.WithCancel(h.ctx)
 	h.started, h.cancel, h.endpoint = true, cancel, endpoint
 	h.mu.Unlock()
 	s.hedges.Inc()
-	h.finish(s.forward(ctx, q, call, endpoint))
+	h.finish(s.forward(ctx, req, call, endpoint))
 }
 
 // chooseEndpoint returns false if the hedge is no longer needed, the budgets do not allow it, or there is no other endpoint.
 // h.mu must be held.
 func (h *hedge) chooseEndpoint() (core.Endpoint, bool) {
-	s, q, now := h.server, h.request, time.Now()
-	if h.discarded || s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
+	s, req, now := h.server, h.request, time.Now()
+	if h.discarded || s.options.CrashSuspected(idempotency.FingerprintOf(req.call)) {
 		return core.Endpoint{}, false
 	}
-	endpoint, found := s.chooseEndpoint(q, h.history, now)
+	endpoint, found := s.chooseEndpoint(req, h.history, now)
 	if !found {
 		return core.Endpoint{}, false
 	}
-	if !q.attempts.AllowRetry(retry.RetryBudgeted, func() bool { return s.takeHedge(q.route.Service, now) }) {
+	if !req.attempts.AllowRetry(retry.RetryBudgeted, func() bool { return s.takeHedge(req.route.Service, now) }) {
 		s.reportDiscarded(attemptResult{
 			endpoint: endpoint,
 		})
@@ -184,20 +184,20 @@
 
 // reportOvertaken records the latency of an attempt that was slower than its hedge. The latency is a lower bound, since the attempt
 // was cancelled; without it, slow calls would be missing in the evidence about the release.
-func (s *Server) reportOvertaken(q *request, r attemptResult) {
+func (s *Server) reportOvertaken(req *request, r attemptResult) {
 	if r.outcome != core.OutcomeNotRun {
-		s.options.Evidence.Record(q.route.Service, q.route.Name, r.release, false, false, r.latency)
+		s.options.Evidence.Record(req.route.Service, req.route.Name, r.release, false, false, r.latency)
 	}
 }
 
 // hedgeDelay returns how long after an attempt its hedge may start, or false if the request must not be hedged.
-func (s *Server) hedgeDelay(q *request, now time.Time) (time.Duration, bool) {
-	if s.options.DisableHedging || !q.call.Idempotent || q.call.Depth != hedgedDepth {
+func (s *Server) hedgeDelay(req *request, now time.Time) (time.Duration, bool) {
+	if s.options.DisableHedging || !req.call.Idempotent || req.call.Depth != hedgedDepth {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	hedging := s.hedgingStates[q.route.Service]
+	hedging := s.hedgingStates[req.route.Service]
 	if hedging == nil {
 		return 0, false
 	}
--- a/io/callerhttp/keyed.go
+++ b/io/callerhttp/keyed.go
@@ -22,15 +22,15 @@
 
 // serveKeyed serves a call with an idempotency key. A claimed call continues after its caller has disconnected, so that a resend
 // gets its answer.
-func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, q *request) {
-	if !s.awaitAllEndpoints(ctx, q) {
-		s.answerUnknown(w, q, "", errHoldersUnknown)
+func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, req *request) {
+	if !s.awaitAllEndpoints(ctx, req) {
+		s.answerUnknown(w, req, "", errHoldersUnknown)
 		return
 	}
-	verdict, recorded := s.options.Keys.Claim(ctx, q.call)
+	verdict, recorded := s.options.Keys.Claim(ctx, req.call)
 	switch verdict {
 	case idempotency.VerdictGranted:
-		s.runClaimed(context.WithoutCancel(ctx), w, q)
+		s.runClaimed(context.WithoutCancel(ctx), w, req)
 	case idempotency.VerdictAnswered:
 		s.replay(w, recorded)
 	case idempotency.VerdictConflict:
@@ -38,14 +38,14 @@
 	case idempotency.VerdictFull:
 		s.refuse(w, newRefusal(core.CauseQueueFull, "no more idempotency keys can be remembered"))
 	default:
-		s.answerUnknown(w, q, "", errKeyOutcomeUnknown)
+		s.answerUnknown(w, req, "", errKeyOutcomeUnknown)
 	}
 }
 
-func (s *Server) runClaimed(ctx context.Context, w http.ResponseWriter, q *request) {
-	ctx, cancel := context.WithDeadline(ctx, q.call.Deadline)
+func (s *Server) runClaimed(ctx context.Context, w http.ResponseWriter, req *request) {
+	ctx, cancel := context.WithDeadline(ctx, req.call.Deadline)
 	defer cancel()
-	last := s.attemptCall(ctx, q)
+	last := s.attemptCall(ctx, req)
 	r := &recorder{
 		verdict: idempotency.VerdictUnknown,
 	}
@@ -62,9 +62,9 @@
 	defer func() { // also runs when stream panics to abort the connection
 		settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
-		s.options.Keys.Settle(settle, q.call, r.verdict, r.answer)
+		s.options.Keys.Settle(settle, req.call, r.verdict, r.answer)
 	}()
-	s.deliver(ctx, w, q, last, r)
+	s.deliver(ctx, w, req, last, r)
 }
 
 // replay answers a resend with the recorded answer of the first call.
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -56,7 +56,7 @@
 		s.refuseEarly(w, r, newRefusal(core.CauseNotConfirmed, ""))
 		return
 	}
-	q, refused := s.parseRequest(r, configuration, now)
+	req, refused := s.parseRequest(r, configuration, now)
 	if refused != nil {
 		s.refuseEarly(w, r, refused)
 		return
@@ -67,16 +67,16 @@
 		buffered += bytes
 		return s.bufferedBodyBytes.Add(bytes) <= maxBufferedBodyBytes
 	}
-	if q.call.Body, refused = readBody(r, s.maxBodyBytes(configuration), reserve); refused != nil {
+	if req.call.Body, refused = readBody(r, s.maxBodyBytes(configuration), reserve); refused != nil {
 		s.refuseEarly(w, r, refused)
 		return
 	}
-	if s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
+	if s.options.CrashSuspected(idempotency.FingerprintOf(req.call)) {
 		s.refuseEarly(w, r, newRefusal(core.CauseCrashSuspect, ""))
 		return
 	}
-	setHeader(w.Header(), s.options.Headers.CallID, string(q.call.ID))
-	s.serve(w, r, q)
+	setHeader(w.Header(), s.options.Headers.CallID, string(req.call.ID))
+	s.serve(w, r, req)
 }
 
 // setHeader sets a header unless its name is empty, which means that it is not in use.
@@ -94,35 +94,35 @@
 	return s.options.MaxBodyBytes
 }
 
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, q *request) {
-	ctx, cancel := context.WithDeadline(r.Context(), q.call.Deadline)
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, req *request) {
+	ctx, cancel := context.WithDeadline(r.Context(), req.call.Deadline)
 	defer cancel()
 	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(q.call.Deadline.Add(writeGracePeriod)) // fails only on a closed connection
+	_ = controller.SetWriteDeadline(req.call.Deadline.Add(writeGracePeriod)) // fails only on a closed connection
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	s.mu.Lock()
-	s.budgetOf(q.route.Service).RecordCall(q.arrivedAt)
+	s.budgetOf(req.route.Service).RecordCall(req.arrivedAt)
 	s.mu.Unlock()
-	defer s.latency.UpdateDuration(q.arrivedAt)
-	defer s.endWait(q)
-	s.options.SubscribeEndpoints(q.route.Service)
-	if s.options.Keys != nil && q.call.IdempotencyKey != "" && !q.call.Idempotent {
-		s.serveKeyed(ctx, w, q)
+	defer s.latency.UpdateDuration(req.arrivedAt)
+	defer s.endWait(req)
+	s.options.SubscribeEndpoints(req.route.Service)
+	if s.options.Keys != nil && req.call.IdempotencyKey != "" && !req.call.Idempotent {
+		s.serveKeyed(ctx, w, req)
 		return
 	}
-	s.deliver(ctx, w, q, s.attemptCall(ctx, q), nil)
+	s.deliver(ctx, w, req, s.attemptCall(ctx, req), nil)
 }
 
 // deliver answers the caller with the result of its call. The recorder, if it is not nil, gets a copy of the body.
-func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, q *request, last attemptResult, recorder *recorder) {
+func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, req *request, last attemptResult, recorder *recorder) {
 	switch last.outcome {
 	case core.OutcomeAnswered:
-		s.callLog.write(q, last, last.answer.Status)
-		s.stream(ctx, w, q, last, recorder)
+		s.callLog.write(req, last, last.answer.Status)
+		s.stream(ctx, w, req, last, recorder)
 	case core.OutcomeNotRun:
-		s.callLog.write(q, last, s.refuse(w, refusalOf(last.err)))
+		s.callLog.write(req, last, s.refuse(w, refusalOf(last.err)))
 	default:
-		s.callLog.write(q, last, s.answerUnknown(w, q, last.release, last.err))
+		s.callLog.write(req, last, s.answerUnknown(w, req, last.release, last.err))
 	}
 }
 
@@ -136,7 +136,7 @@
 
 // attemptCall makes attempts until one is answered or no retry is allowed. If one attempt may have run, the outcome is never
 // not-run. If one was answered with a failure and later ones were not answered, it returns that answer.
-func (s *Server) attemptCall(ctx context.Context, q *request) attemptResult {
+func (s *Server) attemptCall(ctx context.Context, req *request) attemptResult {
 	var history attemptHistory
 	unknownErr := error(nil)
 	var last, answered attemptResult
@@ -147,25 +147,25 @@
 			}
 			break
 		}
-		next, attempted := s.attemptOnce(ctx, q, history)
-		if !attempted && mayWait(last) && s.awaitEndpoint(ctx, q, &history) {
+		next, attempted := s.attemptOnce(ctx, req, history)
+		if !attempted && mayWait(last) && s.awaitEndpoint(ctx, req, &history) {
 			continue
 		}
 		if !attempted && last.outcome != "" {
 			break // the cause of the earlier attempt is more specific than the lack of an endpoint
 		}
 		last = next
-		class := s.classify(ctx, q, &last)
+		class := s.classify(ctx, req, &last)
 		switch last.outcome {
 		case core.OutcomeUnknown:
 			unknownErr = last.err
 		case core.OutcomeAnswered:
 			answered = last
 		}
-		if !attempted || ctx.Err() != nil || !s.allowRetry(ctx, q, class) {
+		if !attempted || ctx.Err() != nil || !s.allowRetry(ctx, req, class) {
 			break
 		}
-		if s.options.CrashSuspected(idempotency.FingerprintOf(q.call)) {
+		if s.options.CrashSuspected(idempotency.FingerprintOf(req.call)) {
 			last.outcome, last.err = core.OutcomeNotRun, newRefusal(core.CauseCrashSuspect, "")
 			break // the earlier attempts of this call may have made it a suspect
 		}
@@ -189,16 +189,16 @@
 
 // classify returns whether an attempt may be retried. It reads a retryable answer to its end, so that the answer holds no slot
 // during the next attempt; one that is longer than a chunk is final.
-func (s *Server) classify(ctx context.Context, q *request, last *attemptResult) retry.Class {
+func (s *Server) classify(ctx context.Context, req *request, last *attemptResult) retry.Class {
 	if last.outcome != core.OutcomeAnswered {
-		class := retry.Classify(last.outcome, causeOf(last.err), q.call.Idempotent)
-		if class == retry.RetryBudgeted && last.outcome == core.OutcomeNotRun && q.capacityRefusals < s.options.FreeCapacityRetries && retry.RefusedForCapacity(causeOf(last.err)) {
-			q.capacityRefusals++
+		class := retry.Classify(last.outcome, causeOf(last.err), req.call.Idempotent)
+		if class == retry.RetryBudgeted && last.outcome == core.OutcomeNotRun && req.capacityRefusals < s.options.FreeCapacityRetries && retry.RefusedForCapacity(causeOf(last.err)) {
+			req.capacityRefusals++
 			return retry.RetryFree
 		}
 		return class
 	}
-	class := retry.ClassifyAnswer(last.answer.Status, headerValue(last.answer.Header, s.options.Headers.Outcome) != "", q.call.Idempotent)
+	class := retry.ClassifyAnswer(last.answer.Status, headerValue(last.answer.Header, s.options.Headers.Outcome) != "", req.call.Idempotent)
 	if class == retry.Final {
 		return class
 	}
@@ -212,7 +212,7 @@
 		return retry.Final
 	}
 	_ = body.Close()
-	s.reportAttempt(ctx, q, *last, true)
+	s.reportAttempt(ctx, req, *last, true)
 	last.reported = true
 	last.answer.Body = io.NopCloser(bytes.NewReader(prefix))
 	if err != nil {
@@ -256,10 +256,10 @@
 }
 
 // attemptOnce makes one attempt, hedged if that is allowed. It returns false if no endpoint is available.
-func (s *Server) attemptOnce(ctx context.Context, q *request, history attemptHistory) (attemptResult, bool) {
+func (s *Server) attemptOnce(ctx context.Context, req *request, history attemptHistory) (attemptResult, bool) {
 	startedAt := time.Now()
-	q.attemptCount++
-	endpoint, found := s.chooseEndpoint(q, history, startedAt)
+	req.attemptCount++
+	endpoint, found := s.chooseEndpoint(req, history, startedAt)
 	if !found {
 		return attemptResult{
 			outcome: core.OutcomeNotRun,
@@ -267,26 +267,26 @@
 		}, false
 	}
 	var last attemptResult
-	if delay, hedged := s.hedgeDelay(q, startedAt); hedged {
-		last = s.attemptHedged(ctx, q, history, endpoint, delay)
+	if delay, hedged := s.hedgeDelay(req, startedAt); hedged {
+		last = s.attemptHedged(ctx, req, history, endpoint, delay)
 	} else {
-		last = s.forward(ctx, q, startAttempt(q, endpoint), endpoint)
+		last = s.forward(ctx, req, startAttempt(req, endpoint), endpoint)
 	}
 	if last.outcome != core.OutcomeAnswered {
-		s.reportFailure(ctx, q, last)
+		s.reportFailure(ctx, req, last)
 	}
 	return last, true
 }
 
 // startAttempt returns the call as it is sent to an endpoint, and counts the attempt.
-func startAttempt(q *request, endpoint core.Endpoint) *core.Call {
-	call := *q.call
+func startAttempt(req *request, endpoint core.Endpoint) *core.Call {
+	call := *req.call
 	call.Release = endpoint.Release
-	call.AttemptsLeft = q.attempts.Start()
+	call.AttemptsLeft = req.attempts.Start()
 	return &call
 }
 
-func (s *Server) forward(ctx context.Context, q *request, call *core.Call, endpoint core.Endpoint) attemptResult {
+func (s *Server) forward(ctx context.Context, req *request, call *core.Call, endpoint core.Endpoint) attemptResult {
 	startedAt := time.Now()
 	answer, outcome, err := s.options.Forwarder.Forward(ctx, endpoint, call)
 	last := attemptResult{
@@ -298,7 +298,7 @@
 		latency:  time.Since(startedAt),
 		load:     reportedLoad(answer, err),
 	}
-	s.recordAttempt(q.route.Service, last)
+	s.recordAttempt(req.route.Service, last)
 	return last
 }
 
@@ -314,19 +314,19 @@
 }
 
 // reportFailure reports an attempt without an answer to the picker and the evidence.
-func (s *Server) reportFailure(ctx context.Context, q *request, last attemptResult) {
+func (s *Server) reportFailure(ctx context.Context, req *request, last attemptResult) {
 	cause := causeOf(last.err)
-	s.reportAttempt(ctx, q, last, last.outcome != core.OutcomeNotRun || cause == core.CauseConnectFailed || cause == core.CauseBackendRefused)
+	s.reportAttempt(ctx, req, last, last.outcome != core.OutcomeNotRun || cause == core.CauseConnectFailed || cause == core.CauseBackendRefused)
 }
 
 // reportAttempt reports an attempt to the picker and, if the backend server may have run it, to the evidence. An attempt that the
 // caller cancelled does not count as a failure of the release.
-func (s *Server) reportAttempt(ctx context.Context, q *request, last attemptResult, failed bool) {
+func (s *Server) reportAttempt(ctx context.Context, req *request, last attemptResult, failed bool) {
 	callerGone := errors.Is(ctx.Err(), context.Canceled)
 	failed = failed && !callerGone
 	s.options.Picker.Done(time.Now(), core.PickResult{
 		Endpoint: last.endpoint,
-		Route:    q.route.Name,
+		Route:    req.route.Name,
 		Outcome:  last.outcome,
 		Failed:   failed,
 		Latency:  last.latency,
@@ -336,18 +336,18 @@
 		return
 	}
 	if last.outcome != core.OutcomeNotRun {
-		s.options.Evidence.Record(q.route.Service, q.route.Name, last.release, failed, false, last.latency)
+		s.options.Evidence.Record(req.route.Service, req.route.Name, last.release, failed, false, last.latency)
 		return
 	}
 	// Only the first attempt counts: a call that is retried at many overloaded endpoints must count no more than with few endpoints.
-	if cause := causeOf(last.err); q.attemptCount == 1 && (retry.RefusedForCapacity(cause) || cause == core.CauseOverloaded) {
-		s.options.Evidence.RecordRejected(q.route.Service, q.route.Name, last.release)
+	if cause := causeOf(last.err); req.attemptCount == 1 && (retry.RefusedForCapacity(cause) || cause == core.CauseOverloaded) {
+		s.options.Evidence.RecordRejected(req.route.Service, req.route.Name, last.release)
 	}
 }
 
 // stream sends an answer to the caller. If the body fails midway, it aborts the connection, so that the caller can't mistake a
 // part of the answer for the whole.
-func (s *Server) stream(ctx context.Context, w http.ResponseWriter, q *request, last attemptResult, recorder *recorder) {
+func (s *Server) stream(ctx context.Context, w http.ResponseWriter, req *request, last attemptResult, recorder *recorder) {
 	defer last.answer.Body.Close()
 	header := w.Header()
 	for name, values := range last.answer.Header {
@@ -358,7 +358,7 @@
 	w.WriteHeader(last.answer.Status)
 	backendFailed, err := copyBody(w, last.answer.Body, recorder)
 	if !last.reported {
-		s.reportAttempt(ctx, q, last, last.answer.Status >= 500 || backendFailed)
+		s.reportAttempt(ctx, req, last, last.answer.Status >= 500 || backendFailed)
 	}
 	if err != nil {
 		s.abortedAnswers.Inc()
@@ -375,9 +375,9 @@
 	},
 }
 
-// copyBody copies a body. It flushes after each full chunk, and after each read if the answer has no Content-Length, since a streaming
-// answer may pause. The flag sourceFailed tells a read error from a write error. With a recorder it reads the body to its end even if
-// the caller has disconnected.
+// copyBody copies a body. It flushes after each full chunk, and after each read if the answer has no Content-Length, since a
+// streaming answer may pause. The flag sourceFailed tells a read error from a write error. With a recorder it reads the body to its
+// end even if the caller has disconnected.
 func copyBody(w http.ResponseWriter, body io.Reader, recorder *recorder) (sourceFailed bool, err error) {
 	flusher, _ := w.(http.Flusher)
 	buffer := chunkPool.Get().(*[]byte)
@@ -463,10 +463,10 @@
 	return "other"
 }
 
-func (s *Server) answerUnknown(w http.ResponseWriter, q *request, release core.Release, err error) int {
+func (s *Server) answerUnknown(w http.ResponseWriter, req *request, release core.Release, err error) int {
 	s.outcomes[core.OutcomeUnknown].Inc()
 	status := http.StatusBadGateway
-	if !time.Now().Before(q.call.Deadline) {
+	if !time.Now().Before(req.call.Deadline) {
 		status = http.StatusGatewayTimeout
 	}
 	setHeader(w.Header(), s.options.Headers.Outcome, string(core.OutcomeUnknown))
--- a/io/callerhttp/wait.go
+++ b/io/callerhttp/wait.go
@@ -30,43 +30,43 @@
 
 // beginWait returns false if too many calls are waiting. A call is counted until it ends, so that it keeps its place between two
 // waits.
-func (s *Server) beginWait(q *request) bool {
-	if q.countedAsWaiting {
+func (s *Server) beginWait(req *request) bool {
+	if req.countedAsWaiting {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	service := q.route.Service
+	service := req.route.Service
 	if s.waiting.total >= maxWaitingCalls || s.waiting.byService[service] >= maxWaitingCallsPerService {
 		return false
 	}
-	q.countedAsWaiting = true
+	req.countedAsWaiting = true
 	s.waiting.total++
 	s.waiting.byService[service]++
 	s.waits.Inc()
 	return true
 }
 
-func (s *Server) endWait(q *request) {
-	if !q.countedAsWaiting {
+func (s *Server) endWait(req *request) {
+	if !req.countedAsWaiting {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	q.countedAsWaiting = false
+	req.countedAsWaiting = false
 	s.waiting.total--
-	if s.waiting.byService[q.route.Service]--; s.waiting.byService[q.route.Service] == 0 {
-		delete(s.waiting.byService, q.route.Service)
+	if s.waiting.byService[req.route.Service]--; s.waiting.byService[req.route.Service] == 0 {
+		delete(s.waiting.byService, req.route.Service)
 	}
 }
 
 // waitDeadline returns the time at which a call that has found no endpoint is refused.
-func (q *request) waitDeadline() time.Time {
-	deadline := q.arrivedAt.Add(q.call.Deadline.Sub(q.arrivedAt) / maxWaitDenominator * maxWaitNumerator)
-	if q.call.StartBy.IsZero() {
+func (req *request) waitDeadline() time.Time {
+	deadline := req.arrivedAt.Add(req.call.Deadline.Sub(req.arrivedAt) / maxWaitDenominator * maxWaitNumerator)
+	if req.call.StartBy.IsZero() {
 		return deadline
 	}
-	return earliest(deadline, q.call.StartBy)
+	return earliest(deadline, req.call.StartBy)
 }
 
 // mayWait reports whether a call may wait for an endpoint after its last attempt. After a capacity refusal it may not: it would only
@@ -77,18 +77,18 @@
 
 // awaitEndpoint waits until an endpoint is usable, and returns false if the call is to be refused. When all nodes or backend servers
 // of a service restart at once, its endpoints are unknown for about a second.
-func (s *Server) awaitEndpoint(ctx context.Context, q *request, history *attemptHistory) bool {
-	if s.options.EndpointsChanged == nil || len(s.releaseShares(q)) == 0 || !s.beginWait(q) {
+func (s *Server) awaitEndpoint(ctx context.Context, req *request, history *attemptHistory) bool {
+	if s.options.EndpointsChanged == nil || len(s.releaseShares(req)) == 0 || !s.beginWait(req) {
 		return false
 	}
-	for ctx.Err() == nil && time.Now().Before(q.waitDeadline()) {
-		s.options.SubscribeEndpoints(q.route.Service) // the subscription may have expired since the call began
-		changed := s.options.EndpointsChanged(q.route.Service)
-		if s.hasUsableEndpoint(q, *history) {
-			q.attempts.RestoreFreeRetry()
+	for ctx.Err() == nil && time.Now().Before(req.waitDeadline()) {
+		s.options.SubscribeEndpoints(req.route.Service) // the subscription may have expired since the call began
+		changed := s.options.EndpointsChanged(req.route.Service)
+		if s.hasUsableEndpoint(req, *history) {
+			req.attempts.RestoreFreeRetry()
 			return true
 		}
-		expired, changedInTime := waitForChange(ctx, q, changed)
+		expired, changedInTime := waitForChange(ctx, req, changed)
 		if expired {
 			return false
 		}
@@ -101,12 +101,12 @@
 
 // awaitAllEndpoints waits until all endpoints of the call's service are known. A node that lacks some would ask the wrong holders of
 // an idempotency key, and the call could run twice.
-func (s *Server) awaitAllEndpoints(ctx context.Context, q *request) bool {
-	service := q.route.Service
+func (s *Server) awaitAllEndpoints(ctx context.Context, req *request) bool {
+	service := req.route.Service
 	if s.options.EndpointsKnown(service) {
 		return true
 	}
-	if s.options.EndpointsChanged == nil || !s.beginWait(q) {
+	if s.options.EndpointsChanged == nil || !s.beginWait(req) {
 		return false
 	}
 	for {
@@ -115,7 +115,7 @@
 		if s.options.EndpointsKnown(service) {
 			return true
 		}
-		if expired, _ := waitForChange(ctx, q, changed); expired {
+		if expired, _ := waitForChange(ctx, req, changed); expired {
 			return false
 		}
 	}
@@ -123,8 +123,8 @@
 
 // waitForChange waits for a change of the endpoints, for at most probeInterval. The result expired means that the call may wait no
 // longer.
-func waitForChange(ctx context.Context, q *request, changed <-chan struct{}) (expired, changedInTime bool) {
-	remaining := time.Until(q.waitDeadline())
+func waitForChange(ctx context.Context, req *request, changed <-chan struct{}) (expired, changedInTime bool) {
+	remaining := time.Until(req.waitDeadline())
 	if remaining <= 0 {
 		return true, false
 	}
@@ -142,17 +142,17 @@
 
 // allowRetry reports whether another attempt may be made. A call that has used up its free retries on nodes that accept no calls
 // makes one more attempt after each probeInterval.
-func (s *Server) allowRetry(ctx context.Context, q *request, class retry.Class) bool {
-	takeBudget := func() bool { return s.takeRetryBudget(q.route.Service) }
-	if q.attempts.AllowRetry(class, takeBudget) {
+func (s *Server) allowRetry(ctx context.Context, req *request, class retry.Class) bool {
+	takeBudget := func() bool { return s.takeRetryBudget(req.route.Service) }
+	if req.attempts.AllowRetry(class, takeBudget) {
 		return true
 	}
-	if class != retry.RetryFree || s.options.EndpointsChanged == nil || !s.beginWait(q) {
+	if class != retry.RetryFree || s.options.EndpointsChanged == nil || !s.beginWait(req) {
 		return false
 	}
-	if expired, _ := waitForChange(ctx, q, nil); expired {
+	if expired, _ := waitForChange(ctx, req, nil); expired {
 		return false
 	}
-	q.attempts.RestoreFreeRetry()
-	return q.attempts.AllowRetry(class, takeBudget)
+	req.attempts.RestoreFreeRetry()
+	return req.attempts.AllowRetry(class, takeBudget)
 }
