--- a/io/callerhttp/timeoutestimate.go
+++ b/io/callerhttp/timeoutestimate.go
@@ -14,25 +14,25 @@
 	maxTimeoutEstimates = 4096
 )
 
-// timeoutEstimate estimates the timeout with which the callers of a route start, as the longest remaining time seen of late. A caller
-// that was refused and retries states a shorter remaining time. The difference is the time since its first attempt, which is not
-// known otherwise, since each attempt is a call of its own.
+// timeoutEstimate estimates the timeout with which the callers of a route start, as the longest remaining time of the last two
+// windows. A caller that was refused and retries states a shorter remaining time. The difference is the time since its first attempt,
+// which is not known otherwise, since each attempt is a call of its own.
 type timeoutEstimate struct {
 	longest   [2]time.Duration // longest remaining time of the current and of the previous window
 	windowEnd time.Time        // of the current window
 }
 
 // elapsed returns a lower bound of the time since the caller's first attempt.
-func (p *timeoutEstimate) elapsed(now time.Time, remaining time.Duration) time.Duration {
-	if now.After(p.windowEnd) {
-		p.longest[1] = p.longest[0]
-		if now.After(p.windowEnd.Add(timeoutWindow)) {
-			p.longest[1] = 0
+func (e *timeoutEstimate) elapsed(now time.Time, remaining time.Duration) time.Duration {
+	if now.After(e.windowEnd) {
+		e.longest[1] = e.longest[0]
+		if now.After(e.windowEnd.Add(timeoutWindow)) {
+			e.longest[1] = 0
 		}
-		p.longest[0], p.windowEnd = 0, now.Add(timeoutWindow)
+		e.longest[0], e.windowEnd = 0, now.Add(timeoutWindow)
 	}
-	p.longest[0] = max(p.longest[0], remaining)
-	usualTimeout := (1 - timeoutSpreadRatio) * float64(max(p.longest[0], p.longest[1]))
+	e.longest[0] = max(e.longest[0], remaining)
+	usualTimeout := (1 - timeoutSpreadRatio) * float64(max(e.longest[0], e.longest[1]))
 	return max(0, time.Duration(usualTimeout)-remaining)
 }
 
--- a/io/node/admission.go
+++ b/io/node/admission.go
@@ -67,7 +67,7 @@
 	a.scheduleExpiry()
 }
 
-// scheduleExpiry makes expireLoop check the deadlines again if calls wait; the caller holds the lock.
+// scheduleExpiry makes expireLoop check the deadlines again if calls wait. a.mu must be held.
 func (a *admission) scheduleExpiry() {
 	if a.limiter.Waiting() > 0 {
 		a.expiryNeeded.TryPush(struct{}{})
@@ -128,17 +128,17 @@
 		return nil, refusal
 	}
 	startedAt := time.Now()
-	return func(ending backendhttp.CallResult) { a.finish(ticket, startedAt, ending) }, nil
+	return func(result backendhttp.CallResult) { a.finish(ticket, startedAt, result) }, nil
 }
 
-func (a *admission) finish(ticket limiter.Ticket, startedAt time.Time, ending backendhttp.CallResult) {
+func (a *admission) finish(ticket limiter.Ticket, startedAt time.Time, result backendhttp.CallResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	a.apply(a.limiter.Finish(now, ticket, limiter.Result{
 		Latency:    now.Sub(startedAt),
-		Overloaded: ending == backendhttp.ResultOverloaded,
-		Failed:     ending == backendhttp.ResultFailed,
+		Overloaded: result == backendhttp.ResultOverloaded,
+		Failed:     result == backendhttp.ResultFailed,
 	}))
 }
 
@@ -152,7 +152,7 @@
 	return true
 }
 
-// apply wakes the calls that a change starts or sheds; the caller holds the lock.
+// apply wakes the calls that a change starts or sheds. a.mu must be held.
 func (a *admission) apply(change limiter.Change) {
 	for _, ticket := range change.Start {
 		a.wake(ticket, nil)
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -39,7 +39,7 @@
 	return registerCleanup(p, subscriber, cleanup, err)
 }
 
-func (p *process) newBackend(injector do.Injector) (*backendhttp.Server, error) {
+func (p *process) newBackendServer(injector do.Injector) (*backendhttp.Server, error) {
 	subscriber, err := do.Invoke[*distribution.Subscriber](injector)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	server, cleanup, err := backendhttp.New(backendhttp.Options{
 		Headers:             p.options.Headers,
 		Lease:               p.options.BackendLease,
-		AllowCloseDelimited: p.options.AllowUnframed,
+		AllowCloseDelimited: p.options.AllowCloseDelimited,
 		Address:             p.settings.BackendAddress,
 		Admission:           admission,
 		OnChange:            func(a backendhttp.Announcement) { p.announce(subscriber, a) },
@@ -63,8 +63,8 @@
 	return registerCleanup(p, server, cleanup, err)
 }
 
-// announce tells the fleet about the local backend server. It also tells the peer server, since a holder of idempotency keys needs to
-// know since when this node is one of the service's nodes.
+// announce reports the state of the local backend server to the distribution tree. It also tells the peer server, since a holder of
+// idempotency keys must know since when this node has been one of the service's nodes.
 func (p *process) announce(subscriber *distribution.Subscriber, a backendhttp.Announcement) {
 	p.service.Store(a.Service)
 	subscriber.Announce(core.Endpoint{
@@ -79,7 +79,7 @@
 	}
 }
 
-// reportCrash tells the fleet which requests were running, so that none of them can crash many backend servers.
+// reportCrash reports the requests that were running in a crash to all nodes, so that none of them can crash many backend servers.
 func (p *process) reportCrash(subscriber *distribution.Subscriber, crash backendhttp.Crash) {
 	for _, call := range crash.Calls {
 		subscriber.ReportCrash(core.CrashReport{
@@ -159,13 +159,13 @@
 	}), nil
 }
 
-func (p *process) newCallers(injector do.Injector) (*callerhttp.Server, error) {
+func (p *process) newCallerServer(injector do.Injector) (*callerhttp.Server, error) {
 	dialer, err := do.Invoke[*nodepeer.Dialer](injector)
 	if err != nil {
 		return nil, err
 	}
 	subscriber := do.MustInvoke[*distribution.Subscriber](injector)
-	keys, err := p.newKeys(injector, dialer)
+	keys, err := p.newKeyClaimer(injector, dialer)
 	if err != nil {
 		return nil, err
 	}
@@ -189,23 +189,23 @@
 		CrashSuspected:         p.suspects.isSuspected,
 		Keys:                   keys,
 		Headers:                p.headers(),
-		CallerSetsCallID:       p.options.CallerNamesCalls,
+		CallerSetsCallID:       p.options.CallerSetsCallID,
 		CallerService:          p.localService,
-		DisableHedging:         p.options.NoHedges,
-		RetryBudget:            p.options.Budget,
-		FreeCapacityRetries:    p.options.RefusalTries,
+		DisableHedging:         p.options.DisableHedging,
+		RetryBudget:            p.options.RetryBudget,
+		FreeCapacityRetries:    p.options.FreeCapacityRetries,
 		RetryAfter:             p.options.RetryAfter,
-		MaxQueueTime:           p.options.QueueLimit,
-		DrainPeriod:            p.options.DrainLinger,
-		RefusalPeriod:          p.options.RefusingLinger,
+		MaxQueueTime:           p.options.MaxQueueTime,
+		DrainPeriod:            p.options.DrainPeriod,
+		RefusalPeriod:          p.options.RefusalPeriod,
 		Logger:                 p.log,
 		Metrics:                p.metrics,
 	})
 	return registerCleanup(p, server, cleanup, err)
 }
 
-// newKeys returns nil if callers have no header for idempotency keys, so that no node asks another one about keys.
-func (p *process) newKeys(injector do.Injector, dialer *nodepeer.Dialer) (callerhttp.KeyClaimer, error) {
+// newKeyClaimer returns nil if callers have no header for idempotency keys, so that no node asks another one about keys.
+func (p *process) newKeyClaimer(injector do.Injector, dialer *nodepeer.Dialer) (callerhttp.KeyClaimer, error) {
 	if p.headers().IdempotencyKey == "" {
 		return nil, nil
 	}
