--- a/io/disk/archive.go
+++ b/io/disk/archive.go
@@ -23,8 +23,8 @@
 	first, end uint64
 }
 
-func (s entryRange) name() string {
-	return fmt.Sprintf("%s%020d-%020d", archivePrefix, s.first, s.end)
+func (r entryRange) name() string {
+	return fmt.Sprintf("%s%020d-%020d", archivePrefix, r.first, r.end)
 }
 
 // Archive keeps numbered audit entries permanently in the data folder. Each batch is one file, which is written atomically and
@@ -52,28 +52,28 @@
 		if !strings.HasPrefix(name, archivePrefix) || strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
-		var s entryRange
-		if _, err := fmt.Sscanf(name, archivePrefix+"%d-%d", &s.first, &s.end); err != nil || s.name() != name || s.end <= s.first {
+		var r entryRange
+		if _, err := fmt.Sscanf(name, archivePrefix+"%d-%d", &r.first, &r.end); err != nil || r.name() != name || r.end <= r.first {
 			return nil, errors.Annotatef(ErrCorrupt, "archive name %q", name)
 		}
-		if !a.add(s) {
+		if !a.add(r) {
 			return nil, errors.Annotatef(ErrCorrupt, "archive %q overlaps with another one", name)
 		}
 	}
 	return a, nil
 }
 
-func (a *Archive) add(s entryRange) bool {
-	at, _ := slices.BinarySearchFunc(a.ranges, s.first, func(x entryRange, first uint64) int {
+func (a *Archive) add(r entryRange) bool {
+	at, _ := slices.BinarySearchFunc(a.ranges, r.first, func(x entryRange, first uint64) int {
 		if x.end <= first {
 			return -1
 		}
 		return 1
 	})
-	if at < len(a.ranges) && a.ranges[at].first < s.end {
+	if at < len(a.ranges) && a.ranges[at].first < r.end {
 		return false
 	}
-	a.ranges = slices.Insert(a.ranges, at, s)
+	a.ranges = slices.Insert(a.ranges, at, r)
 	return true
 }
 
@@ -81,17 +81,17 @@
 func (a *Archive) Append(first uint64, entries [][]byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := entryRange{
+	r := entryRange{
 		first: first,
 		end:   first + uint64(len(entries)),
 	}
 	if a.failed != nil || len(entries) == 0 {
 		return a.failed
 	}
-	if !a.add(s) {
-		return errors.AlreadyExistsf("archive entry from %d to %d", s.first, s.end)
+	if !a.add(r) {
+		return errors.AlreadyExistsf("archive entry from %d to %d", r.first, r.end)
 	}
-	if err := writeRecordFile(a.folder, s.name(), archiveContent{Entries: entries}); err != nil {
+	if err := writeRecordFile(a.folder, r.name(), archiveContent{Entries: entries}); err != nil {
 		a.failed = errors.Annotatef(ErrFailed, "%v", err)
 	}
 	return a.failed
@@ -101,11 +101,11 @@
 func (a *Archive) Missing(from, to uint64) (first, end uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, s := range a.ranges {
-		if s.first > from {
-			return min(from, to), min(s.first, to)
+	for _, r := range a.ranges {
+		if r.first > from {
+			return min(from, to), min(r.first, to)
 		}
-		from = max(from, s.end)
+		from = max(from, r.end)
 	}
 	return min(from, to), to
 }
@@ -113,19 +113,19 @@
 // Batch implements catalog.Archive. It returns ErrCorrupt if the file is damaged.
 func (a *Archive) Batch(number uint64) (first uint64, entries [][]byte, err error) {
 	a.mu.Lock()
-	at := slices.IndexFunc(a.ranges, func(s entryRange) bool { return s.first <= number && number < s.end })
+	at := slices.IndexFunc(a.ranges, func(r entryRange) bool { return r.first <= number && number < r.end })
 	if a.failed != nil || at < 0 {
 		defer a.mu.Unlock()
 		return 0, nil, errors.NotFoundf("archive entry %d", number)
 	}
-	s := a.ranges[at]
+	r := a.ranges[at]
 	a.mu.Unlock()
 	var content archiveContent
-	if err := readRecordFile(a.folder, s.name(), &content); err != nil {
+	if err := readRecordFile(a.folder, r.name(), &content); err != nil {
 		return 0, nil, err
 	}
-	if uint64(len(content.Entries)) != s.end-s.first {
-		return 0, nil, errors.Annotatef(ErrCorrupt, "%q has %d entries", s.name(), len(content.Entries))
+	if uint64(len(content.Entries)) != r.end-r.first {
+		return 0, nil, errors.Annotatef(ErrCorrupt, "%q has %d entries", r.name(), len(content.Entries))
 	}
-	return s.first, content.Entries, nil
+	return r.first, content.Entries, nil
 }
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -33,19 +33,19 @@
 	wantsFull        bool
 	offerFull        bool // the child finds out which content of the revision was accepted
 	pongsDue         int
-	crashesAt        uint64 // position in the crash store up to which reports were sent
+	crashesCursor    uint64 // position in the crash store up to which reports were sent
 	series           []series
 	rows             []row                  // last row of each series
 	latenessByMove   map[core.MoveID]uint64 // reported by another control instance
 	reporting        map[core.MoveID]int
 	pathVersion      uint64 // hub.pathVersion when the path was last sent
 	subscribed       bool
-	all              bool
+	allServices      bool
 	services         map[core.ServiceName]bool
-	cursor           uint64 // position in the table up to which changes were sent
+	tableCursor      uint64 // position in the table up to which changes were sent
 	batch            batcher
 	readsStates      bool
-	sentChecks       map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checksumOf
+	sentChecksums    map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checksumOf
 	digestDue        bool
 	digestFinal      bool
 	tombstonesSince  time.Time
@@ -138,11 +138,11 @@
 		_ = h.sender(sending, c.wake, func(m outgoing) error {
 			return h.send(c.conn, writeTimeout, m)
 		}, func(now time.Time) ([]outgoing, time.Time) {
-			messages, again := h.dueToChild(c, now)
+			messages, nextCheck := h.dueToChild(c, now)
 			if len(messages) == 0 {
 				slot.release()
 			}
-			return messages, again
+			return messages, nextCheck
 		})
 	})
 	err := h.receiveFromChild(c)
@@ -222,7 +222,7 @@
 		return h.decodeAndHandle(received, &message, func() {
 			if c.hello.Kind == kindControl {
 				h.evidence.merge(message.Counts, true)
-				c.latenessByMove = message.Late
+				c.latenessByMove = message.LatenessByMove
 			}
 		})
 	case typeSums:
@@ -362,7 +362,7 @@
 			hash:     greeting.Hash,
 		},
 		services:          make(map[core.ServiceName]bool),
-		sentChecks:        make(map[core.NodeID]uint16),
+		sentChecksums:     make(map[core.NodeID]uint16),
 		tombstonesPending: make(map[core.ServiceName]bool),
 	}
 	if greeting.Kind == kindControl {
--- a/io/distribution/content.go
+++ b/io/distribution/content.go
@@ -45,7 +45,7 @@
 	}
 	s.candidate = nil
 	s.hub.mu.Unlock()
-	held := configVersionOf(s.newest.Load())
+	held := configVersionOf(s.current.Load())
 	if held.revision != accepted.revision || held == accepted || configVersionOf(candidate) != accepted {
 		return
 	}
--- a/io/distribution/crashes.go
+++ b/io/distribution/crashes.go
@@ -9,9 +9,9 @@
 
 const (
 	// maxCrashReports bounds the stored reports; the oldest are dropped first. A report takes about 60 bytes on a link.
-	maxCrashReports   = 1024
-	maxCrashName      = 256
-	maxCrashesInFrame = 256
+	maxCrashReports    = 1024
+	maxCrashNameBytes  = 256
+	maxCrashesPerFrame = 256
 )
 
 // crashReport is a report in transit; AgeMS is the time since the crash in milliseconds, since clocks may differ.
@@ -56,7 +56,7 @@
 // add stores a report and returns false if it is known, too old or has too long a name.
 func (s *crashStore) add(now, at time.Time, report core.CrashReport, from crashOrigin) bool {
 	s.expire(now)
-	if s.known[report] || len(report.Node)+len(report.Run) > maxCrashName || now.Sub(at) > idempotency.Window {
+	if s.known[report] || len(report.Node)+len(report.Run) > maxCrashNameBytes || now.Sub(at) > idempotency.Window {
 		return false
 	}
 	if len(s.items) >= maxCrashReports {
@@ -91,11 +91,11 @@
 	return s.firstPosition + uint64(len(s.items))
 }
 
-// since returns at most maxCrashesInFrame reports from a position on whose origin passes, and the position after the last one.
+// since returns at most maxCrashesPerFrame reports from a position on whose origin passes, and the position after the last one.
 func (s *crashStore) since(now time.Time, at uint64, pass func(crashOrigin) bool) ([]crashReport, uint64) {
 	at = max(at, s.firstPosition)
 	var reports []crashReport
-	for ; at < s.endPosition() && len(reports) < maxCrashesInFrame; at++ {
+	for ; at < s.endPosition() && len(reports) < maxCrashesPerFrame; at++ {
 		item := s.items[at-s.firstPosition]
 		if !pass(item.from) {
 			continue
@@ -122,15 +122,15 @@
 
 // crashesForParent returns the reports that the parent or another control instance has not been sent.
 func (h *hub) crashesForParent(u *uplink, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, u.crashesAt, func(from crashOrigin) bool { return !from.parent && !from.remote })
-	u.crashesAt = at
+	reports, at := h.crashes.since(now, u.crashesCursor, func(from crashOrigin) bool { return !from.parent && !from.remote })
+	u.crashesCursor = at
 	return crashMessages(reports)
 }
 
 // crashesForChild returns the reports that a child has not been sent.
 func (h *hub) crashesForChild(c *child, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, c.crashesAt, func(from crashOrigin) bool { return from.link != c.id })
-	c.crashesAt = at
+	reports, at := h.crashes.since(now, c.crashesCursor, func(from crashOrigin) bool { return from.link != c.id })
+	c.crashesCursor = at
 	return crashMessages(reports)
 }
 
--- a/io/distribution/downlink.go
+++ b/io/distribution/downlink.go
@@ -9,7 +9,7 @@
 )
 
 func (c *child) wants(service core.ServiceName) bool {
-	return c.all || c.services[service]
+	return c.allServices || c.services[service]
 }
 
 // dueToChild returns the messages that are due to a child, and when to check again.
@@ -41,8 +41,8 @@
 		})
 	}
 	due = append(due, h.crashesForChild(c, now)...)
-	list, again := h.endpointsDue(c, now)
-	return append(due, list...), again
+	endpointMessages, nextCheck := h.endpointsDue(c, now)
+	return append(due, endpointMessages...), nextCheck
 }
 
 func (h *hub) configurationDue(c *child) []outgoing {
@@ -88,9 +88,9 @@
 	if now.Before(c.batch.nextUrgent) {
 		return due, c.batch.nextUrgent
 	}
-	changes, reached := h.table.Changes(lease.All, c.cursor, c.owner, c.wants)
+	changes, reached := h.table.Changes(lease.All, c.tableCursor, c.owner, c.wants)
 	if !reached {
-		c.cursor, c.digestFinal = h.table.Position(lease.All), false
+		c.tableCursor, c.digestFinal = h.table.Position(lease.All), false
 		c.digestDue = true
 		return due, now
 	}
@@ -98,17 +98,17 @@
 		changes.Removals = nil // the digest at the end of the grace period covers the removals
 	}
 	if changes.Empty() {
-		c.cursor = changes.Next
+		c.tableCursor = changes.Next
 		return due, idle
 	}
 	if at := c.batch.dueAt(changes); now.Before(at) {
 		return due, at
 	}
-	c.cursor = changes.Next
+	c.tableCursor = changes.Next
 	full, states := c.compactUpserts(changes.Upserts)
 	c.batch.sent(now, len(full)+len(changes.Removals), len(states))
 	for _, removal := range changes.Removals {
-		delete(c.sentChecks, removal.Node)
+		delete(c.sentChecksums, removal.Node)
 	}
 	return append(due, outgoing{
 		kind: typeEndpoints,
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -10,8 +10,8 @@
 	// maxEvidence bounds the sums that a control instance keeps. A move has a few routes and two releases in each data centre
 	// below each control instance. The sum that changed least recently is evicted first.
 	maxEvidence = 65_536
-	// maxEvidenceName bounds the average length of a count's names in bytes, so that maxEvidence also bounds the memory.
-	maxEvidenceName = 256
+	// maxEvidenceNameBytes bounds the average length of a count's names in bytes, so that maxEvidence also bounds the memory.
+	maxEvidenceNameBytes = 256
 	// maxCountsPerFrame keeps an evidence frame below about 100 KB.
 	maxCountsPerFrame = 500
 )
@@ -84,7 +84,7 @@
 
 func (s *evidenceStore) mergeOne(count core.EvidenceCount, remote bool) {
 	key := keyOf(count)
-	if len(key.node)+len(key.move)+len(key.service)+len(key.route)+len(key.release) > 5*maxEvidenceName {
+	if len(key.node)+len(key.move)+len(key.service)+len(key.route)+len(key.release) > 5*maxEvidenceNameBytes {
 		s.dropped++
 		return
 	}
--- a/io/distribution/fuzz_test.go
+++ b/io/distribution/fuzz_test.go
@@ -36,7 +36,7 @@
 		typeEvidence:         evidence{Counts: []core.EvidenceCount{{Move: "m1", Calls: 1}}},
 		typeAcknowledge:      acknowledge{Lowest: 1, Nodes: 1},
 		typeCrashes:          crashes{},
-		typeSums:             sums{Series: []series{{Move: "m1"}}, Counts: []byte{0, 2, 1, 0, 1, 2}, Reports: true, Names: []string{"m2"}, Same: []byte{30}, Rows: []byte{0x10, 0x7f, 0xff, 0xff}},
+		typeSums:             sums{Series: []series{{Move: "m1"}}, Counts: []byte{0, 2, 1, 0, 1, 2}, HasReporting: true, Names: []string{"m2"}, Same: []byte{30}, Rows: []byte{0x10, 0x7f, 0xff, 0xff}},
 	} {
 		body, err := msgpack.Marshal(message)
 		if err != nil {
@@ -81,10 +81,10 @@
 		s := &Subscriber{
 			hub: newHub(zerolog.Nop(), newMeters(setOrNew(nil)), Network{}), logger: zerolog.Nop(),
 			confirmed: make(chan struct{}), endpointsReceived: make(chan struct{}), changeCh: make(chan struct{}), firstStaleTarget: -1,
-			options: SubscriberOptions{ID: "n", ControlAddresses: []string{"c1"}}, attach: &attachment{},
+			options: SubscriberOptions{ID: "n", ControlAddresses: []string{"c1"}}, attachment: &attachment{},
 		}
 		s.hub.relayID = "n"
-		s.newest.Store(revision(1))
+		s.current.Store(revision(1))
 		s.hub.setCurrent(revision(1))
 		u := newUplink(nil, kindNode, evidenceInterval)
 		_ = s.handleFromParent(u, received)
--- a/io/distribution/history.go
+++ b/io/distribution/history.go
@@ -5,8 +5,8 @@
 	"parsleyport/core/record"
 )
 
-// maxHistory bounds the configurations kept as bases of deltas. They share the bodies of unchanged records.
-const maxHistory = 16
+// maxHistoryLength bounds the configurations kept as bases of deltas. They share the bodies of unchanged records.
+const maxHistoryLength = 16
 
 // configVersion identifies a configuration by revision and content.
 type configVersion struct {
@@ -34,7 +34,7 @@
 	if last := len(h.kept) - 1; last >= 0 && h.kept[last].Revision() > configuration.Revision() {
 		return
 	}
-	if len(h.kept) == maxHistory {
+	if len(h.kept) == maxHistoryLength {
 		h.kept = append(h.kept[:0], h.kept[1:]...)
 	}
 	h.kept = append(h.kept, configuration)
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -37,9 +37,9 @@
 	table       *lease.Table
 	evidenceRun core.Incarnation // only of a control instance: tells its sums from those of earlier runs
 	evidence    *evidenceStore   // only of a control instance
-	pending     pendingSums
+	pendingSums pendingSums
 	lateness    lateness // only of a control instance
-	steps       map[core.MoveID]time.Time
+	lastStepAt  map[core.MoveID]time.Time
 	ownMoves    []core.MoveID // moves on which this node reports
 	nodes       *nodeStore
 	crashes     *crashStore
@@ -58,13 +58,13 @@
 	attached    bool
 	// parentReadsRows means that the parent can read sums in rows.
 	parentReadsRows bool
-	all             bool // this node wants the endpoints of all services
+	allServices     bool // this node wants the endpoints of all services
 	services        map[core.ServiceName]bool
 	// lingering holds subscriptions of lost children, and subscriptions that ended while the node had no parent, with their
 	// expiry times.
-	lingering     map[core.ServiceName]time.Time
-	subscriptions uint64 // counts changes of the services that this node and its children want
-	complete      bool   // the table has all endpoints, so that digests and removals are final
+	lingering            map[core.ServiceName]time.Time
+	subscriptionsVersion uint64 // counts changes of the services that this node and its children want
+	complete             bool   // the table has all endpoints, so that digests and removals are final
 	// unsynced holds the services that this node or its children want and whose endpoints the parent has not sent yet; the value
 	// means that the parent's next digest covers the service. unsyncedAll stands for all services.
 	unsynced    map[core.ServiceName]bool
@@ -91,7 +91,7 @@
 		handshakeSlots: make(chan struct{}, maxHandshakes),
 		table:          lease.New(),
 		evidence:       newEvidenceStore(),
-		pending: pendingSums{
+		pendingSums: pendingSums{
 			counts: make(map[series]pendingSum),
 		},
 		lateness:    make(lateness),
@@ -235,7 +235,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		messages, again := step(time.Now())
+		messages, nextCheck := step(time.Now())
 		for _, m := range messages {
 			if err := send(m); err != nil {
 				return err
@@ -244,7 +244,7 @@
 		if len(messages) > 0 {
 			continue // state may have changed during the sends
 		}
-		timer.Reset(time.Until(again))
+		timer.Reset(time.Until(nextCheck))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -150,8 +150,8 @@
 
 // evidence carries a control instance's own cumulative sums to the other instances, and how late the sums of each move are.
 type evidence struct {
-	Counts []core.EvidenceCount   `msgpack:"counts"`
-	Late   map[core.MoveID]uint64 `msgpack:"late,omitempty"`
+	Counts         []core.EvidenceCount   `msgpack:"counts"`
+	LatenessByMove map[core.MoveID]uint64 `msgpack:"late,omitempty"`
 }
 
 // acknowledge summarises the sender's subtree, the sender included. Revision and Hash identify the sender's own configuration.
--- a/io/distribution/meters.go
+++ b/io/distribution/meters.go
@@ -56,8 +56,8 @@
 	gauge("subtree_nodes", func() float64 { return float64(h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).Nodes) })
 	gauge("endpoints", func() float64 { return float64(h.table.LiveCount()) })
 	gauge("announcements_refused", func() float64 { return float64(h.table.Refused()) })
-	gauge("evidence_dropped", func() float64 { return float64(h.evidence.dropped + h.pending.dropped) })
-	gauge("evidence_calls_in_doubt", func() float64 { return float64(h.pending.inDoubt) })
+	gauge("evidence_dropped", func() float64 { return float64(h.evidence.dropped + h.pendingSums.dropped) })
+	gauge("evidence_calls_in_doubt", func() float64 { return float64(h.pendingSums.inDoubt) })
 	gauge("attached", func() float64 {
 		if h.attached {
 			return 1
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -130,11 +130,11 @@
 }
 
 func (h *hub) nodesDue(u *uplink, now time.Time) []outgoing {
-	if !u.nodesPacer.ready(now) || u.nodesAt == h.nodes.changes {
+	if !u.nodesPacer.ready(now) || u.nodesCursor == h.nodes.changes {
 		return nil
 	}
-	reports, reached := h.nodes.since(now, u.nodesAt, u.kind == kindControl)
-	u.nodesAt = reached
+	reports, reached := h.nodes.since(now, u.nodesCursor, u.kind == kindControl)
+	u.nodesCursor = reached
 	if len(reports) == 0 {
 		return nil
 	}
--- a/io/distribution/parent.go
+++ b/io/distribution/parent.go
@@ -89,14 +89,14 @@
 	s.hub.stale, s.hub.parentReadsRows = message.Stale, message.Rows
 	s.hub.path, s.hub.control = message.Path, message.Control
 	if s.hub.attached { // during the handshake, exchangeHello checks this
-		if local, redirected := s.attach.redirectToLocal(message); redirected {
-			s.attach.localAddresses = local.Addresses
+		if local, redirected := s.attachment.redirectToLocal(message); redirected {
+			s.attachment.localAddresses = local.Addresses
 			return errLocalControlAvailable
 		}
 	}
 	if len(message.Controls) > 0 && len(message.Controls) <= maxDirectChildren {
 		s.hub.controls = message.Controls
-		s.attach.learnedTargets.Store(localFirst(message.Controls, s.options.DataCentre))
+		s.attachment.learnedTargets.Store(localFirst(message.Controls, s.options.DataCentre))
 	}
 	s.hub.pathVersion++
 	s.hub.publishAndWake()
@@ -111,16 +111,16 @@
 		return nil
 	}
 	if s.firstStaleTarget < 0 {
-		s.firstStaleTarget = s.attach.nextTarget
+		s.firstStaleTarget = s.attachment.nextTarget
 	}
-	if len(message.Path) > 0 || s.attach.nextTarget-s.firstStaleTarget >= len(s.attach.allTargets()) {
+	if len(message.Path) > 0 || s.attachment.nextTarget-s.firstStaleTarget >= len(s.attachment.allTargets()) {
 		return nil
 	}
 	return errors.Errorf("control instance %q knows no leader", message.Control)
 }
 
 func (s *Subscriber) handleConfigFull(message record.Full) {
-	held := s.newest.Load()
+	held := s.current.Load()
 	if message.Revision < held.Revision() || configVersionOf(held) == (configVersion{revision: message.Revision, hash: message.Hash}) {
 		return
 	}
@@ -137,7 +137,7 @@
 }
 
 func (s *Subscriber) handleConfigDelta(u *uplink, message record.Delta) {
-	next, err := s.newest.Load().Apply(message)
+	next, err := s.current.Load().Apply(message)
 	switch {
 	case err == nil:
 		s.switchTo(next)
@@ -163,7 +163,7 @@
 func (s *Subscriber) switchTo(next *record.Configuration) {
 	s.hub.meters.applied.Inc()
 	s.changeMu.Lock()
-	s.newest.Store(next)
+	s.current.Store(next)
 	close(s.changeCh)
 	s.changeCh = make(chan struct{})
 	s.changeMu.Unlock()
@@ -177,7 +177,7 @@
 
 // checkConfirmed records the version that a confirmed read observed, once the node holds its revision; hub.mu is held.
 func (s *Subscriber) checkConfirmed() {
-	if read, ready := s.hub.confirmer.takeAnswer(ownLink, s.newest.Load().Revision()); ready {
+	if read, ready := s.hub.confirmer.takeAnswer(ownLink, s.current.Load().Revision()); ready {
 		s.accepted = configVersion{
 			revision: read.Revision,
 			hash:     read.Hash,
--- a/io/distribution/rows.go
+++ b/io/distribution/rows.go
@@ -20,7 +20,7 @@
 // the same nodes over equal intervals hardly differ: a value of 30 takes 6 bits on average.
 type row [valuesPerRow]uint64
 
-func rowOf(count core.EvidenceCount, late uint64) row {
+func rowOf(count core.EvidenceCount, lateUnits uint64) row {
 	var r row
 	calls := count.Calls
 	for i, n := range count.Latency {
@@ -28,11 +28,11 @@
 		r[4+i] = n
 	}
 	// A report may count a call before its latency, so that the next report has more latencies than calls.
-	r[0], r[1], r[2], r[3] = zigzag(calls), count.Failures, count.Crashes, late
+	r[0], r[1], r[2], r[3] = zigzag(calls), count.Failures, count.Crashes, lateUnits
 	return r
 }
 
-func (r row) count() (count core.EvidenceCount, late uint64) {
+func (r row) count() (count core.EvidenceCount, lateUnits uint64) {
 	count.Calls, count.Failures, count.Crashes = unzigzag(r[0]), r[1], r[2]
 	for i := range count.Latency {
 		count.Latency[i] = r[4+i]
--- a/io/distribution/statechange.go
+++ b/io/distribution/statechange.go
@@ -17,7 +17,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Node     core.NodeID
-	Check    uint16
+	Checksum uint16
 	Sequence uint64
 	State    uint8 // index in stateCodes
 }
@@ -42,13 +42,13 @@
 	for _, e := range list {
 		check := checksumOf(e)
 		code := slices.Index(stateCodes, e.State)
-		if sent, known := c.sentChecks[e.Node]; !c.readsStates || code < 0 || !known || sent != check {
+		if sent, known := c.sentChecksums[e.Node]; !c.readsStates || code < 0 || !known || sent != check {
 			full = append(full, e)
 			continue
 		}
 		states = append(states, stateChange{
 			Node:     e.Node,
-			Check:    check,
+			Checksum: check,
 			Sequence: e.Sequence,
 			State:    uint8(code),
 		})
@@ -60,7 +60,7 @@
 // recordSent records the endpoints that a child was sent.
 func (c *child) recordSent(list []core.Endpoint) {
 	for _, e := range list {
-		c.sentChecks[e.Node] = checksumOf(e)
+		c.sentChecksums[e.Node] = checksumOf(e)
 	}
 }
 
@@ -71,7 +71,7 @@
 		if known && !u.wants(held.Service) {
 			continue // the change crossed with the end of a subscription
 		}
-		if !known || checksumOf(held) != change.Check || int(change.State) >= len(stateCodes) {
+		if !known || checksumOf(held) != change.Checksum || int(change.State) >= len(stateCodes) {
 			u.endpointsRequestDue = true
 			continue
 		}
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -52,10 +52,10 @@
 	options               SubscriberOptions
 	hub                   *hub
 	logger                zerolog.Logger
-	attach                *attachment
+	attachment            *attachment
 	conn                  *frame.Conn // to the parent; guarded by hub.mu
 	leavingForLocal       bool        // conn was closed in order to attach in the node's own data centre; guarded by hub.mu
-	newest                atomic.Pointer[record.Configuration]
+	current               atomic.Pointer[record.Configuration]
 	uses                  atomic.Pointer[map[core.ServiceName]*lastUse] // copied on write, with hub.mu held
 	confirmed             chan struct{}
 	confirmedOnce         sync.Once
@@ -98,18 +98,18 @@
 		changeCh:          make(chan struct{}),
 		firstStaleTarget:  -1,
 	}
-	s.newest.Store(record.Empty())
+	s.current.Store(record.Empty())
 	s.uses.Store(&map[core.ServiceName]*lastUse{})
 	s.hub.compressor = compressor
 	s.hub.relayID = options.ID
 	s.hub.incarnation, s.hub.dataCentre = options.Incarnation, options.DataCentre
 	s.hub.schema = options.Schema
-	s.hub.all = !options.OnDemandEndpoints
+	s.hub.allServices = !options.OnDemandEndpoints
 	s.hub.crashes.onCrash = options.OnCrash
 	s.hub.setCurrent(record.Empty())
 	s.hub.registerGauges(options.Metrics)
 	s.hub.confirmer.request(ownLink, 1)
-	s.attach = newAttachment(options.ControlAddresses, attachment{
+	s.attachment = newAttachment(options.ControlAddresses, attachment{
 		hub:             s.hub,
 		localDataCentre: options.DataCentre,
 		logger:          options.Logger,
@@ -122,7 +122,7 @@
 	context.AfterFunc(ctx, func() { _ = listener.Close() })
 	s.hub.start(func() { s.hub.serve(ctx, listener) })
 	s.hub.start(func() { s.hub.tick(ctx, s.tick) })
-	s.hub.start(func() { s.attach.run(ctx) })
+	s.hub.start(func() { s.attachment.run(ctx) })
 	return s, func() {
 		s.Withdraw()
 		cancel()
@@ -137,7 +137,7 @@
 }
 
 func (s *Subscriber) hello() hello {
-	held := s.newest.Load()
+	held := s.current.Load()
 	return hello{
 		Kind:         kindNode,
 		ID:           s.options.ID,
@@ -155,8 +155,8 @@
 	if !s.hub.attached || s.hub.stale || s.conn == nil {
 		return
 	}
-	if local, redirected := s.attach.redirectToLocal(accept{Path: s.hub.path, Controls: s.hub.controls}); redirected {
-		s.attach.localAddresses = local.Addresses
+	if local, redirected := s.attachment.redirectToLocal(accept{Path: s.hub.path, Controls: s.hub.controls}); redirected {
+		s.attachment.localAddresses = local.Addresses
 		s.leavingForLocal = true
 		_ = s.conn.Close()
 	}
@@ -216,13 +216,13 @@
 // SetControlAddresses replaces the addresses of the settings, which are tried when the parent is lost. An empty list is ignored.
 func (s *Subscriber) SetControlAddresses(addresses []string) {
 	if len(addresses) > 0 {
-		s.attach.targets.Store(addresses)
+		s.attachment.targets.Store(addresses)
 	}
 }
 
 // Current implements record.Source.
 func (s *Subscriber) Current() *record.Configuration {
-	return s.newest.Load()
+	return s.current.Load()
 }
 
 // Changed implements record.Source.
@@ -322,12 +322,12 @@
 
 // Status returns a summary of the subscriber's state.
 func (s *Subscriber) Status() Status {
-	held := s.newest.Load()
+	held := s.current.Load()
 	endpoints := s.hub.liveEndpoints()
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	status := Status{
-		State:     string(s.attach.current()),
+		State:     string(s.attachment.current()),
 		Parent:    s.parent,
 		Path:      s.hub.path,
 		Control:   s.hub.control,
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -42,7 +42,7 @@
 	s.uses.Store(&next)
 	s.hub.markUnsynced(service)
 	s.hub.services[service] = true
-	s.hub.subscriptions++
+	s.hub.subscriptionsVersion++
 	s.hub.publishAndWake()
 }
 
@@ -89,7 +89,7 @@
 
 // isWanted reports whether this node or one of its children wants the endpoints of a service.
 func (h *hub) isWanted(service core.ServiceName) bool {
-	if _, lingers := h.lingering[service]; lingers || h.all || h.services[service] {
+	if _, lingers := h.lingering[service]; lingers || h.allServices || h.services[service] {
 		return true
 	}
 	for _, c := range h.children {
@@ -119,7 +119,7 @@
 	}
 	delete(h.unsynced, service)
 	h.table.DropLeases(parentOwner, service)
-	h.subscriptions++
+	h.subscriptionsVersion++
 	h.publishAndWake()
 }
 
@@ -138,21 +138,21 @@
 	for service := range c.services {
 		h.lingering[service] = now.Add(lostChildSubscriptionTTL)
 	}
-	h.subscriptions++
+	h.subscriptionsVersion++
 }
 
 // subscriptionDue returns the services that this node and its children want, or no longer want, and that the parent was not sent.
 func (h *hub) subscriptionDue(u *uplink) (subscribe, bool) {
-	if u.subscribed && u.subscriptionsAt == h.subscriptions {
+	if u.subscribed && u.subscriptionsVersion == h.subscriptionsVersion {
 		return subscribe{}, false
 	}
-	u.subscriptionsAt = h.subscriptions
+	u.subscriptionsVersion = h.subscriptionsVersion
 	message := subscribe{
 		DetachedMS: u.detachedMS,
 		States:     true,
 	}
 	wanted, all := h.wantedServices()
-	message.All = all && !u.all
+	message.All = all && !u.allServices
 	for service := range wanted {
 		if u.services[service] || len(u.services) >= maxSubscriptions {
 			continue
@@ -175,18 +175,18 @@
 		}
 	}
 	needed := !u.subscribed || message.All || len(message.Services)+len(message.Drop) > 0
-	u.subscribed, u.all = true, u.all || all
+	u.subscribed, u.allServices = true, u.allServices || all
 	return message, needed
 }
 
 // wantedServices returns the services that this node or its children want; all means that one of them wants all services.
 func (h *hub) wantedServices() (wanted map[core.ServiceName]bool, all bool) {
-	wanted, all = maps.Clone(h.services), h.all
+	wanted, all = maps.Clone(h.services), h.allServices
 	for service := range h.lingering {
 		wanted[service] = true
 	}
 	for _, c := range h.children {
-		all = all || c.all
+		all = all || c.allServices
 		for service := range c.services {
 			wanted[service] = true
 		}
@@ -200,7 +200,7 @@
 	c.subscribed = true
 	c.readsStates = message.States
 	h.markUnsyncedForChild(c, message)
-	c.all = c.all || message.All
+	c.allServices = c.allServices || message.All
 	for _, service := range message.Drop {
 		delete(c.services, service)
 		delete(c.tombstonesPending, service)
@@ -218,7 +218,7 @@
 		}
 	}
 	if first || message.All {
-		c.cursor = h.table.Position(lease.All)
+		c.tableCursor = h.table.Position(lease.All)
 		c.digestDue = true
 		c.tombstonesSince = now.Add(-lease.TombstoneAge)
 		if message.DetachedMS >= 0 {
@@ -229,14 +229,14 @@
 			c.tombstonesPending[service] = c.services[service]
 		}
 	}
-	h.subscriptions++
+	h.subscriptionsVersion++
 	h.publishAndWake() // a relay may have to subscribe to more services itself
 }
 
 // markUnsyncedForChild marks the services to which a relay has to subscribe on behalf of a child.
 func (h *hub) markUnsyncedForChild(c *child, message subscribe) {
 	for u := range h.uplinks {
-		if u.kind == kindNode && message.All && !u.all {
+		if u.kind == kindNode && message.All && !u.allServices {
 			h.unsyncedAll, c.digestFinal = true, false
 		}
 	}
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -66,9 +66,9 @@
 	// previous row's, and its values.
 	Rows []byte `msgpack:"w,omitempty"`
 	// Reporting is the number of nodes that report on each move, the sender included. It replaces the last one if Reports is set.
-	Reports   bool                `msgpack:"reports,omitempty"`
-	Reporting map[core.MoveID]int `msgpack:"reporting,omitempty"`
-	Changed   map[core.MoveID]int `msgpack:"c,omitempty"` // numbers of reporting nodes that replace the last ones of their moves
+	HasReporting     bool                `msgpack:"reports,omitempty"`
+	Reporting        map[core.MoveID]int `msgpack:"reporting,omitempty"`
+	ReportingChanges map[core.MoveID]int `msgpack:"c,omitempty"` // numbers of reporting nodes that replace the last ones of their moves
 	// InDoubt is the number of calls in messages that may not have arrived because their link was lost.
 	InDoubt uint64 `msgpack:"in-doubt,omitempty"`
 }
@@ -92,7 +92,7 @@
 	dropped uint64
 }
 
-func (p *pendingSums) add(now time.Time, count core.EvidenceCount, late uint64) {
+func (p *pendingSums) add(now time.Time, count core.EvidenceCount, lateUnits uint64) {
 	key := seriesOf(count)
 	held, exists := p.counts[key]
 	if !exists && len(p.counts) >= maxPendingSums {
@@ -102,17 +102,17 @@
 	if !exists {
 		held.since = now
 	}
-	held.count, held.lateUnits = sumOf(count, held.count), max(late, held.lateUnits)
+	held.count, held.lateUnits = sumOf(count, held.count), max(lateUnits, held.lateUnits)
 	p.counts[key] = held
 }
 
 // addEvidence adds a count of this node or of a child; mu is held.
-func (h *hub) addEvidence(now time.Time, count core.EvidenceCount, late uint64) {
+func (h *hub) addEvidence(now time.Time, count core.EvidenceCount, lateUnits uint64) {
 	if h.relayID != "" {
-		h.pending.add(now, count, late)
+		h.pendingSums.add(now, count, lateUnits)
 		return
 	}
-	h.lateness.observe(now, count.Move, late)
+	h.lateness.observe(now, count.Move, lateUnits)
 	count.Node, count.Incarnation = core.NodeID(h.control)+"/"+core.NodeID(count.DataCentre), h.evidenceRun
 	h.evidence.add(count)
 }
@@ -151,10 +151,10 @@
 	for _, name := range message.Names {
 		size += len(name) + 1
 	}
-	for move := range message.Changed {
+	for move := range message.ReportingChanges {
 		size += len(move) + 3
 	}
-	if size == 0 && len(message.Counts) == 0 && !message.Reports && message.InDoubt == 0 {
+	if size == 0 && len(message.Counts) == 0 && !message.HasReporting && message.InDoubt == 0 {
 		return nil, 0
 	}
 	return []outgoing{{
@@ -170,16 +170,16 @@
 		return
 	}
 	if !compact {
-		u.reporting, message.Reporting, message.Reports = reporting, reporting, true
+		u.reporting, message.Reporting, message.HasReporting = reporting, reporting, true
 		return
 	}
-	message.Changed = make(map[core.MoveID]int)
+	message.ReportingChanges = make(map[core.MoveID]int)
 	for _, move := range append(slices.Collect(maps.Keys(reporting)), slices.Collect(maps.Keys(u.reporting))...) {
-		if reporting[move] != u.reporting[move] && len(message.Changed) < maxChangedMoves {
-			message.Changed[move] = reporting[move]
+		if reporting[move] != u.reporting[move] && len(message.ReportingChanges) < maxChangedMoves {
+			message.ReportingChanges[move] = reporting[move]
 		}
 	}
-	u.reporting = withChanges(u.reporting, message.Changed)
+	u.reporting = withChanges(u.reporting, message.ReportingChanges)
 }
 
 func withChanges(reporting, changed map[core.MoveID]int) map[core.MoveID]int {
@@ -195,7 +195,7 @@
 // fillCounts moves pending sums into Series and Counts, for a parent that cannot read rows.
 func (h *hub) fillCounts(u *uplink, message *sums) {
 	keys := make([]series, 0, maxCountsPerFrame)
-	for key := range h.pending.counts {
+	for key := range h.pendingSums.counts {
 		if len(keys) == maxCountsPerFrame {
 			break
 		}
@@ -210,7 +210,7 @@
 		}
 		message.Counts = appendCount(message.Counts, number, h.removePending(u, key).count)
 	}
-	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
+	message.InDoubt, h.pendingSums.inDoubt = h.pendingSums.inDoubt, 0
 }
 
 // ensureSeriesCapacity starts the numbers of the series again at zero if the needed ones would exceed maxSeriesPerLink.
@@ -229,8 +229,8 @@
 
 // removePending removes a pending sum that is about to be sent.
 func (h *hub) removePending(u *uplink, key series) pendingSum {
-	sum := h.pending.counts[key]
-	delete(h.pending.counts, key)
+	sum := h.pendingSums.counts[key]
+	delete(h.pendingSums.counts, key)
 	u.callsSincePing += sum.count.Calls
 	return sum
 }
@@ -298,12 +298,12 @@
 	for _, each := range counts {
 		h.addEvidence(now, each.count, each.lateUnits)
 	}
-	h.pending.inDoubt += message.InDoubt
-	if message.Reports {
+	h.pendingSums.inDoubt += message.InDoubt
+	if message.HasReporting {
 		c.reporting = message.Reporting
 	}
-	if len(message.Changed) > 0 {
-		if c.reporting = withChanges(c.reporting, message.Changed); len(c.reporting) > maxReportedMoves {
+	if len(message.ReportingChanges) > 0 {
+		if c.reporting = withChanges(c.reporting, message.ReportingChanges); len(c.reporting) > maxReportedMoves {
 			return errors.Annotate(frame.ErrMalformed, "child reports on too many moves")
 		}
 	}
@@ -329,6 +329,6 @@
 // it may have received them.
 func (h *hub) addCallsInDoubt(u *uplink) {
 	for _, calls := range append(u.callsBeforePings, u.callsSincePing) {
-		h.pending.inDoubt += calls
+		h.pendingSums.inDoubt += calls
 	}
 }
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -154,7 +154,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		source.hub.mu.Lock()
-		inDoubt := source.hub.pending.inDoubt
+		inDoubt := source.hub.pendingSums.inDoubt
 		source.hub.mu.Unlock()
 		sum := totalEvidence(source)
 		c.Assert(sum.Calls < r.calls, qt.IsTrue) // some were lost with the link
@@ -193,11 +193,11 @@
 				c.Assert(parent.handleSums(now, link, message), qt.IsNil)
 			}
 			got := make(map[series]core.EvidenceCount)
-			for key, sum := range parent.pending.counts {
+			for key, sum := range parent.pendingSums.counts {
 				got[key] = sum.count
 			}
 			c.Assert(got, qt.DeepEquals, want)
-			clear(parent.pending.counts)
+			clear(parent.pendingSums.counts)
 		}
 	})
 }
--- a/io/distribution/sumschedule.go
+++ b/io/distribution/sumschedule.go
@@ -56,15 +56,15 @@
 		case !known || !slices.Equal(weights, o.Weights):
 			steps[o.Move] = now
 		default:
-			steps[o.Move] = h.steps[o.Move]
+			steps[o.Move] = h.lastStepAt[o.Move]
 		}
 	}
-	h.steps = steps
+	h.lastStepAt = steps
 }
 
 // recentlyStepped reports whether a move has priority because it took a step within stepPriorityWindow.
 func (h *hub) recentlyStepped(now time.Time, move core.MoveID) bool {
-	return now.Sub(h.steps[move]) < stepPriorityWindow
+	return now.Sub(h.lastStepAt[move]) < stepPriorityWindow
 }
 
 // prioritySumsPending reports whether sums of a move with priority wait for a backlogged link.
@@ -72,7 +72,7 @@
 	if !u.backlogged {
 		return false
 	}
-	for key := range h.pending.counts {
+	for key := range h.pendingSums.counts {
 		if h.recentlyStepped(now, key.Move) {
 			return true
 		}
@@ -84,8 +84,8 @@
 // where the counts of a move with priority are taken to be stepPriorityAdvance older.
 func (h *hub) pendingInSendOrder(now time.Time, priorityOnly bool) []series {
 	ranks := make(map[core.MoveID]time.Time)
-	keys := make([]series, 0, len(h.pending.counts))
-	for key, sum := range h.pending.counts {
+	keys := make([]series, 0, len(h.pendingSums.counts))
+	for key, sum := range h.pendingSums.counts {
 		if priorityOnly && !h.recentlyStepped(now, key.Move) {
 			continue
 		}
@@ -145,7 +145,7 @@
 	if mode == sumsRegular {
 		u.backlogged = count < len(keys)
 	}
-	message.InDoubt, h.pending.inDoubt = h.pending.inDoubt, 0
+	message.InDoubt, h.pendingSums.inDoubt = h.pendingSums.inDoubt, 0
 }
 
 // sumsMode tells why a message of sums is sent.
@@ -243,10 +243,10 @@
 			return nil, errors.Annotatef(frame.ErrMalformed, "sum refers to series %d of %d", number, len(c.series))
 		}
 		c.rows[number] = reader.readRow(c.rows[number])
-		count, late := c.rows[number].count()
+		count, lateUnits := c.rows[number].count()
 		counts, next = append(counts, lateCount{
 			count:     c.series[number].label(count),
-			lateUnits: late,
+			lateUnits: lateUnits,
 		}), number+1
 	}
 	return counts, reader.err
@@ -261,15 +261,15 @@
 }
 
 // observe records a lateness, unless a greater one of the last latenessWindow is held.
-func (l lateness) observe(now time.Time, move core.MoveID, late uint64) {
+func (l lateness) observe(now time.Time, move core.MoveID, lateUnits uint64) {
 	held := l[move]
 	switch {
-	case late < held.lateUnits && now.Sub(held.at) < latenessWindow:
-	case late == 0:
+	case lateUnits < held.lateUnits && now.Sub(held.at) < latenessWindow:
+	case lateUnits == 0:
 		delete(l, move)
 	case len(l) < maxReportedMoves:
 		l[move] = latenessEntry{
-			lateUnits: late,
+			lateUnits: lateUnits,
 			at:        now,
 		}
 	}
@@ -288,11 +288,11 @@
 func (s *Source) EvidenceLateness(move core.MoveID) time.Duration {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	late := s.hub.lateness[move].lateUnits
+	lateUnits := s.hub.lateness[move].lateUnits
 	for _, c := range s.hub.children {
-		late = max(late, c.latenessByMove[move])
+		lateUnits = max(lateUnits, c.latenessByMove[move])
 	}
-	return time.Duration(min(late, maxLatenessUnits)) * latenessUnit
+	return time.Duration(min(lateUnits, maxLatenessUnits)) * latenessUnit
 }
 
 // maxLatenessUnits limits the lateness that a child can report to an hour.
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -18,12 +18,12 @@
 
 	announced         bool   // the local endpoints were sent, so that changes to them suffice
 	completeSent      bool   // the local endpoints were sent to another control instance after the end of startupGrace
-	cursor            uint64 // position in the table up to which changes were sent
+	tableCursor       uint64 // position in the table up to which changes were sent
 	batch             batcher
 	deferredUntil     time.Time // when changes that are not urgent are sent
 	acknowledged      acknowledge
 	acknowledgePacer  pacer
-	evidenceAt        uint64 // position in the evidence store up to which counts were sent
+	evidenceCursor    uint64 // position in the evidence store up to which counts were sent
 	evidencePacer     pacer
 	prioritySumsPacer pacer
 	backlogged        bool // the last regular message of sums had no room for all of them
@@ -33,18 +33,18 @@
 	reporting         map[core.MoveID]int
 	callsSincePing    uint64   // calls in sums sent after the last ping
 	callsBeforePings  []uint64 // for each unanswered ping: calls in sums sent between the previous ping and it
-	nodesAt           uint64   // position in the node store up to which reports were sent
+	nodesCursor       uint64   // position in the node store up to which reports were sent
 	nodesPacer        pacer
-	crashesAt         uint64 // position in the crash store up to which reports were sent
+	crashesCursor     uint64 // position in the crash store up to which reports were sent
 	pingPacer         pacer
 
-	subscribed          bool
-	subscriptionsAt     uint64 // hub.subscriptions when the last subscription was sent
-	all                 bool
-	services            map[core.ServiceName]bool
-	detachedMS          int64 // how long the node had no parent, negative if it has had none before
-	configRequestDue    bool
-	endpointsRequestDue bool
+	subscribed           bool
+	subscriptionsVersion uint64 // hub.subscriptions when the last subscription was sent
+	allServices          bool
+	services             map[core.ServiceName]bool
+	detachedMS           int64 // how long the node had no parent, negative if it has had none before
+	configRequestDue     bool
+	endpointsRequestDue  bool
 }
 
 // noAcknowledgementSent is a number of nodes that differs from every real one, so that the first acknowledgement of a link is sent
@@ -163,13 +163,13 @@
 
 func (h *hub) nextDueToParent(u *uplink, now time.Time) time.Time {
 	next := u.pingPacer.next
-	if len(h.pending.counts) > 0 && u.kind == kindNode && u.evidencePacer.next.Before(next) {
+	if len(h.pendingSums.counts) > 0 && u.kind == kindNode && u.evidencePacer.next.Before(next) {
 		next = u.evidencePacer.next
 	}
 	if u.prioritySumsPacer.next.Before(next) && h.prioritySumsPending(u, now) {
 		next = u.prioritySumsPacer.next
 	}
-	if at := laterOf(u.batch.nextUrgent, u.deferredUntil); u.cursor != h.table.Position(lease.Local) && at.Before(next) {
+	if at := laterOf(u.batch.nextUrgent, u.deferredUntil); u.tableCursor != h.table.Position(lease.Local) && at.Before(next) {
 		next = at
 	}
 	if u.acknowledged.subtreeOnly() != h.ownAcknowledgement().merge(h.subtreeAcknowledgement()).subtreeOnly() && u.acknowledgePacer.next.Before(next) {
@@ -205,7 +205,7 @@
 func (h *hub) announcementsDue(u *uplink, now time.Time, final bool) []outgoing {
 	if !u.announced || (u.kind == kindControl && h.complete && !u.completeSent) {
 		u.announced, u.completeSent = true, h.complete
-		u.cursor = h.table.Position(lease.Local)
+		u.tableCursor = h.table.Position(lease.Local)
 		return []outgoing{{
 			kind: typeAnnounce,
 			message: announce{
@@ -219,7 +219,7 @@
 		u.deferredUntil = time.Time{}
 		return nil
 	}
-	changes, reached := h.table.Changes(lease.Local, u.cursor, lease.Owner{}, anyService)
+	changes, reached := h.table.Changes(lease.Local, u.tableCursor, lease.Owner{}, anyService)
 	if !reached {
 		u.announced = false
 		return h.announcementsDue(u, now, final)
@@ -228,7 +228,7 @@
 		u.deferredUntil = at
 		return nil
 	}
-	u.cursor, u.deferredUntil = changes.Next, time.Time{}
+	u.tableCursor, u.deferredUntil = changes.Next, time.Time{}
 	if changes.Empty() {
 		return nil
 	}
@@ -244,14 +244,14 @@
 
 func (h *hub) evidenceDue(u *uplink, now time.Time, mode sumsMode) []outgoing {
 	due, size := h.sumsDue(u, now, mode)
-	counts, at := h.evidence.since(u.evidenceAt)
-	u.evidenceAt = at
+	counts, at := h.evidence.since(u.evidenceCursor)
+	u.evidenceCursor = at
 	if len(counts) > 0 {
 		due = append(due, outgoing{
 			kind: typeEvidence,
 			message: evidence{
-				Counts: counts,
-				Late:   h.lateness.all(),
+				Counts:         counts,
+				LatenessByMove: h.lateness.all(),
 			},
 		})
 	}
@@ -297,5 +297,5 @@
 }
 
 func (u *uplink) wants(service core.ServiceName) bool {
-	return u.all || u.services[service]
+	return u.allServices || u.services[service]
 }
--- a/io/frame/compressor.go
+++ b/io/frame/compressor.go
@@ -46,9 +46,9 @@
 		}
 	}
 	id := xxhash.Sum64(dictionary.Bytes()) | 1 // never zero
-	number := uint32(id)
+	dictionaryID := uint32(id)
 	writer, err := zstd.NewWriter(nil,
-		zstd.WithEncoderDictRaw(number, dictionary.Bytes()),
+		zstd.WithEncoderDictRaw(dictionaryID, dictionary.Bytes()),
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(compressionWindowBytes),
@@ -60,7 +60,7 @@
 		return nil, errors.Trace(err)
 	}
 	reader, err := zstd.NewReader(nil,
-		zstd.WithDecoderDictRaw(number, dictionary.Bytes()),
+		zstd.WithDecoderDictRaw(dictionaryID, dictionary.Bytes()),
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(core.MaxFrameBytes),
@@ -76,20 +76,20 @@
 }
 
 // ID returns the ID by which two processes agree on a dictionary, zero for a nil compressor.
-func (p *Compressor) ID() CompressorID {
-	if p == nil {
+func (c *Compressor) ID() CompressorID {
+	if c == nil {
 		return 0
 	}
-	return p.id
+	return c.id
 }
 
 // compress returns the frame with its message compressed if that is shorter, and otherwise the frame itself.
-func (p *Compressor) compress(framed []byte) []byte {
+func (c *Compressor) compress(framed []byte) []byte {
 	message := framed[lengthBytes+typeBytes:]
 	if len(message) < minCompressibleBytes {
 		return framed
 	}
-	compressed := p.encoder.EncodeAll(message, make([]byte, lengthBytes+typeBytes, len(framed)))
+	compressed := c.encoder.EncodeAll(message, make([]byte, lengthBytes+typeBytes, len(framed)))
 	if len(compressed) >= len(framed) || uint64(len(message)) > maxDecompressedBytes(len(compressed)-lengthBytes-typeBytes) {
 		return framed
 	}
@@ -105,7 +105,7 @@
 
 // decompress returns the message of a compressed frame, or ErrMalformed if the frame states no length or one over the maximum
 // ratio.
-func (p *Compressor) decompress(f Frame) (Frame, error) {
+func (c *Compressor) decompress(f Frame) (Frame, error) {
 	var header zstd.Header
 	if err := header.Decode(f.body); err != nil {
 		return Frame{}, errors.Annotatef(ErrMalformed, "compressed message: %v", err)
@@ -113,7 +113,7 @@
 	if !header.HasFCS || header.FrameContentSize > maxDecompressedBytes(len(f.body)) {
 		return Frame{}, errors.Annotatef(ErrMalformed, "compressed message of %d bytes states a length of %d", len(f.body), header.FrameContentSize)
 	}
-	message, err := p.decoder.DecodeAll(f.body, nil)
+	message, err := c.decoder.DecodeAll(f.body, nil)
 	if err != nil {
 		return Frame{}, errors.Annotatef(ErrMalformed, "compressed message: %v", err)
 	}
