--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -63,7 +63,7 @@
 	nextTarget       int
 	redirectQueue    []string // addresses of the latest redirect, least loaded first
 	redirects        int
-	attempts         int
+	attempts         int // waits since the last link that lasted for linkTimeout; they determine the backoff
 	wait             time.Duration
 	address          string
 	excludedUntil    map[string]time.Time // by address: the end of the exclusion after a timeout
--- a/io/distribution/batch.go
+++ b/io/distribution/batch.go
@@ -15,8 +15,8 @@
 	endpointBytesPerSecond = 30
 	endpointBurstBytes     = 4 << 10
 	// throttledUrgentInterval and throttledInterval apply to a link over its budget. A change crosses up to 7 links: 3 up, 1
-	// between control instances and 3 down. Over all of them, a change that takes a backend server out of use waits for 2.1 s of
-	// the 3 s allowed for it, and any other change for 10.5 s of 14 s.
+	// between control instances and 3 down. Over all of them, a change that takes a backend server out of use waits for at most
+	// 2.1 s of the 3 s allowed for it, and any other change for at most 10.5 s of 14 s.
 	throttledUrgentInterval = 300 * time.Millisecond
 	throttledInterval       = 1500 * time.Millisecond
 	// Approximate sizes in bytes of a message without changes, of an endpoint, and of a state change.
--- a/io/distribution/batch_test.go
+++ b/io/distribution/batch_test.go
@@ -13,11 +13,11 @@
 // Guards against throttled links that delay a change: a leaving backend server would get calls for more than 3 s and a new one
 // none for 14 s. Also guards against traffic on such links that grows with every change.
 func TestThrottledLinksDeliverLeavingInTime(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		w.source("c1", w.catalog, "c2")
-		w.source("c2", w.catalog, "c1")
-		nodes := append(w.startNodes(38, withControlAddresses("c1")), w.subscriber("z", "c2"))
-		w.eventually(convergenceTimeout, "all endpoints", allHaveEndpoints(nodes, 38))
+	runTest(t, func(c *qt.C, tc *cluster) {
+		tc.source("c1", tc.catalog, "c2")
+		tc.source("c2", tc.catalog, "c1")
+		nodes := append(tc.startNodes(38, withControlAddresses("c1")), tc.subscriber("z", "c2"))
+		tc.eventually(convergenceTimeout, "all endpoints", allHaveEndpoints(nodes, 38))
 		churn := func(rounds int) {
 			for i := range rounds {
 				state := []core.EndpointState{core.EndpointStarting, core.EndpointReady}[i/30%2]
--- a/io/distribution/bench_test.go
+++ b/io/distribution/bench_test.go
@@ -19,11 +19,11 @@
 }
 
 func newFleet(t testing.TB, count int) *fleet {
-	w := newCluster(t)
-	w.loopback()
-	w.catalog.set(plannedConfiguration(1))
-	f := &fleet{cluster: w, source: w.source("c1", w.catalog), nodes: w.startNodes(count, withControlAddresses("c1"))}
-	w.eventually(time.Minute, "attached", func() bool { return allAtRevision(f.nodes, 1)() && allHaveEndpoints(f.nodes, count)() })
+	tc := newCluster(t)
+	tc.loopback()
+	tc.catalog.set(plannedConfiguration(1))
+	f := &fleet{cluster: tc, source: tc.source("c1", tc.catalog), nodes: tc.startNodes(count, withControlAddresses("c1"))}
+	tc.eventually(time.Minute, "attached", func() bool { return allAtRevision(f.nodes, 1)() && allHaveEndpoints(f.nodes, count)() })
 	return f
 }
 
@@ -161,12 +161,12 @@
 // newPlannedFleet spreads the nodes over the planned data centres and their backend servers over the planned services. With onDemand,
 // each node uses servicesPerNode services; otherwise it receives all endpoints.
 func newPlannedFleet(b *testing.B, count int, onDemand bool) *fleet {
-	w := newCluster(b)
-	w.loopback()
-	w.catalog.set(plannedConfiguration(1))
-	f := &fleet{cluster: w, source: w.source("c1", w.catalog)}
+	tc := newCluster(b)
+	tc.loopback()
+	tc.catalog.set(plannedConfiguration(1))
+	f := &fleet{cluster: tc, source: tc.source("c1", tc.catalog)}
 	services := plannedConfiguration(1).Services()
-	f.nodes = w.startNodes(count, func(i int, o *SubscriberOptions) {
+	f.nodes = tc.startNodes(count, func(i int, o *SubscriberOptions) {
 		o.OnDemandEndpoints, o.DataCentre = onDemand, core.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
 	})
 	for i, n := range f.nodes {
@@ -181,7 +181,7 @@
 			return n.Confirmed() && n.EndpointsKnown(services[0]) == n.hub.services[services[0]]
 		}
 	}
-	w.eventually(5*time.Minute, "endpoints known", func() bool { return f.source.Fleet().Nodes == count && every(f.nodes, endpointsKnown)() })
+	tc.eventually(5*time.Minute, "endpoints known", func() bool { return f.source.Fleet().Nodes == count && every(f.nodes, endpointsKnown)() })
 	return f
 }
 
--- a/io/distribution/compressor_test.go
+++ b/io/distribution/compressor_test.go
@@ -14,10 +14,10 @@
 // Guards against links between data centres that are not compressed, against compressed messages to a child that cannot read them,
 // and against the cost of compression within a data centre.
 func TestLinksBetweenDataCentresAreCompressed(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
+	runTest(t, func(c *qt.C, tc *cluster) {
 		compressor, err := newCompressor()
 		c.Assert(err, qt.IsNil)
-		w.source("c1", w.catalog) // its data centre is empty
+		tc.source("c1", tc.catalog) // its data centre is empty
 		for name, test := range map[string]struct {
 			dataCentre core.DataCentre
 			supported  frame.CompressorID
@@ -28,7 +28,7 @@
 			"a child without compression": {dataCentre: "dc-b"},
 			"a child of another version":  {dataCentre: "dc-b", supported: compressor.ID() + 2},
 		} {
-			child := w.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.supported}, compressor)
+			child := tc.rawChild("c1", hello{ID: core.NodeID(name), DataCentre: test.dataCentre, Compressor: test.supported}, compressor)
 			var accepted accept
 			child.receive(typeAccept, &accepted)
 			c.Check(accepted.Compressor != 0, qt.Equals, test.compressed, qt.Commentf(name))
@@ -42,7 +42,7 @@
 
 // Guards against a child that sends uncompressed messages although its parent has agreed to compression, and the reverse.
 func TestChildCompressesWhatItsParentReads(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
+	runTest(t, func(c *qt.C, tc *cluster) {
 		compressor, err := newCompressor()
 		c.Assert(err, qt.IsNil)
 		for name, test := range map[string]struct {
@@ -53,8 +53,8 @@
 			"no compression":     {agreed: 0},
 			"another dictionary": {agreed: compressor.ID() + 2},
 		} {
-			parent := w.rawParent("parent-" + name)
-			child := w.subscriber(core.NodeID("n-"+name), "parent-"+name)
+			parent := tc.rawParent("parent-" + name)
+			child := tc.subscriber(core.NodeID("n-"+name), "parent-"+name)
 			child.Announce(endpoint("service-0", core.EndpointReady))
 			parent.attach(accept{Compressor: test.agreed})
 			// The test's end cannot read compressed messages.
@@ -62,7 +62,7 @@
 				_, err = parent.conn.Receive(time.Now().Add(linkTimeout))
 			}
 			c.Check(errors.Is(err, frame.ErrMalformed), qt.Equals, test.compressed, qt.Commentf("%s: %v", name, err))
-			w.stop("n-" + name)
+			tc.stop("n-" + name)
 		}
 	})
 }
--- a/io/distribution/confirmer.go
+++ b/io/distribution/confirmer.go
@@ -14,6 +14,7 @@
 	waiters  map[uint64]*waiter
 }
 
+// waiter is the latest confirmation request of a link.
 type waiter struct {
 	number    uint64 // of the child's request
 	coveredBy uint64 // number of the read that began after the request, zero if none has begun
--- a/io/distribution/content_test.go
+++ b/io/distribution/content_test.go
@@ -17,17 +17,17 @@
 // Guards against nodes that hold other content than the control instances for as long as the revision stays, unnoticed because
 // the revision numbers are equal.
 func TestDivergedContentIsReplaced(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		w.catalog.set(revision(5))
-		w.source("c1", w.catalog)
-		nodes := w.startNodes(24, withControlAddresses("c1"))
-		w.eventually(convergenceTimeout, "revision 5", allAtRevision(nodes, 5))
-		w.stop("c1")
+	runTest(t, func(c *qt.C, tc *cluster) {
+		tc.catalog.set(revision(5))
+		tc.source("c1", tc.catalog)
+		nodes := tc.startNodes(24, withControlAddresses("c1"))
+		tc.eventually(convergenceTimeout, "revision 5", allAtRevision(nodes, 5))
+		tc.stop("c1")
 		restored := divergedCatalog(5)
-		source := w.source("c1", restored)
+		source := tc.source("c1", restored)
 		accepted := restored.Current().Hash()
-		w.eventually(convergenceTimeout, "the accepted content on all nodes", every(nodes, func(s *Subscriber) bool { return s.Current().Hash() == accepted }))
-		w.eventually(convergenceTimeout, "no difference is left", func() bool {
+		tc.eventually(convergenceTimeout, "the accepted content on all nodes", every(nodes, func(s *Subscriber) bool { return s.Current().Hash() == accepted }))
+		tc.eventually(convergenceTimeout, "no difference is left", func() bool {
 			source.hub.mu.Lock()
 			defer source.hub.mu.Unlock()
 			for _, each := range source.hub.children {
@@ -46,19 +46,19 @@
 		c.Assert(replaced, qt.Equals, uint64(24))
 		c.Assert(found >= 24, qt.IsTrue, qt.Commentf("%d found", found))
 		restored.set(configuration(6, testRecords(4, 78)))
-		w.eventually(convergenceTimeout, "revision 6", allAtRevision(nodes, 6))
+		tc.eventually(convergenceTimeout, "revision 6", allAtRevision(nodes, 6))
 	})
 }
 
 // Guards against a node that takes over the content of its parent when the parent holds the wrong one.
 func TestDivergedContentNeedsAConfirmedRead(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		parent := w.rawParent("c1")
-		node := w.subscriber("a", "c1")
+	runTest(t, func(c *qt.C, tc *cluster) {
+		parent := tc.rawParent("c1")
+		node := tc.subscriber("a", "c1")
 		parent.attach(accept{Control: "c1"})
 		right := revision(2)
 		parent.send(typeConfigFull, right.Full())
-		w.eventually(convergenceTimeout, "revision 2", allAtRevision([]*Subscriber{node}, 2))
+		tc.eventually(convergenceTimeout, "revision 2", allAtRevision([]*Subscriber{node}, 2))
 		var request confirmRequest
 		parent.receive(typeConfirmRequest, &request)
 		parent.send(typeConfirm, confirm{Number: request.Number, Revision: 2, Hash: right.Hash()})
@@ -66,7 +66,7 @@
 		parent.receive(typeConfirmRequest, &request)
 		c.Assert(node.Current().Hash(), qt.Equals, right.Hash())
 		parent.send(typeConfirm, confirm{Number: request.Number, Revision: 2, Hash: right.Hash()})
-		w.eventually(convergenceTimeout, "the candidate is given up", func() bool {
+		tc.eventually(convergenceTimeout, "the candidate is given up", func() bool {
 			node.hub.mu.Lock()
 			defer node.hub.mu.Unlock()
 			return node.candidate == nil
--- a/io/distribution/crashes.go
+++ b/io/distribution/crashes.go
@@ -92,12 +92,12 @@
 }
 
 // since returns at most maxCrashesPerFrame reports from a position on whose origin passes, and the position after the last one.
-func (s *crashStore) since(now time.Time, at uint64, pass func(crashOrigin) bool) ([]crashReport, uint64) {
-	at = max(at, s.firstPosition)
+func (s *crashStore) since(now time.Time, position uint64, wanted func(crashOrigin) bool) ([]crashReport, uint64) {
+	position = max(position, s.firstPosition)
 	var reports []crashReport
-	for ; at < s.endPosition() && len(reports) < maxCrashesPerFrame; at++ {
-		item := s.items[at-s.firstPosition]
-		if !pass(item.from) {
+	for ; position < s.endPosition() && len(reports) < maxCrashesPerFrame; position++ {
+		item := s.items[position-s.firstPosition]
+		if !wanted(item.from) {
 			continue
 		}
 		reports = append(reports, crashReport{
@@ -105,7 +105,7 @@
 			AgeMS:  now.Sub(item.at).Milliseconds(),
 		})
 	}
-	return reports, at
+	return reports, position
 }
 
 // handleCrashes stores the reports that a link delivered; mu is held.
@@ -122,15 +122,15 @@
 
 // crashesForParent returns the reports that the parent or another control instance has not been sent.
 func (h *hub) crashesForParent(u *uplink, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, u.crashesCursor, func(from crashOrigin) bool { return !from.parent && !from.remote })
-	u.crashesCursor = at
+	reports, position := h.crashes.since(now, u.crashesCursor, func(from crashOrigin) bool { return !from.parent && !from.remote })
+	u.crashesCursor = position
 	return crashMessages(reports)
 }
 
 // crashesForChild returns the reports that a child has not been sent.
 func (h *hub) crashesForChild(c *child, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, c.crashesCursor, func(from crashOrigin) bool { return from.link != c.id })
-	c.crashesCursor = at
+	reports, position := h.crashes.since(now, c.crashesCursor, func(from crashOrigin) bool { return from.link != c.id })
+	c.crashesCursor = position
 	return crashMessages(reports)
 }
 
--- a/io/distribution/crashes_test.go
+++ b/io/distribution/crashes_test.go
@@ -13,14 +13,14 @@
 // reports that are counted twice or forwarded in a loop.
 func TestCrashReportsReachEveryNodeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
-		defer w.close()
-		w.source("c1", w.catalog, "c2")
-		w.source("c2", w.catalog, "c1")
+		tc := newCluster(t)
+		defer tc.close()
+		tc.source("c1", tc.catalog, "c2")
+		tc.source("c2", tc.catalog, "c1")
 		var mu sync.Mutex // guards received
 		received := make(map[core.NodeID]int)
 		start := func(id core.NodeID, control string) *Subscriber {
-			return w.subscriberWith(id, func(o *SubscriberOptions) {
+			return tc.subscriberWith(id, func(o *SubscriberOptions) {
 				o.ControlAddresses = []string{control}
 				o.OnCrash = func(time.Time, core.CrashReport) {
 					mu.Lock()
@@ -47,12 +47,12 @@
 			}
 		}
 		report := core.CrashReport{Node: "n1", Run: "r1", Fingerprint: 7}
-		w.eventually(5*time.Second, "attached", reporter.Confirmed)
+		tc.eventually(5*time.Second, "attached", reporter.Confirmed)
 		reporter.ReportCrash(report)
 		reporter.ReportCrash(report)
-		w.eventually(3*time.Second, "every node has received the report once", receivedOnceBy(5))
+		tc.eventually(3*time.Second, "every node has received the report once", receivedOnceBy(5))
 		time.Sleep(5 * time.Second)
 		start("n6", "c2")
-		w.eventually(5*time.Second, "a node that starts later has received the report", receivedOnceBy(6))
+		tc.eventually(5*time.Second, "a node that starts later has received the report", receivedOnceBy(6))
 	})
 }
--- a/io/distribution/downlink.go
+++ b/io/distribution/downlink.go
@@ -88,8 +88,8 @@
 	if now.Before(c.batch.nextUrgent) {
 		return due, c.batch.nextUrgent
 	}
-	changes, reached := h.table.Changes(lease.All, c.tableCursor, c.owner, c.wants)
-	if !reached {
+	changes, available := h.table.Changes(lease.All, c.tableCursor, c.owner, c.wants)
+	if !available {
 		c.tableCursor, c.digestFinal = h.table.Position(lease.All), false
 		c.digestDue = true
 		return due, now
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -118,9 +118,9 @@
 
 // since returns at most maxCountsPerFrame own counts that changed after a position, in order of change, and the position of the
 // last change that it covers.
-func (s *evidenceStore) since(at uint64) ([]core.EvidenceCount, uint64) {
+func (s *evidenceStore) since(position uint64) ([]core.EvidenceCount, uint64) {
 	element := s.byChange.Back()
-	for element != nil && element.Value.(*evidenceItem).change > at {
+	for element != nil && element.Value.(*evidenceItem).change > position {
 		element = element.Prev()
 	}
 	if element == nil {
@@ -131,12 +131,12 @@
 	var counts []core.EvidenceCount
 	for ; element != nil && len(counts) < maxCountsPerFrame; element = element.Next() {
 		item := element.Value.(*evidenceItem)
-		at = item.change
+		position = item.change
 		if !item.remote {
 			counts = append(counts, item.count)
 		}
 	}
-	return counts, at
+	return counts, position
 }
 
 func (s *evidenceStore) all() []core.EvidenceCount {
--- a/io/distribution/fakes_test.go
+++ b/io/distribution/fakes_test.go
@@ -67,16 +67,16 @@
 // fakeConn is one end of a connection.
 type fakeConn struct {
 	net.Conn
-	from, to          string // the dialing process and the dialed address
-	peer              *fakeConn
-	in                chan packet
-	unread            []byte
-	closed            chan struct{}
-	close             func()
-	deadline, writeBy atomic.Value // time.Time
-	silent            atomic.Bool  // drops writes, like a host without power
-	stalled           atomic.Bool  // the process does not read
-	extraDelay        atomic.Int64 // added to the delay
+	from, to                    string // the dialing process and the dialed address
+	peer                        *fakeConn
+	in                          chan packet
+	unread                      []byte
+	closed                      chan struct{}
+	close                       func()
+	readDeadline, writeDeadline atomic.Value // time.Time
+	silent                      atomic.Bool  // drops writes, like a host without power
+	stalled                     atomic.Bool  // the process does not read
+	extraDelay                  atomic.Int64 // added to the delay
 }
 
 func expiry(deadline *atomic.Value) <-chan time.Time {
@@ -106,7 +106,7 @@
 			if !c.peer.silent.Load() {
 				return 0, io.EOF
 			}
-		case <-expiry(&c.deadline):
+		case <-expiry(&c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
@@ -126,13 +126,13 @@
 		return 0, io.ErrClosedPipe
 	case c.peer.in <- packet{at: time.Now().Add(fakeDelay + time.Duration(c.extraDelay.Load())), data: append([]byte(nil), p...)}:
 		return len(p), nil
-	case <-expiry(&c.writeBy):
+	case <-expiry(&c.writeDeadline):
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-func (c *fakeConn) SetReadDeadline(at time.Time) error  { c.deadline.Store(at); return nil }
-func (c *fakeConn) SetWriteDeadline(at time.Time) error { c.writeBy.Store(at); return nil }
+func (c *fakeConn) SetReadDeadline(at time.Time) error  { c.readDeadline.Store(at); return nil }
+func (c *fakeConn) SetWriteDeadline(at time.Time) error { c.writeDeadline.Store(at); return nil }
 func (c *fakeConn) Close() error                        { c.close(); return nil }
 
 func (n *fakeNet) newConn(from, to string) *fakeConn {
@@ -318,9 +318,9 @@
 }
 
 // loopback replaces the fake network by TCP, with a port for each name.
-func (w *cluster) loopback() {
+func (tc *cluster) loopback() {
 	var ports sync.Map
-	w.network = func(string) Network {
+	tc.network = func(string) Network {
 		return Network{
 			Listen: func(name string) (net.Listener, error) {
 				listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -337,60 +337,60 @@
 	}
 }
 
-func (w *cluster) close() {
+func (tc *cluster) close() {
 	var stopping sync.WaitGroup
-	for _, stop := range w.stops {
+	for _, stop := range tc.stops {
 		stopping.Go(stop)
 	}
 	stopping.Wait()
 }
 
-func (w *cluster) stop(id string) {
-	w.stops[id]()
-	delete(w.stops, id)
+func (tc *cluster) stop(id string) {
+	tc.stops[id]()
+	delete(tc.stops, id)
 }
 
-func (w *cluster) source(id core.ControlID, catalog *fakeCatalog, peers ...core.ControlID) *Source {
+func (tc *cluster) source(id core.ControlID, catalog *fakeCatalog, peers ...core.ControlID) *Source {
 	options := SourceOptions{
 		ID: id, ListenAddress: string(id), Catalog: catalog, Replicator: catalog,
-		Logger: zerolog.Nop(), Network: w.network(string(id)),
+		Logger: zerolog.Nop(), Network: tc.network(string(id)),
 	}
 	for _, peer := range peers {
 		options.Peers = append(options.Peers, Peer{ID: peer, Address: string(peer)})
 	}
 	s, stop, err := NewSource(options)
 	if err != nil {
-		w.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	w.stops[string(id)] = stop
+	tc.stops[string(id)] = stop
 	return s
 }
 
-func (w *cluster) subscriber(id core.NodeID, controls ...string) *Subscriber {
-	return w.subscriberWith(id, func(o *SubscriberOptions) { o.ControlAddresses = controls })
+func (tc *cluster) subscriber(id core.NodeID, controls ...string) *Subscriber {
+	return tc.subscriberWith(id, func(o *SubscriberOptions) { o.ControlAddresses = controls })
 }
 
-func (w *cluster) subscriberWith(id core.NodeID, change func(*SubscriberOptions)) *Subscriber {
+func (tc *cluster) subscriberWith(id core.NodeID, change func(*SubscriberOptions)) *Subscriber {
 	options := SubscriberOptions{
 		ID: id, Incarnation: core.Incarnation(time.Now().UnixNano()), DataCentre: "dc-a",
 		RelayAddress: "relay-" + string(id), ControlAddresses: []string{"c1"},
-		Logger: zerolog.Nop(), Network: w.network("relay-" + string(id)),
+		Logger: zerolog.Nop(), Network: tc.network("relay-" + string(id)),
 	}
 	change(&options)
 	s, stop, err := NewSubscriber(options)
 	if err != nil {
-		w.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	w.stops[string(id)] = stop
+	tc.stops[string(id)] = stop
 	return s
 }
 
 // startNodes starts nodes n000, n001 and so on, each of which announces service-0.
-func (w *cluster) startNodes(count int, change func(i int, o *SubscriberOptions)) []*Subscriber {
+func (tc *cluster) startNodes(count int, change func(i int, o *SubscriberOptions)) []*Subscriber {
 	var list []*Subscriber
 	for i := range count {
 		id := core.NodeID(fmt.Sprintf("n%03d", i))
-		list = append(list, w.subscriberWith(id, func(o *SubscriberOptions) { change(i, o) }))
+		list = append(list, tc.subscriberWith(id, func(o *SubscriberOptions) { change(i, o) }))
 		list[i].Announce(endpoint("service-0", core.EndpointReady))
 	}
 	return list
@@ -402,12 +402,12 @@
 }
 
 // eventually waits until a condition holds and returns how long that took by the clock of the test.
-func (w *cluster) eventually(limit time.Duration, what string, holds func() bool) time.Duration {
-	w.t.Helper()
+func (tc *cluster) eventually(limit time.Duration, what string, holds func() bool) time.Duration {
+	tc.t.Helper()
 	began := time.Now()
 	for !holds() {
 		if time.Since(began) > limit {
-			w.t.Fatalf("after %v: %s", limit, what)
+			tc.t.Fatalf("after %v: %s", limit, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -415,11 +415,11 @@
 }
 
 // always checks a condition every 100 ms.
-func (w *cluster) always(span time.Duration, what string, holds func() bool) {
-	w.t.Helper()
+func (tc *cluster) always(span time.Duration, what string, holds func() bool) {
+	tc.t.Helper()
 	for began := time.Now(); time.Since(began) < span; time.Sleep(100 * time.Millisecond) {
 		if !holds() {
-			w.t.Fatalf("%v after the start of %v: not %s", time.Since(began), span, what)
+			tc.t.Fatalf("%v after the start of %v: not %s", time.Since(began), span, what)
 		}
 	}
 }
@@ -466,10 +466,10 @@
 	conn     *frame.Conn
 }
 
-func (w *cluster) rawParent(address string) *rawPeer {
-	listener, _ := w.net.network(address).Listen(address)
-	w.stops[address] = func() { _ = listener.Close() }
-	return &rawPeer{t: w.t, listener: listener}
+func (tc *cluster) rawParent(address string) *rawPeer {
+	listener, _ := tc.net.network(address).Listen(address)
+	tc.stops[address] = func() { _ = listener.Close() }
+	return &rawPeer{t: tc.t, listener: listener}
 }
 
 // attach accepts the next child.
@@ -484,13 +484,13 @@
 }
 
 // rawChild says hello to a parent.
-func (w *cluster) rawChild(address string, greeting hello, compressor *frame.Compressor) *rawPeer {
-	conn, err := w.net.network("raw-child").Dial(context.Background(), address)
+func (tc *cluster) rawChild(address string, greeting hello, compressor *frame.Compressor) *rawPeer {
+	conn, err := tc.net.network("raw-child").Dial(context.Background(), address)
 	if err != nil {
-		w.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 	greeting.Kind, greeting.RelayAddress = kindNode, "raw-child"
-	p := &rawPeer{t: w.t, conn: frame.New(conn, compressor)}
+	p := &rawPeer{t: tc.t, conn: frame.New(conn, compressor)}
 	// A parent without a free handshake slot answers and closes without reading; the message that the test receives shows it.
 	_ = p.conn.Send(time.Time{}, typeHello, greeting)
 	return p
--- a/io/distribution/localcontrol_test.go
+++ b/io/distribution/localcontrol_test.go
@@ -15,33 +15,33 @@
 // Guards against nodes that stay attached to a control instance of another data centre although their own has one, and against nodes
 // that never learn of control instances which their settings do not list.
 func TestNodesAttachInTheirDataCentre(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		first := w.source("c1", w.catalog)
-		node := w.subscriber("n1", "c1") // its data centre is dc-a
-		w.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
-		w.source("c2", w.catalog, "c1")
+	runTest(t, func(c *qt.C, tc *cluster) {
+		first := tc.source("c1", tc.catalog)
+		node := tc.subscriber("n1", "c1") // its data centre is dc-a
+		tc.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
+		tc.source("c2", tc.catalog, "c1")
 		first.SetPeers([]Peer{{ID: "c2", Address: "c2"}}, []ControlAddress{
 			{Address: "c1", DataCentre: "dc-b"},
 			{Address: "c2", DataCentre: "dc-a"},
 		})
-		w.eventually(5*time.Second, "attached in its data centre", func() bool { return node.Status().Parent == "c2" })
-		w.stop("c2")
-		w.eventually(5*time.Second, "attached in another data centre", func() bool { return node.Status().Parent == "c1" })
-		w.source("c2", w.catalog, "c1")
-		w.eventually(localRetryInterval+5*time.Second, "attached in its data centre again", func() bool { return node.Status().Parent == "c2" })
+		tc.eventually(5*time.Second, "attached in its data centre", func() bool { return node.Status().Parent == "c2" })
+		tc.stop("c2")
+		tc.eventually(5*time.Second, "attached in another data centre", func() bool { return node.Status().Parent == "c1" })
+		tc.source("c2", tc.catalog, "c1")
+		tc.eventually(localRetryInterval+5*time.Second, "attached in its data centre again", func() bool { return node.Status().Parent == "c2" })
 	})
 }
 
 // Guards against nodes that keep trying control instances which the settings no longer list.
 func TestSettingsReplaceControlAddresses(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		w.source("c1", w.catalog)
-		node := w.subscriber("n1", "c1")
-		w.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
-		w.source("c9", w.catalog)
+	runTest(t, func(c *qt.C, tc *cluster) {
+		tc.source("c1", tc.catalog)
+		node := tc.subscriber("n1", "c1")
+		tc.eventually(5*time.Second, "attached", func() bool { return node.Status().Parent == "c1" })
+		tc.source("c9", tc.catalog)
 		node.SetControlAddresses([]string{"c9"})
-		w.stop("c1")
-		w.eventually(10*time.Second, "attached to the new one", func() bool { return node.Status().Parent == "c9" })
+		tc.stop("c1")
+		tc.eventually(10*time.Second, "attached to the new one", func() bool { return node.Status().Parent == "c9" })
 	})
 }
 
@@ -58,7 +58,7 @@
 func TestTwoFrozenControlInstances(t *testing.T) {
 	controls := []core.ControlID{"c1", "c2", "c3", "c4", "c5"} // the first two are in the node's data centre
 	for frozen := 1; frozen < len(controls); frozen++ {
-		runTest(t, func(c *qt.C, w *cluster) {
+		runTest(t, func(c *qt.C, tc *cluster) {
 			addresses := lo.Map(controls, func(id core.ControlID, i int) ControlAddress {
 				return ControlAddress{
 					Address:    string(id),
@@ -67,18 +67,18 @@
 			})
 			for i, id := range controls {
 				peers := slices.Concat(controls[:i], controls[i+1:])
-				w.source(id, w.catalog, peers...).SetPeers(lo.Map(peers, func(peer core.ControlID, _ int) Peer {
+				tc.source(id, tc.catalog, peers...).SetPeers(lo.Map(peers, func(peer core.ControlID, _ int) Peer {
 					return Peer{ID: peer, Address: string(peer)}
 				}), addresses)
 			}
-			node := w.startNodes(1, withControlAddresses("c1", "c2", "c3", "c4", "c5"))[0]
-			w.eventually(20*time.Second, "attached in its data centre", func() bool { return slices.Contains([]string{"c1", "c2"}, node.Status().Parent) })
+			node := tc.startNodes(1, withControlAddresses("c1", "c2", "c3", "c4", "c5"))[0]
+			tc.eventually(20*time.Second, "attached in its data centre", func() bool { return slices.Contains([]string{"c1", "c2"}, node.Status().Parent) })
 			first := slices.Index(controls, core.ControlID(node.Status().Parent))
 			time.Sleep(10 * time.Second)
-			w.net.freeze(string(controls[first]))
-			w.net.freeze(string(controls[(first+frozen)%len(controls)]))
-			w.catalog.set(revision(2))
-			w.eventually(3*time.Second, "revision 2", allAtRevision([]*Subscriber{node}, 2))
+			tc.net.freeze(string(controls[first]))
+			tc.net.freeze(string(controls[(first+frozen)%len(controls)]))
+			tc.catalog.set(revision(2))
+			tc.eventually(3*time.Second, "revision 2", allAtRevision([]*Subscriber{node}, 2))
 		})
 	}
 }
--- a/io/distribution/messages.go
+++ b/io/distribution/messages.go
@@ -148,7 +148,8 @@
 	Digests map[core.ServiceName]core.Hash `msgpack:"digests"`
 }
 
-// evidence carries a control instance's own cumulative sums to the other instances, and how late the sums of each move are.
+// evidence carries a control instance's own cumulative sums to the other instances, and how late the sums of each move are, in
+// units of latenessUnit.
 type evidence struct {
 	Counts         []core.EvidenceCount   `msgpack:"counts"`
 	LatenessByMove map[core.MoveID]uint64 `msgpack:"late,omitempty"`
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -133,8 +133,8 @@
 	if !u.nodesPacer.ready(now) || u.nodesCursor == h.nodes.changes {
 		return nil
 	}
-	reports, reached := h.nodes.since(now, u.nodesCursor, u.kind == kindControl)
-	u.nodesCursor = reached
+	reports, position := h.nodes.since(now, u.nodesCursor, u.kind == kindControl)
+	u.nodesCursor = position
 	if len(reports) == 0 {
 		return nil
 	}
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -18,7 +18,8 @@
 // Intervals and limits of the protocol.
 const (
 	pingInterval = 600 * time.Millisecond
-	// linkTimeout tolerates two lost pings. After it, a node still has to find another control instance and catch up within 3 s.
+	// linkTimeout tolerates two lost pings. It is part of the 3 s within which a node that loses its parent has to find another
+	// control instance and catch up.
 	linkTimeout  = 3 * pingInterval
 	writeTimeout = linkTimeout
 	// dialTimeout and helloTimeout are a few times the longest round trip between regions. A host without power does not answer
--- a/io/distribution/source_test.go
+++ b/io/distribution/source_test.go
@@ -10,16 +10,16 @@
 // before: no further configuration would be reported as in force on all nodes.
 func TestRestartedControlInstanceReplacesItsReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
-		defer w.close()
-		first := w.source("c1", w.catalog, "c2")
-		w.source("c2", w.catalog, "c1")
-		node := w.subscriber("n1", "c2")
-		w.eventually(5*time.Second, "the node is attached", node.Confirmed)
-		w.eventually(5*time.Second, "the node is counted at c1", func() bool { return first.Fleet().Nodes == 1 })
-		w.stop("n1")
-		w.stop("c2")
-		w.source("c2", w.catalog, "c1")
-		w.eventually(5*time.Second, "the node is no longer counted", func() bool { return first.Fleet().Nodes == 0 })
+		tc := newCluster(t)
+		defer tc.close()
+		first := tc.source("c1", tc.catalog, "c2")
+		tc.source("c2", tc.catalog, "c1")
+		node := tc.subscriber("n1", "c2")
+		tc.eventually(5*time.Second, "the node is attached", node.Confirmed)
+		tc.eventually(5*time.Second, "the node is counted at c1", func() bool { return first.Fleet().Nodes == 1 })
+		tc.stop("n1")
+		tc.stop("c2")
+		tc.source("c2", tc.catalog, "c1")
+		tc.eventually(5*time.Second, "the node is no longer counted", func() bool { return first.Fleet().Nodes == 0 })
 	})
 }
--- a/io/distribution/statechange.go
+++ b/io/distribution/statechange.go
@@ -11,7 +11,7 @@
 )
 
 // stateChange is an announcement that differs from the node's last one only in its state and sequence. It takes about 15 bytes
-// instead of 65. Check is a hash of the fields that it omits, which the receiver must already hold.
+// instead of 65. Checksum is a hash of the fields that it omits, which the receiver must already hold.
 type stateChange struct {
 	//lint:ignore U1000 tells the msgpack library to encode the fields as an array
 	_msgpack struct{} `msgpack:",as_array"`
--- a/io/distribution/subscriber_test.go
+++ b/io/distribution/subscriber_test.go
@@ -8,18 +8,18 @@
 	"parsleyport/core"
 )
 
-// Guards against a fresh node that accepts callers before it knows the endpoints, and so refuses calls that others could serve.
+// Guards against a new node that accepts callers before it knows the endpoints, and so refuses calls that others could serve.
 func TestEndpointsSignalWaitsForTheEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
-		defer w.close()
-		w.source("c1", w.catalog)
-		first := w.subscriber("n1", "c1")
+		tc := newCluster(t)
+		defer tc.close()
+		tc.source("c1", tc.catalog)
+		first := tc.subscriber("n1", "c1")
 		first.Announce(endpoint("service-0", core.EndpointReady))
-		w.eventually(5*time.Second, "attached", first.Confirmed)
+		tc.eventually(5*time.Second, "attached", first.Confirmed)
 		time.Sleep(startupGrace)
 
-		fresh := w.subscriber("n2", "c1")
+		fresh := tc.subscriber("n2", "c1")
 		<-fresh.EndpointsSignal()
 		if len(fresh.Endpoints("service-0")) != 1 {
 			t.Fatalf("endpoints %v", fresh.Endpoints("service-0"))
--- a/io/distribution/sums.go
+++ b/io/distribution/sums.go
@@ -19,7 +19,7 @@
 	maxSeriesPerLink = 8192
 	// maxReportedMoves bounds the moves in one message.
 	maxReportedMoves = 4096
-	// maxChangedMoves bounds the moves in sums.Changed, so that a message exceeds the link's budget only slightly.
+	// maxChangedMoves bounds the moves in sums.ReportingChanges, so that a message exceeds the link's budget only slightly.
 	maxChangedMoves = 8
 	// sumsOverheadBytes is the approximate size of a message of sums without names and rows: frame, map and keys.
 	sumsOverheadBytes = 16
@@ -65,7 +65,8 @@
 	// Rows is a bit stream: the number of rows, then for each row the difference of its series number from the successor of the
 	// previous row's, and its values.
 	Rows []byte `msgpack:"w,omitempty"`
-	// Reporting is the number of nodes that report on each move, the sender included. It replaces the last one if Reports is set.
+	// Reporting is the number of nodes that report on each move, the sender included. It replaces the last one if HasReporting is
+	// set.
 	HasReporting     bool                `msgpack:"reports,omitempty"`
 	Reporting        map[core.MoveID]int `msgpack:"reporting,omitempty"`
 	ReportingChanges map[core.MoveID]int `msgpack:"c,omitempty"` // numbers of reporting nodes that replace the last ones of their moves
--- a/io/distribution/sums_test.go
+++ b/io/distribution/sums_test.go
@@ -48,13 +48,13 @@
 // Guards against counts that are lost or counted twice on the way through relays and between control instances, and against nodes
 // that are missing from the number of reporting nodes.
 func TestEvidenceIsSummedByRelays(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
-		nodes := w.startNodes(20, func(i int, o *SubscriberOptions) {
+	runTest(t, func(c *qt.C, tc *cluster) {
+		sources := []*Source{tc.source("c1", tc.catalog, "c2"), tc.source("c2", tc.catalog, "c1")}
+		nodes := tc.startNodes(20, func(i int, o *SubscriberOptions) {
 			o.ControlAddresses, o.DataCentre = []string{"c1"}, core.DataCentre(fmt.Sprintf("dc-%d", i/18))
 		})
-		nodes = append(nodes, w.subscriber("d", "c2"))
-		w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
+		nodes = append(nodes, tc.subscriber("d", "c2"))
+		tc.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 		r := &reporter{}
 		for range 5 {
 			for _, n := range nodes[1:] {
@@ -63,7 +63,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		for _, s := range sources {
-			w.eventually(8*time.Second, "all calls are counted", func() bool { return totalEvidence(s).Calls == r.calls })
+			tc.eventually(8*time.Second, "all calls are counted", func() bool { return totalEvidence(s).Calls == r.calls })
 			c.Assert(totalEvidence(s).Failures, qt.Equals, r.calls/2)
 			c.Assert(totalEvidence(s).Latency[3], qt.Equals, r.calls)
 			c.Assert(s.Evidence(), qt.HasLen, 3) // two data centres below c1 and one below c2
@@ -73,25 +73,25 @@
 			n.ReportEvidence(nil, nil)
 		}
 		for _, s := range sources {
-			w.eventually(8*time.Second, "no node reports", func() bool { return s.Reporting("m1") == 0 })
+			tc.eventually(8*time.Second, "no node reports", func() bool { return s.Reporting("m1") == 0 })
 		}
 	})
 }
 
-// Guards against sums that count a report twice, or that lose calls but not their failures, when nodes and relays restart, links break
-// or stop delivering, and nodes change their parent.
+// Guards against sums that count a report twice, or that lose a report's failures but not its calls or the reverse, when nodes and
+// relays restart, links break or stop delivering, and nodes change their parent.
 func TestEvidenceSumsUnderFaults(t *testing.T) {
 	for seed := range *faultSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runTest(t, func(c *qt.C, w *cluster) { checkSumsUnderFaults(c, w, rand.New(rand.NewPCG(seed, 1))) })
+			runTest(t, func(c *qt.C, tc *cluster) { checkSumsUnderFaults(c, tc, rand.New(rand.NewPCG(seed, 1))) })
 		})
 	}
 }
 
-func checkSumsUnderFaults(c *qt.C, w *cluster, random *rand.Rand) {
-	sources := []*Source{w.source("c1", w.catalog, "c2"), w.source("c2", w.catalog, "c1")}
-	nodes := w.startNodes(24, withControlAddresses("c1", "c2"))
-	w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
+func checkSumsUnderFaults(c *qt.C, tc *cluster, random *rand.Rand) {
+	sources := []*Source{tc.source("c1", tc.catalog, "c2"), tc.source("c2", tc.catalog, "c1")}
+	nodes := tc.startNodes(24, withControlAddresses("c1", "c2"))
+	tc.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 	r := &reporter{}
 	check := func() {
 		for _, s := range sources {
@@ -113,17 +113,17 @@
 		i := random.IntN(len(nodes))
 		switch random.IntN(3) {
 		case 0:
-			w.stop(string(nodes[i].options.ID))
-			nodes[i] = w.subscriber(nodes[i].options.ID, "c1", "c2")
+			tc.stop(string(nodes[i].options.ID))
+			nodes[i] = tc.subscriber(nodes[i].options.ID, "c1", "c2")
 		case 1:
-			for _, conn := range w.net.connsOf("relay-" + string(nodes[i].options.ID)) {
+			for _, conn := range tc.net.connsOf("relay-" + string(nodes[i].options.ID)) {
 				_ = conn.Close()
 			}
 		case 2:
-			w.net.dropPackets(nodes[i])
+			tc.net.dropPackets(nodes[i])
 		}
 		reportAll(1 + random.IntN(5))
-		w.net.block(nodes[i].options.RelayAddress, false)
+		tc.net.block(nodes[i].options.RelayAddress, false)
 	}
 	before, countedBefore := r.calls, totalEvidence(sources[0]).Calls
 	c.Assert(float64(countedBefore) > 0.7*float64(before), qt.IsTrue, qt.Commentf("%d of %d calls counted", countedBefore, before))
@@ -139,15 +139,15 @@
 
 // Guards against calls that are lost with a link that stopped delivering and are not counted as in doubt.
 func TestCallsInDoubtAreCounted(t *testing.T) {
-	runTest(t, func(c *qt.C, w *cluster) {
-		source := w.source("c1", w.catalog)
-		node := w.subscriber("a", "c1")
-		w.eventually(convergenceTimeout, "revision 1", allAtRevision([]*Subscriber{node}, 1))
+	runTest(t, func(c *qt.C, tc *cluster) {
+		source := tc.source("c1", tc.catalog)
+		node := tc.subscriber("a", "c1")
+		tc.eventually(convergenceTimeout, "revision 1", allAtRevision([]*Subscriber{node}, 1))
 		r := &reporter{}
 		for second := range 20 {
 			if second == 8 {
-				w.net.dropPackets(node)
-				w.net.block(node.options.RelayAddress, false)
+				tc.net.dropPackets(node)
+				tc.net.block(node.options.RelayAddress, false)
 			}
 			r.report(node)
 			time.Sleep(time.Second)
@@ -206,10 +206,10 @@
 // lateness, and against evidence of a step that arrives after more than 3 s.
 func TestEvidenceOfManyMovesSharesTheBudget(t *testing.T) {
 	for _, moves := range []int{6, 24} {
-		runTest(t, func(c *qt.C, w *cluster) {
-			source, calls := w.source("c1", w.catalog), make(map[core.MoveID]uint64)
-			nodes := w.startNodes(40, withControlAddresses("c1"))
-			w.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
+		runTest(t, func(c *qt.C, tc *cluster) {
+			source, calls := tc.source("c1", tc.catalog), make(map[core.MoveID]uint64)
+			nodes := tc.startNodes(40, withControlAddresses("c1"))
+			tc.eventually(convergenceTimeout, "revision 1", allAtRevision(nodes, 1))
 			arrived := func(move core.MoveID) (sum uint64) {
 				for _, count := range source.Evidence() {
 					if count.Move == move {
@@ -238,7 +238,7 @@
 				override.Weights = []core.Weight{{Upstream: "service-0-v1", PerMille: 997 + core.PerMille(number)}}
 				next, err := record.New(number+2, testRecords(3, 1), []core.Override{override})
 				c.Assert(err, qt.IsNil)
-				w.catalog.set(next)
+				tc.catalog.set(next)
 				time.Sleep(time.Second)
 				report(1) // the first calls of the step
 				since := calls["move-5"]
@@ -247,7 +247,7 @@
 				c.Assert(arrived("move-5") >= since, qt.IsTrue, qt.Commentf("%d moves, step %d: %d of %d calls arrived in 3 s", moves, number, arrived("move-5"), since))
 				report(3)
 			}
-			w.eventually(time.Minute, "all calls are counted", func() bool {
+			tc.eventually(time.Minute, "all calls are counted", func() bool {
 				for move, reported := range calls {
 					if arrived(move) != reported {
 						return false
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -39,7 +39,7 @@
 	pingPacer         pacer
 
 	subscribed           bool
-	subscriptionsVersion uint64 // hub.subscriptions when the last subscription was sent
+	subscriptionsVersion uint64 // hub.subscriptionsVersion when the last subscription was sent
 	allServices          bool
 	services             map[core.ServiceName]bool
 	detachedMS           int64 // how long the node had no parent, negative if it has had none before
@@ -219,8 +219,8 @@
 		u.deferredUntil = time.Time{}
 		return nil
 	}
-	changes, reached := h.table.Changes(lease.Local, u.tableCursor, lease.Owner{}, anyService)
-	if !reached {
+	changes, available := h.table.Changes(lease.Local, u.tableCursor, lease.Owner{}, anyService)
+	if !available {
 		u.announced = false
 		return h.announcementsDue(u, now, final)
 	}
@@ -244,8 +244,8 @@
 
 func (h *hub) evidenceDue(u *uplink, now time.Time, mode sumsMode) []outgoing {
 	due, size := h.sumsDue(u, now, mode)
-	counts, at := h.evidence.since(u.evidenceCursor)
-	u.evidenceCursor = at
+	counts, position := h.evidence.since(u.evidenceCursor)
+	u.evidenceCursor = position
 	if len(counts) > 0 {
 		due = append(due, outgoing{
 			kind: typeEvidence,
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -145,7 +145,7 @@
 	return r.awaitAnswer(ctx, answered)
 }
 
-// wait returns early if the leader has changed and the new one has not committed the request for a while, so that the
+// awaitAnswer returns early if the leader has changed and the new one has not committed the request for a while, so that the
 // client can ask again before its deadline.
 func (r *Replica) awaitAnswer(ctx context.Context, answered <-chan answer) (answer, error) {
 	term, changed := r.Status().Term, 0
