--- a/io/disk/disktest/memory.go
+++ b/io/disk/disktest/memory.go
@@ -78,13 +78,13 @@
 		m.files = maps.Clone(m.syncedFiles)
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
-		c := m.files[name]
-		kept := c.syncedBytes + random.IntN(len(c.data)-c.syncedBytes+1)
-		c.data = slices.Clone(c.data[:kept])
-		if kept > c.syncedBytes && random.IntN(2) == 0 {
-			c.data[kept-1] ^= 0x55
+		content := m.files[name]
+		kept := content.syncedBytes + random.IntN(len(content.data)-content.syncedBytes+1)
+		content.data = slices.Clone(content.data[:kept])
+		if kept > content.syncedBytes && random.IntN(2) == 0 {
+			content.data[kept-1] ^= 0x55
 		}
-		c.syncedBytes = kept
+		content.syncedBytes = kept
 	}
 	m.syncedFiles = maps.Clone(m.files)
 }
@@ -108,8 +108,8 @@
 func (m *Memory) Size(name string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c, exists := m.files[name]; exists {
-		return len(c.data)
+	if content, exists := m.files[name]; exists {
+		return len(content.data)
 	}
 	return 0
 }
@@ -125,11 +125,11 @@
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, exists := m.files[name]
+	content, exists := m.files[name]
 	if !exists {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(c.data), nil
+	return slices.Clone(content.data), nil
 }
 
 // Create implements disk.Folder.
@@ -148,13 +148,13 @@
 }
 
 func (m *Memory) open(name string) (disk.File, error) {
-	c, exists := m.files[name]
+	content, exists := m.files[name]
 	if !exists {
 		return nil, fs.ErrNotExist
 	}
 	return &openFile{
 		folder:     m,
-		content:    c,
+		content:    content,
 		crashCount: m.crashCount,
 	}, nil
 }
@@ -163,9 +163,9 @@
 func (m *Memory) Truncate(name string, size int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.files[name]
-	c.data = c.data[:size]
-	c.syncedBytes = int(size)
+	content := m.files[name]
+	content.data = content.data[:size]
+	content.syncedBytes = int(size)
 	return nil
 }
 
@@ -222,8 +222,8 @@
 
 func (m *Memory) used() int {
 	used := 0
-	for _, c := range m.files {
-		used += len(c.data)
+	for _, content := range m.files {
+		used += len(content.data)
 	}
 	return used
 }
--- a/io/distribution/distribution_test.go
+++ b/io/distribution/distribution_test.go
@@ -316,11 +316,11 @@
 			return allAtRevision(nodes, 2)()
 		})
 		sent, received := source.Bytes()
-		handshakes, turnedAway := source.hub.meters.handshakes.Get(), source.hub.meters.retryAfters.Get()
+		handshakes, rejected := source.hub.meters.handshakes.Get(), source.hub.meters.retryAfters.Get()
 		c.Logf("%d nodes: in force after %v, %d dials, %d handshakes at the source, %d at once, %d rejected as busy, %d bytes sent, %d received",
-			nodeCount, took, tc.net.dials.Load()-dials, handshakes, peak, turnedAway, sent, received)
+			nodeCount, took, tc.net.dials.Load()-dials, handshakes, peak, rejected, sent, received)
 		c.Assert(peak <= 32, qt.IsTrue)
-		c.Assert(turnedAway > 0, qt.IsTrue)
+		c.Assert(rejected > 0, qt.IsTrue)
 		// A node contacts the source once, and again if its relay was full or detached.
 		c.Assert(handshakes <= 3*nodeCount, qt.IsTrue)
 		c.Assert(source.hub.meters.fullsSent.Get(), qt.Equals, uint64(0))
--- a/io/distribution/fakes_test.go
+++ b/io/distribution/fakes_test.go
@@ -415,11 +415,11 @@
 }
 
 // always checks a condition every 100 ms.
-func (tc *cluster) always(span time.Duration, what string, holds func() bool) {
+func (tc *cluster) always(period time.Duration, what string, holds func() bool) {
 	tc.t.Helper()
-	for began := time.Now(); time.Since(began) < span; time.Sleep(100 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < period; time.Sleep(100 * time.Millisecond) {
 		if !holds() {
-			tc.t.Fatalf("%v after the start of %v: not %s", time.Since(began), span, what)
+			tc.t.Fatalf("%v after the start of %v: not %s", time.Since(began), period, what)
 		}
 	}
 }
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -33,7 +33,8 @@
 	// change costs about 63 bytes for each node that receives it, or 15 if only the state changes.
 	batchInterval    = 100 * time.Millisecond
 	evidenceInterval = time.Second
-
+	// startupGrace is how long a control instance sends no removals after its start, since not all endpoints have been announced
+	// to it again.
 	// startupGrace is how long a control instance sends no removals after its start.
 	startupGrace = 10 * time.Second
 	// brokenLinkGrace is how long the node at the other end of a broken link stays listed: the interruption may be short. A
--- a/io/distribution/parent.go
+++ b/io/distribution/parent.go
@@ -201,10 +201,10 @@
 	for _, removal := range message.Removals {
 		s.hub.table.Remove(now, parentOwner, removal)
 	}
-	same := message.HasDigest && s.compareDigest(u, message)
+	digestsEqual := message.HasDigest && s.compareDigest(u, message)
 	s.updateUnsynced(message)
 	s.hub.publishAndWake()
-	if same || message.Answer { // only after the endpoints were published
+	if digestsEqual || message.Answer { // only after the endpoints were published
 		s.endpointsReceivedOnce.Do(func() { close(s.endpointsReceived) })
 	}
 }
--- a/io/frame/compressor.go
+++ b/io/frame/compressor.go
@@ -103,8 +103,8 @@
 	return min(core.MaxFrameBytes, max(maxPreallocatedBytes, maxCompressionRatio*uint64(compressedBytes)))
 }
 
-// decompress returns the message of a compressed frame, or ErrMalformed if the frame states no length or one over the maximum
-// ratio.
+// decompress returns the message of a compressed frame. It returns ErrMalformed for damaged data, and for a frame that states no
+// length or one over the maximum ratio.
 func (c *Compressor) decompress(f Frame) (Frame, error) {
 	var header zstd.Header
 	if err := header.Decode(f.body); err != nil {
--- a/io/frame/frame.go
+++ b/io/frame/frame.go
@@ -90,10 +90,10 @@
 	return newWithReadBuffer(conn, compressor, bulkReadBufferBytes)
 }
 
-func newWithReadBuffer(conn net.Conn, compressor *Compressor, bytes int) *Conn {
+func newWithReadBuffer(conn net.Conn, compressor *Compressor, bufferBytes int) *Conn {
 	return &Conn{
 		conn:       conn,
-		reader:     bufio.NewReaderSize(conn, bytes),
+		reader:     bufio.NewReaderSize(conn, bufferBytes),
 		compressor: compressor,
 	}
 }
@@ -128,13 +128,13 @@
 	if buffer.Len()-lengthBytes > core.MaxFrameBytes {
 		return errors.Annotatef(ErrTooLong, "message type %d has %d bytes", kind, buffer.Len())
 	}
-	head := buffer.Bytes()
-	binary.BigEndian.PutUint32(head, uint32(buffer.Len()-lengthBytes))
-	binary.BigEndian.PutUint16(head[lengthBytes:], uint16(kind))
+	framed := buffer.Bytes()
+	binary.BigEndian.PutUint32(framed, uint32(buffer.Len()-lengthBytes))
+	binary.BigEndian.PutUint16(framed[lengthBytes:], uint16(kind))
 	if c.compress.Load() {
-		head = c.compressor.compress(head)
+		framed = c.compressor.compress(framed)
 	}
-	return c.write(deadline, head)
+	return c.write(deadline, framed)
 }
 
 func (c *Conn) write(deadline time.Time, bytes []byte) error {
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -95,7 +95,7 @@
 	sim.instances[rest[0]].wipe()
 	sim.instances[rest[0]].start()
 	sim.change(raft.ChangeReplace, rest[0])
-	sim.isolate(rest[0], false, true)
+	sim.isolate(rest[0], false, true) // the learner receives nothing
 	sim.write("missing=1")
 
 	promoted := false
@@ -154,7 +154,7 @@
 
 // Guards against a leader that stays leader, or confirms stale reads, while it is partitioned in any direction.
 func TestPartitionedLeaderStepsDown(t *testing.T) {
-	for _, cut := range []struct {
+	for _, partition := range []struct {
 		name               string
 		outgoing, incoming bool
 	}{
@@ -162,15 +162,15 @@
 		{"incoming", false, true},
 		{"both", true, true},
 	} {
-		t.Run(cut.name, func(t *testing.T) {
+		t.Run(partition.name, func(t *testing.T) {
 			c := qt.New(t)
 			sim, leader := startedSimulation(t, 3)
-			sim.isolate(leader.options.Self, cut.outgoing, cut.incoming)
+			sim.isolate(leader.options.Self, partition.outgoing, partition.incoming)
 			begun := sim.now
 			sim.advanceUntil(raft.ElectionTimeout+tick, "step-down", func() bool {
 				leader.read(func(refused string) {
 					if refused == "" && sim.now.After(begun.Add(3*tick)) { // earlier answers were sent before the partition
-						t.Errorf("read confirmed %v after the cut", sim.now.Sub(begun))
+						t.Errorf("read confirmed %v after the partition", sim.now.Sub(begun))
 					}
 				})
 				return !leader.isLeader()
--- a/io/raftpeer/membership_test.go
+++ b/io/raftpeer/membership_test.go
@@ -117,7 +117,8 @@
 	})
 }
 
-// inject loses up to two disks at once, but only while the membership is complete. An instance may be lost with its disk.
+// inject loses one or two disks, but only while the membership is complete, and otherwise another fault. A lost disk's instance
+// restarts under its name or is replaced by one with another name.
 func (mc *membershipController) inject() string {
 	sim := mc.simulation
 	if sim.random.IntN(4) > 0 || !mc.isComplete() {
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -148,7 +148,7 @@
 // awaitAnswer returns early if the leader has changed and the new one has not committed the request for a while, so that the
 // client can ask again before its deadline.
 func (r *Replica) awaitAnswer(ctx context.Context, answered <-chan answer) (answer, error) {
-	term, changed := r.Status().Term, 0
+	term, pollsWithNewLeader := r.Status().Term, 0
 	poll := time.NewTicker(leaderPollInterval)
 	defer poll.Stop()
 	for {
@@ -161,9 +161,9 @@
 			return answer{}, errors.Annotate(core.ErrOutcomeUnknown, "replica has stopped")
 		case <-poll.C:
 			if status := r.Status(); status.Term > term && status.Leader != "" {
-				changed++
+				pollsWithNewLeader++
 			}
-			if changed > 2 {
+			if pollsWithNewLeader > 2 {
 				return answer{}, errors.Annotate(core.ErrOutcomeUnknown, "the leader has changed")
 			}
 		}
@@ -187,13 +187,13 @@
 	defer cancel()
 	r.counters.reads.Inc()
 	for {
-		attempt, end := context.WithTimeout(ctx, readAttemptTimeout)
-		a, err := r.attempt(attempt, func(id raft.RequestID) raft.Event {
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, readAttemptTimeout)
+		a, err := r.attempt(attemptCtx, func(id raft.RequestID) raft.Event {
 			return raft.ReadRequested{
 				Request: id,
 			}
 		})
-		end()
+		cancelAttempt()
 		if err == nil && a.refusal == "" {
 			return nil
 		}
--- a/io/raftpeer/schedule_test.go
+++ b/io/raftpeer/schedule_test.go
@@ -171,22 +171,22 @@
 	switch sim.random.IntN(13) {
 	case 0:
 		sim.isolate(id, true, false)
-		return "outgoing cut of " + string(id)
+		return "outgoing messages blocked of " + string(id)
 	case 1:
 		sim.isolate(id, false, true)
-		return "incoming cut of " + string(id)
+		return "incoming messages blocked of " + string(id)
 	case 2:
 		sim.isolate(id, true, true)
-		return "cut of " + string(id)
+		return "all messages blocked of " + string(id)
 	case 3:
 		sim.blocked[[2]core.ControlID{id, other}] = true
-		return fmt.Sprintf("cut from %s to %s", id, other)
+		return fmt.Sprintf("messages blocked from %s to %s", id, other)
 	case 4:
 		clear(sim.blocked)
-		return "network healed"
+		return "no messages blocked any more"
 	case 5:
 		sim.dropProbability, sim.delayed = 0.3*sim.random.Float64(), sim.random.IntN(2) == 0
-		return fmt.Sprintf("drop %.2f slow %v", sim.dropProbability, sim.delayed)
+		return fmt.Sprintf("drop probability %.2f delayed %v", sim.dropProbability, sim.delayed)
 	case 6:
 		if i.up {
 			i.crash()
--- a/io/raftpeer/simulation_test.go
+++ b/io/raftpeer/simulation_test.go
@@ -77,7 +77,7 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, size int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		now:       time.Unix(1_700_000_000, 0),
@@ -88,12 +88,12 @@
 		onDone:    make(map[raft.RequestID]func(string)),
 	}
 	for n := range size {
-		w.ids = append(w.ids, core.ControlID(fmt.Sprintf("c%d", n+1)))
+		sim.ids = append(sim.ids, core.ControlID(fmt.Sprintf("c%d", n+1)))
 	}
-	for _, id := range w.ids {
-		w.add(id, true)
+	for _, id := range sim.ids {
+		sim.add(id, true)
 	}
-	return w
+	return sim
 }
 
 func (sim *simulation) add(id core.ControlID, bootstrap bool) {
