--- a/io/disk/folder.go
+++ b/io/disk/folder.go
@@ -38,6 +38,7 @@
 	Sync() error
 }
 
+// osFolder is a folder of the operating system.
 type osFolder struct {
 	path string
 	lock *os.File
--- a/io/disk/store.go
+++ b/io/disk/store.go
@@ -46,6 +46,7 @@
 	Entries   []raft.Entry    `msgpack:"entries"`
 }
 
+// segment is one file of the log.
 type segment struct {
 	number    uint64
 	lastIndex core.LogIndex // greatest index of the entries in the segment
--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -57,14 +57,14 @@
 
 	learnedTargets   atomic.Value // []ControlAddress: addresses sent by the parent, tried before targets
 	localDataCentre  core.DataCentre
-	localAddresses   []string     // control instances of the own data centre to try after errLocalControlAvailable
-	lastLocalAttempt time.Time    // when the node last left another data centre to attach in its own
-	state            atomic.Value // statechart.State
-	nextTarget       int
-	redirectQueue    []string // addresses of the latest redirect, least loaded first
-	redirects        int
-	attempts         int // waits since the last link that lasted for linkTimeout; they determine the backoff
-	wait             time.Duration
+	localAddresses   []string      // control instances of the own data centre to try after errLocalControlAvailable
+	lastLocalAttempt time.Time     // when the node last left another data centre to attach in its own
+	state            atomic.Value  // statechart.State
+	nextTarget       int           // index in allTargets, modulo its length
+	redirectQueue    []string      // addresses of the latest redirect, least loaded first
+	redirects        int           // followed since the last dial of a target
+	attempts         int           // waits since the last link that lasted for linkTimeout; they determine the backoff
+	wait             time.Duration // before the next dial
 	address          string
 	excludedUntil    map[string]time.Time // by address: the end of the exclusion after a timeout
 	conn             *frame.Conn
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -30,27 +30,27 @@
 	held             configVersion // configuration that the child has or was last sent
 	reported         configVersion // configuration that the child last acknowledged
 	diverged         bool          // the child holds other content of the current revision
-	wantsFull        bool
-	offerFull        bool // the child finds out which content of the revision was accepted
+	wantsFull        bool          // the child has requested the full configuration
+	offerFull        bool          // the child finds out which content of the revision was accepted
 	pongsDue         int
-	crashesCursor    uint64 // position in the crash store up to which reports were sent
-	series           []series
+	crashesCursor    uint64                 // position in the crash store up to which reports were sent
+	series           []series               // by the numbers that the child has assigned
 	rows             []row                  // last row of each series
 	latenessByMove   map[core.MoveID]uint64 // reported by another control instance
-	reporting        map[core.MoveID]int
-	pathVersion      uint64 // hub.pathVersion when the path was last sent
+	reporting        map[core.MoveID]int    // number of nodes below that report on each move, the child included
+	pathVersion      uint64                 // hub.pathVersion when the path was last sent
 	subscribed       bool
-	allServices      bool
+	allServices      bool // the child wants the endpoints of all services
 	services         map[core.ServiceName]bool
 	tableCursor      uint64 // position in the table up to which changes were sent
 	batch            batcher
-	readsStates      bool
-	sentChecksums    map[core.NodeID]uint16 // by node: hash of the endpoint that the child was last sent, see checksumOf
-	digestDue        bool
-	digestFinal      bool
-	tombstonesSince  time.Time
+	readsStates      bool                           // the child can read state changes
+	sentChecksums    map[core.NodeID]uint16         // by node: hash of the endpoint that the child was last sent, see checksumOf
+	digestDue        bool                           // a digest is to be sent
+	digestFinal      bool                           // the last digest was sent with all endpoints in the table
+	tombstonesSince  time.Time                      // the child was sent the tombstones from before this time
 	requestedDigests map[core.ServiceName]core.Hash // of an endpointsRequest without an answer yet
-	newServices      []core.ServiceName
+	newServices      []core.ServiceName             // of later subscriptions, whose endpoints are to be sent
 	// tombstonesPending lists services of later subscriptions whose tombstones have not been sent by a parent with a complete
 	// table.
 	tombstonesPending map[core.ServiceName]bool
--- a/io/distribution/compressor.go
+++ b/io/distribution/compressor.go
@@ -6,7 +6,8 @@
 	"parsleyport/io/frame"
 )
 
-// newCompressor returns the compressor for links of the tree. Configurations need no sample, since their records resemble each other.
+// newCompressor returns the compressor for links of the tree. Configurations need no sample, since their records resemble each
+// other.
 func newCompressor() (*frame.Compressor, error) {
 	endpoint := core.Endpoint{State: core.EndpointReady}
 	return frame.NewCompressor(
--- a/io/distribution/confirmer.go
+++ b/io/distribution/confirmer.go
@@ -9,9 +9,9 @@
 // request that arrives during a read waits for the next read, since the current one may have begun before the latest change
 // was accepted.
 type confirmer struct {
-	number   uint64
+	number   uint64 // of the latest read
 	inFlight bool
-	waiters  map[uint64]*waiter
+	waiters  map[uint64]*waiter // by link ID
 }
 
 // waiter is the latest confirmation request of a link.
--- a/io/distribution/content.go
+++ b/io/distribution/content.go
@@ -26,7 +26,7 @@
 }
 
 // holdCandidate keeps the current configuration until a confirmed read tells which content of its revision was accepted.
-// Neither this node nor its parent can tell: the parent may hold the wrong one.
+// Neither this node nor its parent knows: the parent may hold the wrong one.
 func (s *Subscriber) holdCandidate(candidate *record.Configuration) {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
--- a/io/distribution/crashes.go
+++ b/io/distribution/crashes.go
@@ -20,10 +20,12 @@
 	AgeMS  int64            `msgpack:"age-ms"`
 }
 
+// crashes carries crash reports over a link.
 type crashes struct {
 	Reports []crashReport `msgpack:"reports"`
 }
 
+// storedCrash is a report with the time of the crash by the local clock.
 type storedCrash struct {
 	report core.CrashReport
 	at     time.Time
--- a/io/distribution/distribution_test.go
+++ b/io/distribution/distribution_test.go
@@ -394,7 +394,7 @@
 }
 
 // Guards against endpoints that other nodes lose while the nodes of a failed control instance attach to another one, and against
-// acknowledgements of the failed instance that are counted for ever.
+// acknowledgements of the failed instance that are never dropped.
 func TestControlInstanceFails(t *testing.T) {
 	runTest(t, func(c *qt.C, tc *cluster) {
 		source := tc.source("c1", tc.catalog, "c2")
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -16,6 +16,7 @@
 	maxCountsPerFrame = 500
 )
 
+// evidenceKey identifies a cumulative sum: its counter, which is a run of a control instance, and what it counts.
 type evidenceKey struct {
 	node        core.NodeID
 	incarnation core.Incarnation
@@ -38,8 +39,8 @@
 
 type evidenceItem struct {
 	count  core.EvidenceCount
-	remote bool // received from another control instance
-	change uint64
+	remote bool   // received from another control instance
+	change uint64 // number of the last change, among all changes of the store
 }
 
 // evidenceStore holds the evidence of a control instance: its own cumulative sums and those of the other instances. Of two
--- a/io/distribution/meters.go
+++ b/io/distribution/meters.go
@@ -2,6 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
+// meters holds the counters of a Source or Subscriber.
 type meters struct {
 	sent, received        *metrics.Counter
 	handshakes            *metrics.Counter
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -39,11 +39,12 @@
 	Reports []NodeReport `msgpack:"reports"`
 }
 
+// storedReport is a report with its time by the local clock.
 type storedReport struct {
 	report NodeReport
 	at     time.Time
-	remote bool // received from another control instance
-	change uint64
+	remote bool   // received from another control instance
+	change uint64 // number of the last change, among all changes of the store
 }
 
 // nodeStore holds the newest report of each node.
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -15,7 +15,7 @@
 	"parsleyport/core/record"
 )
 
-// Intervals and limits of the protocol.
+// Intervals and limits of the protocol. The design page gives the reasons for those that it names.
 const (
 	pingInterval = 600 * time.Millisecond
 	// linkTimeout tolerates two lost pings. It is part of the 3 s within which a node that loses its parent has to find another
@@ -106,7 +106,7 @@
 	ListenAddress    string // nodes and other control instances attach here
 	DataCentre       core.DataCentre
 	Peers            []Peer
-	DirectNodes      int           // number of nodes of each data centre that may attach directly, zero for 2; further nodes are redirected to them
+	DirectNodes      int           // nodes of each data centre that may attach directly, zero for 2; others are redirected to these
 	EvidenceInterval time.Duration // interval of evidence reports to the other control instances, zero for 1 s
 	Catalog          record.Source
 	Replicator       core.Replicator // its status names the leader whenever there is one
@@ -123,7 +123,7 @@
 	RelayAddress      string // children attach here
 	ControlAddresses  []string
 	OnCrash           func(at time.Time, report core.CrashReport) // optional; called once for each report, must not block
-	OnDemandEndpoints bool                                        // receive only the endpoints of services in use, see Subscribe; the default is all services
+	OnDemandEndpoints bool                                        // receive only the endpoints of services in use, see Subscribe
 	Logger            zerolog.Logger
 	Metrics           *metrics.Set       // optional
 	Network           Network            // optional, TCP by default
--- a/io/distribution/sumschedule.go
+++ b/io/distribution/sumschedule.go
@@ -109,8 +109,8 @@
 	return []string{string(s.Move), string(s.DataCentre), string(s.Service), string(s.Route), string(s.Release)}
 }
 
-// fillRows moves pending sums into a message, up to the link's budget for one second, or up to half of core.MaxFrameBytes in the last
-// message of a link.
+// fillRows moves pending sums into a message, up to the link's budget for one second, or priorityBudgetRatio of it for a priority
+// message. The last message of a link takes up to half of core.MaxFrameBytes.
 func (h *hub) fillRows(u *uplink, message *sums, now time.Time, mode sumsMode) {
 	limit := h.sumsBytesPerSecond() - sumsOverheadBytes
 	switch mode {
@@ -255,6 +255,7 @@
 // lateness holds by move how much longer than usual its evidence has recently been on its way, in units of latenessUnit.
 type lateness map[core.MoveID]latenessEntry
 
+// latenessEntry is a lateness and the time at which it was observed.
 type latenessEntry struct {
 	lateUnits uint64
 	at        time.Time
@@ -283,8 +284,8 @@
 	return all
 }
 
-// EvidenceLateness returns how much later than usual the oldest counts of a move arrived within the last 5 s, because they waited for
-// the budget of a link or for a parent.
+// EvidenceLateness returns how much later than usual the oldest counts of a move arrived within the last 5 s. Counts are late if they
+// waited for the budget of a link or for a parent.
 func (s *Source) EvidenceLateness(move core.MoveID) time.Duration {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
--- a/io/distribution/uplink.go
+++ b/io/distribution/uplink.go
@@ -26,14 +26,14 @@
 	evidenceCursor    uint64 // position in the evidence store up to which counts were sent
 	evidencePacer     pacer
 	prioritySumsPacer pacer
-	backlogged        bool // the last regular message of sums had no room for all of them
-	seriesNumbers     map[series]uint64
-	rows              []row  // last row of each series
-	lastNamed         series // the series that was named last
-	reporting         map[core.MoveID]int
-	callsSincePing    uint64   // calls in sums sent after the last ping
-	callsBeforePings  []uint64 // for each unanswered ping: calls in sums sent between the previous ping and it
-	nodesCursor       uint64   // position in the node store up to which reports were sent
+	backlogged        bool                // the last regular message of sums had no room for all of them
+	seriesNumbers     map[series]uint64   // of the series named on the link
+	rows              []row               // last row of each series
+	lastNamed         series              // the series that was named last
+	reporting         map[core.MoveID]int // numbers of reporting nodes that were sent last
+	callsSincePing    uint64              // calls in sums sent after the last ping
+	callsBeforePings  []uint64            // for each unanswered ping: calls in sums sent between the previous ping and it
+	nodesCursor       uint64              // position in the node store up to which reports were sent
 	nodesPacer        pacer
 	crashesCursor     uint64 // position in the crash store up to which reports were sent
 	pingPacer         pacer
@@ -41,8 +41,8 @@
 	subscribed           bool
 	subscriptionsVersion uint64 // hub.subscriptionsVersion when the last subscription was sent
 	allServices          bool
-	services             map[core.ServiceName]bool
-	detachedMS           int64 // how long the node had no parent, negative if it has had none before
+	services             map[core.ServiceName]bool // subscriptions that were sent
+	detachedMS           int64                     // how long the node had no parent, negative if it has had none before
 	configRequestDue     bool
 	endpointsRequestDue  bool
 }
--- a/io/raftpeer/counters.go
+++ b/io/raftpeer/counters.go
@@ -2,6 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
+// counters holds the metrics of a Replica.
 type counters struct {
 	proposals *metrics.Counter
 	reads     *metrics.Counter
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -29,6 +29,7 @@
 	Payload []byte         `msgpack:"payload"`
 }
 
+// outgoing is a message in the queue of a link.
 type outgoing struct {
 	kind    frame.Type
 	message any
@@ -58,7 +59,7 @@
 	}
 	l := &link{
 		address: address,
-		queue:   ring.New[outgoing](sendCapacity),
+		queue:   ring.New[outgoing](sendQueueCapacity),
 	}
 	l.context, l.cancel = context.WithCancel(r.context)
 	r.links[id] = l
--- a/io/raftpeer/options.go
+++ b/io/raftpeer/options.go
@@ -22,10 +22,10 @@
 	maxIncomingConnections = 64
 	maxOutstandingRequests = 4096 // proposals and reads of this instance without an answer
 	maxBatchEvents         = 512  // events that one sync covers
-	inputCapacity          = 1024
+	inputQueueCapacity     = 1024
 	maxPendingEntries      = 8192 // committed entries not yet passed to the applier
-	applyCapacity          = 256
-	sendCapacity           = 1024
+	applyQueueCapacity     = 256
+	sendQueueCapacity      = 1024
 	defaultRequestTimeout  = 10 * time.Second // for requests whose context has no deadline
 	leaderPollInterval     = 250 * time.Millisecond
 	retryDelay             = 20 * time.Millisecond
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -103,9 +103,9 @@
 		options:          options,
 		random:           rand.New(rand.NewPCG(randomNumber(), randomNumber())),
 		requests:         newRequests(randomNumber()),
-		inputs:           ring.New[input](inputCapacity),
-		applyQueue:       ring.New[stepResult](applyCapacity),
-		storedSnapshots:  ring.New[raft.Snapshot](applyCapacity),
+		inputs:           ring.New[input](inputQueueCapacity),
+		applyQueue:       ring.New[stepResult](applyQueueCapacity),
+		storedSnapshots:  ring.New[raft.Snapshot](applyQueueCapacity),
 		links:            make(map[core.ControlID]*link),
 		introductions:    make(map[core.ControlID]Introduction),
 		learnedAddresses: make(map[core.ControlID]string),
@@ -276,7 +276,7 @@
 	if r.pendingResult.isEmpty() {
 		return
 	}
-	if r.pendingResult.install == nil && len(r.pendingResult.committed) < maxPendingEntries && r.applyQueue.Len() == applyCapacity {
+	if r.pendingResult.install == nil && len(r.pendingResult.committed) < maxPendingEntries && r.applyQueue.Len() == applyQueueCapacity {
 		return
 	}
 	if err := r.applyQueue.Push(r.context, r.pendingResult); err != nil {
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -11,6 +11,7 @@
 	"parsleyport/core/raft"
 )
 
+// answer is the result of a request, or the reason of its refusal.
 type answer struct {
 	result  []byte
 	refusal string
