--- a/io/disk/archive_test.go
+++ b/io/disk/archive_test.go
@@ -83,10 +83,10 @@
 	applyAborts(c, leader, 0, 11_000)
 	snapshot, err := leader.Snapshot()
 	c.Assert(err, qt.IsNil)
-	late := catalog.NewWithArchive(openArchive(c, disktest.NewMemory()))
-	applyAborts(c, late, 0, 400)
-	c.Assert(late.Restore(snapshot), qt.IsNil)
-	first, end := late.MissingAudit()
+	lagging := catalog.NewWithArchive(openArchive(c, disktest.NewMemory()))
+	applyAborts(c, lagging, 0, 400)
+	c.Assert(lagging.Restore(snapshot), qt.IsNil)
+	first, end := lagging.MissingAudit()
 	c.Assert([]uint64{first, end}, qt.DeepEquals, []uint64{400, 1_000})
 }
 
--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("dial failed")
 		if isTimeout(err) { // a refused connection fails at once and needs no exclusion
-			a.exclude(a.address, unansweredExclusion)
+			a.exclude(a.address, handshakeTimeoutExclusion)
 		}
 		a.backOff()
 		return eventFailed
@@ -195,7 +195,7 @@
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("handshake failed")
 		if isTimeout(err) {
-			a.exclude(a.address, unansweredExclusion)
+			a.exclude(a.address, handshakeTimeoutExclusion)
 		}
 		a.backOff()
 		event = eventFailed
@@ -271,7 +271,7 @@
 	if errors.Is(err, errLocalControlAvailable) {
 		a.wait, a.redirectQueue = 0, a.localAddresses
 	} else if isTimeout(err) {
-		a.exclude(a.address, silentExclusion)
+		a.exclude(a.address, linkTimeoutExclusion)
 	}
 	a.logger.Info().Err(err).Str("address", a.address).Msg("link lost")
 	return eventLost
--- a/io/distribution/child.go
+++ b/io/distribution/child.go
@@ -48,7 +48,7 @@
 	sentChecksums    map[core.NodeID]uint16         // by node: hash of the endpoint that the child was last sent, see checksumOf
 	digestDue        bool                           // a digest is to be sent
 	digestFinal      bool                           // the last digest was sent with all endpoints in the table
-	tombstonesSince  time.Time                      // the child was sent the tombstones from before this time
+	tombstonesSince  time.Time                      // tombstones from before this time are not sent
 	requestedDigests map[core.ServiceName]core.Hash // of an endpointsRequest without an answer yet
 	newServices      []core.ServiceName             // of later subscriptions, whose endpoints are to be sent
 	// tombstonesPending lists services of later subscriptions whose tombstones have not been sent by a parent with a complete
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -16,7 +16,8 @@
 	maxCountsPerFrame = 500
 )
 
-// evidenceKey identifies a cumulative sum: its counter, which is a run of a control instance, and what it counts.
+// evidenceKey identifies a cumulative sum: node names the control instance and the data centre of the counts, incarnation the run
+// of that instance, and the other fields what is counted.
 type evidenceKey struct {
 	node        core.NodeID
 	incarnation core.Incarnation
--- a/io/distribution/hub.go
+++ b/io/distribution/hub.go
@@ -60,9 +60,9 @@
 	parentReadsRows bool
 	allServices     bool // this node wants the endpoints of all services
 	services        map[core.ServiceName]bool
-	// lingering holds subscriptions of lost children, and subscriptions that ended while the node had no parent, with their
-	// expiry times.
-	lingering            map[core.ServiceName]time.Time
+	// retainedUntil holds the subscriptions of lost children, and those that ended while the node had no parent, with the times at
+	// which they expire.
+	retainedUntil        map[core.ServiceName]time.Time
 	subscriptionsVersion uint64 // counts changes of the services that this node and its children want
 	complete             bool   // the table has all endpoints, so that digests and removals are final
 	// unsynced holds the services that this node or its children want and whose endpoints the parent has not sent yet; the value
@@ -94,19 +94,19 @@
 		pendingSums: pendingSums{
 			counts: make(map[series]pendingSum),
 		},
-		lateness:    make(lateness),
-		nodes:       newNodeStore(),
-		crashes:     newCrashStore(),
-		confirmer:   newConfirmer(),
-		history:     &history{},
-		children:    make(map[uint64]*child),
-		unsynced:    make(map[core.ServiceName]bool),
-		watchers:    make(map[core.ServiceName]chan struct{}),
-		services:    make(map[core.ServiceName]bool),
-		lingering:   make(map[core.ServiceName]time.Time),
-		uplinks:     make(map[*uplink]bool),
-		peerReports: make(map[core.ControlID]peerReport),
-		peers:       make(map[core.ControlID]bool),
+		lateness:      make(lateness),
+		nodes:         newNodeStore(),
+		crashes:       newCrashStore(),
+		confirmer:     newConfirmer(),
+		history:       &history{},
+		children:      make(map[uint64]*child),
+		unsynced:      make(map[core.ServiceName]bool),
+		watchers:      make(map[core.ServiceName]chan struct{}),
+		services:      make(map[core.ServiceName]bool),
+		retainedUntil: make(map[core.ServiceName]time.Time),
+		uplinks:       make(map[*uplink]bool),
+		peerReports:   make(map[core.ControlID]peerReport),
+		peers:         make(map[core.ControlID]bool),
 	}
 	h.endpointsByService.Store(&map[core.ServiceName][]core.Endpoint{})
 	return h
--- a/io/distribution/localcontrol_test.go
+++ b/io/distribution/localcontrol_test.go
@@ -85,7 +85,7 @@
 
 // Guards against a second timeout at a control instance whose link has just timed out, since a process that hangs still accepts
 // connections, and against a control instance that is never tried again although no other is left.
-func TestSilentControlInstanceIsExcludedTemporarily(t *testing.T) {
+func TestTimedOutControlInstanceIsExcludedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for _, test := range []struct {
@@ -98,7 +98,7 @@
 			{targets: []string{"c1"}, want: []string{"c1", "c1"}},
 		} {
 			a := newAttachment(test.targets, attachment{random: func() float64 { return 0 }})
-			a.exclude("c1", silentExclusion)
+			a.exclude("c1", linkTimeoutExclusion)
 			chosen := func() string {
 				c.Assert(a.chooseAddress(t.Context()), qt.Equals, eventDial)
 				return a.address
@@ -106,7 +106,7 @@
 			for _, want := range test.want {
 				c.Assert(chosen(), qt.Equals, want)
 			}
-			time.Sleep(silentExclusion)
+			time.Sleep(linkTimeoutExclusion)
 			for _, want := range test.wantAfterExclusion {
 				c.Assert(chosen(), qt.Equals, want)
 			}
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -67,19 +67,19 @@
 	// localRetryInterval is how long a node stays with a control instance of another data centre after it tried to attach in
 	// its own data centre.
 	localRetryInterval = 5 * time.Second
-	// silentExclusion is how long an address is excluded after its link timed out; all others are tried in that time.
-	silentExclusion = 5 * time.Second
-	// unansweredExclusion is how long an address is excluded after a dial or handshake timed out. It is shorter, since a
+	// linkTimeoutExclusion is how long an address is excluded after its link timed out; all others are tried in that time.
+	linkTimeoutExclusion = 5 * time.Second
+	// handshakeTimeoutExclusion is how long an address is excluded after a dial or handshake timed out. It is shorter, since a
 	// partition of the network may have been the cause.
-	unansweredExclusion = 2 * time.Second
-
-	maxDirectPerDataCentre = 2
-	maxDirectChildren      = 128 // for 64 data centres
-	maxRelayChildren       = 16
-	maxHandshakes          = 32
-	maxPathNodes           = 12
-	maxRedirects           = 8
-	maxSubscriptions       = 4096
+	handshakeTimeoutExclusion = 2 * time.Second
+
+	defaultDirectNodesPerDataCentre = 2
+	maxDirectChildren               = 128 // for 64 data centres
+	maxRelayChildren                = 16
+	maxHandshakes                   = 32
+	maxPathNodes                    = 12
+	maxRedirects                    = 8
+	maxSubscriptions                = 4096
 )
 
 // Peer names another control instance and the address on which it accepts nodes and other control instances.
@@ -145,7 +145,7 @@
 		}
 	}
 	if o.DirectNodes == 0 {
-		o.DirectNodes = maxDirectPerDataCentre
+		o.DirectNodes = defaultDirectNodesPerDataCentre
 	}
 	if o.EvidenceInterval == 0 {
 		o.EvidenceInterval = evidenceInterval
--- a/io/distribution/parent.go
+++ b/io/distribution/parent.go
@@ -212,7 +212,7 @@
 // updateUnsynced updates the services that wait for endpoints after a message that has all endpoints of some of them.
 func (s *Subscriber) updateUnsynced(message endpoints) {
 	for _, service := range message.Reset {
-		if _, awaited := s.hub.unsynced[service]; awaited {
+		if _, isUnsynced := s.hub.unsynced[service]; isUnsynced {
 			s.hub.unsynced[service] = true // a parent with an incomplete table sends a digest later
 		}
 		if !message.Partial {
--- a/io/distribution/subscriber.go
+++ b/io/distribution/subscriber.go
@@ -133,7 +133,7 @@
 func (s *Subscriber) tick(now time.Time) {
 	s.leaveForLocalControl()
 	s.expireUses(now)
-	s.hub.expireLingering(now)
+	s.hub.expireRetainedSubscriptions(now)
 }
 
 func (s *Subscriber) hello() hello {
--- a/io/distribution/subscriptions.go
+++ b/io/distribution/subscriptions.go
@@ -54,8 +54,8 @@
 	}
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
-	_, awaited := s.hub.unsynced[service]
-	return s.hub.complete && s.hub.services[service] && !awaited
+	_, isUnsynced := s.hub.unsynced[service]
+	return s.hub.complete && s.hub.services[service] && !isUnsynced
 }
 
 // expireUses ends the subscriptions of services that have not been used for subscriptionTTL; hub.mu is held.
@@ -77,11 +77,11 @@
 	}
 }
 
-// expireLingering ends lingering subscriptions: those of lost children, and those that ended while the node had no parent.
-func (h *hub) expireLingering(now time.Time) {
-	for service, until := range h.lingering {
+// expireRetainedSubscriptions ends the subscriptions in retainedUntil whose time has passed.
+func (h *hub) expireRetainedSubscriptions(now time.Time) {
+	for service, until := range h.retainedUntil {
 		if !now.Before(until) {
-			delete(h.lingering, service)
+			delete(h.retainedUntil, service)
 			h.dropIfUnwanted(service)
 		}
 	}
@@ -89,7 +89,7 @@
 
 // isWanted reports whether this node or one of its children wants the endpoints of a service.
 func (h *hub) isWanted(service core.ServiceName) bool {
-	if _, lingers := h.lingering[service]; lingers || h.allServices || h.services[service] {
+	if _, retained := h.retainedUntil[service]; retained || h.allServices || h.services[service] {
 		return true
 	}
 	for _, c := range h.children {
@@ -114,7 +114,7 @@
 		return
 	}
 	if !h.attached { // no parent could send the endpoints again
-		h.lingering[service] = time.Now().Add(lostChildSubscriptionTTL)
+		h.retainedUntil[service] = time.Now().Add(lostChildSubscriptionTTL)
 		return
 	}
 	delete(h.unsynced, service)
@@ -136,7 +136,7 @@
 		return
 	}
 	for service := range c.services {
-		h.lingering[service] = now.Add(lostChildSubscriptionTTL)
+		h.retainedUntil[service] = now.Add(lostChildSubscriptionTTL)
 	}
 	h.subscriptionsVersion++
 }
@@ -159,7 +159,7 @@
 		}
 		u.services[service] = true
 		message.Services = append(message.Services, service)
-		if _, awaited := h.unsynced[service]; awaited {
+		if _, isUnsynced := h.unsynced[service]; isUnsynced {
 			message.Fresh = append(message.Fresh, service)
 		}
 	}
@@ -182,7 +182,7 @@
 // wantedServices returns the services that this node or its children want; all means that one of them wants all services.
 func (h *hub) wantedServices() (wanted map[core.ServiceName]bool, all bool) {
 	wanted, all = maps.Clone(h.services), h.allServices
-	for service := range h.lingering {
+	for service := range h.retainedUntil {
 		wanted[service] = true
 	}
 	for _, c := range h.children {
@@ -242,7 +242,7 @@
 	}
 	for _, service := range message.Services {
 		h.markUnsynced(service)
-		if _, awaited := h.unsynced[service]; awaited {
+		if _, isUnsynced := h.unsynced[service]; isUnsynced {
 			c.digestFinal = false
 		}
 	}
--- a/io/raftpeer/membership_test.go
+++ b/io/raftpeer/membership_test.go
@@ -117,8 +117,8 @@
 	})
 }
 
-// inject loses one or two disks, but only while the membership is complete, and otherwise another fault. A lost disk's instance
-// restarts under its name or is replaced by one with another name.
+// inject loses one or two disks at once, but only while the membership is complete; otherwise it injects another fault. An instance
+// that loses its disk restarts under its name with a new identity, or is replaced by an instance with another name.
 func (mc *membershipController) inject() string {
 	sim := mc.simulation
 	if sim.random.IntN(4) > 0 || !mc.isComplete() {
--- a/io/raftpeer/replica_test.go
+++ b/io/raftpeer/replica_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// refusing is a state machine that cannot apply any command.
+// failingMachine is a state machine that cannot apply any command.
 type failingMachine struct{ registers }
 
 func (failingMachine) Apply(core.LogIndex, []byte) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
