--- a/io/distribution/attachment.go
+++ b/io/distribution/attachment.go
@@ -57,14 +57,14 @@
 
 	learnedTargets   atomic.Value // []ControlAddress: addresses sent by the parent, tried before targets
 	localDataCentre  core.DataCentre
-	localAddresses   []string     // control instances of the own data centre to try after errLocalControlAvailable
-	lastLocalAttempt time.Time    // when the node last left another data centre to attach in its own
-	state            atomic.Value // statechart.State
-	nextTarget       int
-	redirectQueue    []string // addresses of the latest redirect, least loaded first
-	redirects        int
-	attempts         int
-	wait             time.Duration
+	localAddresses   []string      // control instances of the own data centre to try after errLocalControlAvailable
+	lastLocalAttempt time.Time     // when the node last left another data centre to attach in its own
+	state            atomic.Value  // statechart.State
+	nextTarget       int           // index in allTargets, modulo its length
+	redirectQueue    []string      // addresses of the latest redirect, least loaded first
+	redirects        int           // followed since the last dial of a target
+	attempts         int           // waits since the last link that lasted for linkTimeout; they determine the backoff
+	wait             time.Duration // before the next dial
 	address          string
 	excludedUntil    map[string]time.Time // by address: the end of the exclusion after a timeout
 	conn             *frame.Conn
@@ -179,7 +179,7 @@
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("dial failed")
 		if isTimeout(err) { // a refused connection fails at once and needs no exclusion
-			a.exclude(a.address, unansweredExclusion)
+			a.exclude(a.address, handshakeTimeoutExclusion)
 		}
 		a.backOff()
 		return eventFailed
@@ -195,7 +195,7 @@
 	if err != nil {
 		a.logger.Debug().Err(err).Str("address", a.address).Msg("handshake failed")
 		if isTimeout(err) {
-			a.exclude(a.address, unansweredExclusion)
+			a.exclude(a.address, handshakeTimeoutExclusion)
 		}
 		a.backOff()
 		event = eventFailed
@@ -271,7 +271,7 @@
 	if errors.Is(err, errLocalControlAvailable) {
 		a.wait, a.redirectQueue = 0, a.localAddresses
 	} else if isTimeout(err) {
-		a.exclude(a.address, silentExclusion)
+		a.exclude(a.address, linkTimeoutExclusion)
 	}
 	a.logger.Info().Err(err).Str("address", a.address).Msg("link lost")
 	return eventLost
--- a/io/distribution/crashes.go
+++ b/io/distribution/crashes.go
@@ -9,9 +9,9 @@
 
 const (
 	// maxCrashReports bounds the stored reports; the oldest are dropped first. A report takes about 60 bytes on a link.
-	maxCrashReports   = 1024
-	maxCrashName      = 256
-	maxCrashesInFrame = 256
+	maxCrashReports    = 1024
+	maxCrashNameBytes  = 256
+	maxCrashesPerFrame = 256
 )
 
 // crashReport is a report in transit; AgeMS is the time since the crash in milliseconds, since clocks may differ.
@@ -20,10 +20,12 @@
 	AgeMS  int64            `msgpack:"age-ms"`
 }
 
+// crashes carries crash reports over a link.
 type crashes struct {
 	Reports []crashReport `msgpack:"reports"`
 }
 
+// storedCrash is a report with the time of the crash by the local clock.
 type storedCrash struct {
 	report core.CrashReport
 	at     time.Time
@@ -56,7 +58,7 @@
 // add stores a report and returns false if it is known, too old or has too long a name.
 func (s *crashStore) add(now, at time.Time, report core.CrashReport, from crashOrigin) bool {
 	s.expire(now)
-	if s.known[report] || len(report.Node)+len(report.Run) > maxCrashName || now.Sub(at) > idempotency.Window {
+	if s.known[report] || len(report.Node)+len(report.Run) > maxCrashNameBytes || now.Sub(at) > idempotency.Window {
 		return false
 	}
 	if len(s.items) >= maxCrashReports {
@@ -91,13 +93,13 @@
 	return s.firstPosition + uint64(len(s.items))
 }
 
-// since returns at most maxCrashesInFrame reports from a position on whose origin passes, and the position after the last one.
-func (s *crashStore) since(now time.Time, at uint64, pass func(crashOrigin) bool) ([]crashReport, uint64) {
-	at = max(at, s.firstPosition)
+// since returns at most maxCrashesPerFrame reports from a position on whose origin passes, and the position after the last one.
+func (s *crashStore) since(now time.Time, position uint64, wanted func(crashOrigin) bool) ([]crashReport, uint64) {
+	position = max(position, s.firstPosition)
 	var reports []crashReport
-	for ; at < s.endPosition() && len(reports) < maxCrashesInFrame; at++ {
-		item := s.items[at-s.firstPosition]
-		if !pass(item.from) {
+	for ; position < s.endPosition() && len(reports) < maxCrashesPerFrame; position++ {
+		item := s.items[position-s.firstPosition]
+		if !wanted(item.from) {
 			continue
 		}
 		reports = append(reports, crashReport{
@@ -105,7 +107,7 @@
 			AgeMS:  now.Sub(item.at).Milliseconds(),
 		})
 	}
-	return reports, at
+	return reports, position
 }
 
 // handleCrashes stores the reports that a link delivered; mu is held.
@@ -122,15 +124,15 @@
 
 // crashesForParent returns the reports that the parent or another control instance has not been sent.
 func (h *hub) crashesForParent(u *uplink, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, u.crashesAt, func(from crashOrigin) bool { return !from.parent && !from.remote })
-	u.crashesAt = at
+	reports, position := h.crashes.since(now, u.crashesCursor, func(from crashOrigin) bool { return !from.parent && !from.remote })
+	u.crashesCursor = position
 	return crashMessages(reports)
 }
 
 // crashesForChild returns the reports that a child has not been sent.
 func (h *hub) crashesForChild(c *child, now time.Time) []outgoing {
-	reports, at := h.crashes.since(now, c.crashesAt, func(from crashOrigin) bool { return from.link != c.id })
-	c.crashesAt = at
+	reports, position := h.crashes.since(now, c.crashesCursor, func(from crashOrigin) bool { return from.link != c.id })
+	c.crashesCursor = position
 	return crashMessages(reports)
 }
 
--- a/io/distribution/evidence.go
+++ b/io/distribution/evidence.go
@@ -10,12 +10,14 @@
 	// maxEvidence bounds the sums that a control instance keeps. A move has a few routes and two releases in each data centre
 	// below each control instance. The sum that changed least recently is evicted first.
 	maxEvidence = 65_536
-	// maxEvidenceName bounds the average length of a count's names in bytes, so that maxEvidence also bounds the memory.
-	maxEvidenceName = 256
+	// maxEvidenceNameBytes bounds the average length of a count's names in bytes, so that maxEvidence also bounds the memory.
+	maxEvidenceNameBytes = 256
 	// maxCountsPerFrame keeps an evidence frame below about 100 KB.
 	maxCountsPerFrame = 500
 )
 
+// evidenceKey identifies a cumulative sum: node names the control instance and the data centre of the counts, incarnation the run
+// of that instance, and the other fields what is counted.
 type evidenceKey struct {
 	node        core.NodeID
 	incarnation core.Incarnation
@@ -38,8 +40,8 @@
 
 type evidenceItem struct {
 	count  core.EvidenceCount
-	remote bool // received from another control instance
-	change uint64
+	remote bool   // received from another control instance
+	change uint64 // number of the last change, among all changes of the store
 }
 
 // evidenceStore holds the evidence of a control instance: its own cumulative sums and those of the other instances. Of two
@@ -84,7 +86,7 @@
 
 func (s *evidenceStore) mergeOne(count core.EvidenceCount, remote bool) {
 	key := keyOf(count)
-	if len(key.node)+len(key.move)+len(key.service)+len(key.route)+len(key.release) > 5*maxEvidenceName {
+	if len(key.node)+len(key.move)+len(key.service)+len(key.route)+len(key.release) > 5*maxEvidenceNameBytes {
 		s.dropped++
 		return
 	}
@@ -118,9 +120,9 @@
 
 // since returns at most maxCountsPerFrame own counts that changed after a position, in order of change, and the position of the
 // last change that it covers.
-func (s *evidenceStore) since(at uint64) ([]core.EvidenceCount, uint64) {
+func (s *evidenceStore) since(position uint64) ([]core.EvidenceCount, uint64) {
 	element := s.byChange.Back()
-	for element != nil && element.Value.(*evidenceItem).change > at {
+	for element != nil && element.Value.(*evidenceItem).change > position {
 		element = element.Prev()
 	}
 	if element == nil {
@@ -131,12 +133,12 @@
 	var counts []core.EvidenceCount
 	for ; element != nil && len(counts) < maxCountsPerFrame; element = element.Next() {
 		item := element.Value.(*evidenceItem)
-		at = item.change
+		position = item.change
 		if !item.remote {
 			counts = append(counts, item.count)
 		}
 	}
-	return counts, at
+	return counts, position
 }
 
 func (s *evidenceStore) all() []core.EvidenceCount {
--- a/io/distribution/nodes.go
+++ b/io/distribution/nodes.go
@@ -39,11 +39,12 @@
 	Reports []NodeReport `msgpack:"reports"`
 }
 
+// storedReport is a report with its time by the local clock.
 type storedReport struct {
 	report NodeReport
 	at     time.Time
-	remote bool // received from another control instance
-	change uint64
+	remote bool   // received from another control instance
+	change uint64 // number of the last change, among all changes of the store
 }
 
 // nodeStore holds the newest report of each node.
@@ -130,11 +131,11 @@
 }
 
 func (h *hub) nodesDue(u *uplink, now time.Time) []outgoing {
-	if !u.nodesPacer.ready(now) || u.nodesAt == h.nodes.changes {
+	if !u.nodesPacer.ready(now) || u.nodesCursor == h.nodes.changes {
 		return nil
 	}
-	reports, reached := h.nodes.since(now, u.nodesAt, u.kind == kindControl)
-	u.nodesAt = reached
+	reports, position := h.nodes.since(now, u.nodesCursor, u.kind == kindControl)
+	u.nodesCursor = position
 	if len(reports) == 0 {
 		return nil
 	}
--- a/io/distribution/options.go
+++ b/io/distribution/options.go
@@ -15,10 +15,11 @@
 	"parsleyport/core/record"
 )
 
-// Intervals and limits of the protocol.
+// Intervals and limits of the protocol. The design page gives the reasons for those that it names.
 const (
 	pingInterval = 600 * time.Millisecond
-	// linkTimeout tolerates two lost pings. After it, a node still has to find another control instance and catch up within 3 s.
+	// linkTimeout tolerates two lost pings. It is part of the 3 s within which a node that loses its parent has to find another
+	// control instance and catch up.
 	linkTimeout  = 3 * pingInterval
 	writeTimeout = linkTimeout
 	// dialTimeout and helloTimeout are a few times the longest round trip between regions. A host without power does not answer
@@ -32,7 +33,8 @@
 	// change costs about 63 bytes for each node that receives it, or 15 if only the state changes.
 	batchInterval    = 100 * time.Millisecond
 	evidenceInterval = time.Second
-
+	// startupGrace is how long a control instance sends no removals after its start, since not all endpoints have been announced
+	// to it again.
 	// startupGrace is how long a control instance sends no removals after its start.
 	startupGrace = 10 * time.Second
 	// brokenLinkGrace is how long the node at the other end of a broken link stays listed: the interruption may be short. A
@@ -65,19 +67,19 @@
 	// localRetryInterval is how long a node stays with a control instance of another data centre after it tried to attach in
 	// its own data centre.
 	localRetryInterval = 5 * time.Second
-	// silentExclusion is how long an address is excluded after its link timed out; all others are tried in that time.
-	silentExclusion = 5 * time.Second
-	// unansweredExclusion is how long an address is excluded after a dial or handshake timed out. It is shorter, since a
+	// linkTimeoutExclusion is how long an address is excluded after its link timed out; all others are tried in that time.
+	linkTimeoutExclusion = 5 * time.Second
+	// handshakeTimeoutExclusion is how long an address is excluded after a dial or handshake timed out. It is shorter, since a
 	// partition of the network may have been the cause.
-	unansweredExclusion = 2 * time.Second
-
-	maxDirectPerDataCentre = 2
-	maxDirectChildren      = 128 // for 64 data centres
-	maxRelayChildren       = 16
-	maxHandshakes          = 32
-	maxPathNodes           = 12
-	maxRedirects           = 8
-	maxSubscriptions       = 4096
+	handshakeTimeoutExclusion = 2 * time.Second
+
+	defaultDirectNodesPerDataCentre = 2
+	maxDirectChildren               = 128 // for 64 data centres
+	maxRelayChildren                = 16
+	maxHandshakes                   = 32
+	maxPathNodes                    = 12
+	maxRedirects                    = 8
+	maxSubscriptions                = 4096
 )
 
 // Peer names another control instance and the address on which it accepts nodes and other control instances.
@@ -104,7 +106,7 @@
 	ListenAddress    string // nodes and other control instances attach here
 	DataCentre       core.DataCentre
 	Peers            []Peer
-	DirectNodes      int           // number of nodes of each data centre that may attach directly, zero for 2; further nodes are redirected to them
+	DirectNodes      int           // nodes of each data centre that may attach directly, zero for 2; others are redirected to these
 	EvidenceInterval time.Duration // interval of evidence reports to the other control instances, zero for 1 s
 	Catalog          record.Source
 	Replicator       core.Replicator // its status names the leader whenever there is one
@@ -121,7 +123,7 @@
 	RelayAddress      string // children attach here
 	ControlAddresses  []string
 	OnCrash           func(at time.Time, report core.CrashReport) // optional; called once for each report, must not block
-	OnDemandEndpoints bool                                        // receive only the endpoints of services in use, see Subscribe; the default is all services
+	OnDemandEndpoints bool                                        // receive only the endpoints of services in use, see Subscribe
 	Logger            zerolog.Logger
 	Metrics           *metrics.Set       // optional
 	Network           Network            // optional, TCP by default
@@ -143,7 +145,7 @@
 		}
 	}
 	if o.DirectNodes == 0 {
-		o.DirectNodes = maxDirectPerDataCentre
+		o.DirectNodes = defaultDirectNodesPerDataCentre
 	}
 	if o.EvidenceInterval == 0 {
 		o.EvidenceInterval = evidenceInterval
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -32,13 +32,13 @@
 
 // Replica is a control instance's replica of the log. It implements core.Replicator.
 type Replica struct {
-	packing  *frame.Compressor
-	options  Options
-	counters counters
-	engine   *engine
-	applier  *applier
-	random   *rand.Rand // used by the loop only
-	requests *requests
+	compressor *frame.Compressor
+	options    Options
+	counters   counters
+	engine     *engine
+	applier    *applier
+	random     *rand.Rand // used by the loop only
+	requests   *requests
 
 	inputs          *ring.Ring[input]
 	applyQueue      *ring.Ring[stepResult]
@@ -103,9 +103,9 @@
 		options:          options,
 		random:           rand.New(rand.NewPCG(randomNumber(), randomNumber())),
 		requests:         newRequests(randomNumber()),
-		inputs:           ring.New[input](inputCapacity),
-		applyQueue:       ring.New[stepResult](applyCapacity),
-		storedSnapshots:  ring.New[raft.Snapshot](applyCapacity),
+		inputs:           ring.New[input](inputQueueCapacity),
+		applyQueue:       ring.New[stepResult](applyQueueCapacity),
+		storedSnapshots:  ring.New[raft.Snapshot](applyQueueCapacity),
 		links:            make(map[core.ControlID]*link),
 		introductions:    make(map[core.ControlID]Introduction),
 		learnedAddresses: make(map[core.ControlID]string),
@@ -126,7 +126,7 @@
 
 func (r *Replica) open(folder disk.Folder, machine core.StateMachine) error {
 	var err error
-	if r.packing, err = newPacking(); err != nil {
+	if r.compressor, err = newCompressor(); err != nil {
 		return err
 	}
 	if r.engine, err = openEngine(time.Now(), folder, &r.options, r.random, newIdentity, r.sendRaft); err != nil {
@@ -276,7 +276,7 @@
 	if r.pendingResult.isEmpty() {
 		return
 	}
-	if r.pendingResult.install == nil && len(r.pendingResult.committed) < maxPendingEntries && r.applyQueue.Len() == applyCapacity {
+	if r.pendingResult.install == nil && len(r.pendingResult.committed) < maxPendingEntries && r.applyQueue.Len() == applyQueueCapacity {
 		return
 	}
 	if err := r.applyQueue.Push(r.context, r.pendingResult); err != nil {
