--- a/core/balancer/constants.go
+++ b/core/balancer/constants.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// latencyHalfLife is the half-life of latency samples, both against new samples and while an endpoint is not used.
+	// latencyHalfLife is the half-life of the average latency when a new sample arrives. While an endpoint is not used, its average
+	// decays to initialLatency with five times this half-life.
 	latencyHalfLife = 2 * time.Second
 	// initialLatency is the assumed latency of an endpoint that has not answered yet.
 	initialLatency = time.Millisecond
--- a/core/balancer/expected.go
+++ b/core/balancer/expected.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// choosePreferringLocal implements PolicyExpected. If the local data centre has free slots, calls stay there, since links between
-// data centres are expensive. If it is full, calls that would be late there go to another data centre with spare capacity. If all
-// data centres are overloaded, calls stay local, because elsewhere they would only displace other calls.
+// choosePreferringLocal implements PolicyExpected. A call stays in the local data centre if it is expected on time there, since links
+// between data centres are expensive. Otherwise it goes to another data centre if it is expected on time there and does not exceed the
+// spare capacity. If no such endpoint is found, the call stays local, because elsewhere it would only displace other calls.
 func (b *Balancer) choosePreferringLocal(now time.Time, request core.PickRequest, usable []*member) *member {
 	fallback := averageServiceTime(usable)
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
--- a/core/balancer/member.go
+++ b/core/balancer/member.go
@@ -60,7 +60,7 @@
 
 // cost estimates the relative cost of one more call from outstanding attempts, latency and failures. Lower is better.
 func (m *member) cost(now time.Time) float64 {
-	// The latency of an unused endpoint decays to the initial latency, so that a past slowdown is not held against it for ever.
+	// The latency of an unused endpoint decays to the initial latency, so that an endpoint is tried again after a slowdown.
 	kept := decay(now.Sub(m.sampledAt), 5*latencyHalfLife)
 	latency := m.latencySeconds*kept + initialLatency.Seconds()*(1-kept)
 	return float64(m.outstanding+1) * latency * (1 + failureCostRatio*m.failureRate()) / m.slowStartRatio(now)
--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -56,8 +56,8 @@
 	status  int // of a failed answer
 }
 
-// runState holds the state of one call over all its attempts.
-type runState struct {
+// callProgress holds the state of one call over all its attempts.
+type callProgress struct {
 	runs  int
 	ended bool
 }
@@ -68,7 +68,7 @@
 	hedge     bool
 	started   bool
 	startedAt time.Time // of the run
-	result    *runState
+	progress  *callProgress
 	measures  *Measures
 	reply     func(reply)
 
@@ -189,7 +189,7 @@
 	tried        []core.NodeID
 	openAttempts []*attempt
 	failed       bool // an attempt was answered with a failure
-	result       runState
+	progress     callProgress
 }
 
 func (c *callState) tryOnce() {
@@ -207,7 +207,7 @@
 func (c *callState) hedge() {
 	now := c.simulation.queue.now
 	allowed := func() bool { return c.entry.hedging.Allowed(now) && c.entry.budget.TakeHedge(now) }
-	if c.result.ended || len(c.tried) > 1 || !c.attempts.AllowRetry(retry.RetryBudgeted, allowed) {
+	if c.progress.ended || len(c.tried) > 1 || !c.attempts.AllowRetry(retry.RetryBudgeted, allowed) {
 		return
 	}
 	if c.startAttempt(true) {
@@ -231,7 +231,7 @@
 		call:     c.call,
 		deadline: c.deadline,
 		hedge:    hedge,
-		result:   &c.result,
+		progress: &c.progress,
 		measures: &c.simulation.measures,
 		began:    now,
 		to:       chosen,
@@ -293,14 +293,14 @@
 
 // end adds the call to a counter, unless the call has already ended.
 func (c *callState) end(counter *int) {
-	if c.result.ended {
+	if c.progress.ended {
 		return
 	}
-	c.result.ended = true
+	c.progress.ended = true
 	*counter++
 	c.cancel()
 	m := &c.simulation.measures
-	if c.result.runs > 1 && !c.call.Idempotent {
+	if c.progress.runs > 1 && !c.call.Idempotent {
 		m.RunTwice++
 	}
 	took := c.simulation.queue.now.Sub(c.began).Microseconds()
--- a/core/callreplay/server.go
+++ b/core/callreplay/server.go
@@ -22,16 +22,16 @@
 	limiter *limiter.Limiter
 	pending map[limiter.Ticket]*attempt
 
-	up           bool
-	run          int // incremented when a process ends, so that its runs do not finish
-	leaving      bool
-	slowPerMille int64
-	failPerMille int64
-	failStatus   int
-	slots        int
-	shedStatus   int // status of the answer to a call beyond the slots, or 0 if its connection is refused
-	coldUntil    time.Time
-	incarnation  core.Incarnation
+	up            bool
+	processNumber int // incremented when a process ends, so that its runs do not finish
+	leaving       bool
+	slowPerMille  int64
+	failPerMille  int64
+	failStatus    int
+	slots         int
+	shedStatus    int // status of the answer to a call beyond the slots, or 0 if its connection is refused
+	coldUntil     time.Time
+	incarnation   core.Incarnation
 }
 
 func newServer(spec EndpointSpec, queue *eventQueue, random *rand.Rand) *server {
@@ -86,7 +86,7 @@
 // crash ends the process: running calls have an unknown outcome. The node is still alive and refuses the waiting ones as not run.
 func (s *server) crash() {
 	s.up = false
-	s.run++
+	s.processNumber++
 	pending := s.pending
 	s.pending = make(map[limiter.Ticket]*attempt)
 	s.limiter = limiter.New(s.spec.Slots)
@@ -134,10 +134,10 @@
 	a := s.pending[ticket]
 	a.started = true
 	if s.limiter.Running() > s.slots {
-		s.queue.after(0, func() { s.finish(s.run, ticket, 0, s.overloadReply()) })
+		s.queue.after(0, func() { s.finish(s.processNumber, ticket, 0, s.overloadReply()) })
 		return
 	}
-	a.result.runs++
+	a.progress.runs++
 	a.measures.Runs++
 	a.startedAt = s.queue.now
 	took := time.Duration(s.spec.WorkUS*s.slowPerMille/1000) * time.Microsecond
@@ -151,8 +151,8 @@
 		took /= 10 // a faulty backend server often fails fast
 		end.status = s.failStatus
 	}
-	run := s.run
-	s.queue.after(took, func() { s.finish(run, ticket, took, end) })
+	processNumber := s.processNumber
+	s.queue.after(took, func() { s.finish(processNumber, ticket, took, end) })
 }
 
 // overloadReply returns the reply to a call beyond the slots of a backend server that has fewer than it announces.
@@ -172,11 +172,11 @@
 		delete(s.pending, a.ticket)
 		return
 	}
-	s.finish(s.run, a.ticket, 0, reply{outcome: core.OutcomeUnknown, failed: true})
+	s.finish(s.processNumber, a.ticket, 0, reply{outcome: core.OutcomeUnknown, failed: true})
 }
 
-func (s *server) finish(run int, ticket limiter.Ticket, took time.Duration, r reply) {
-	if run != s.run {
+func (s *server) finish(processNumber int, ticket limiter.Ticket, took time.Duration, r reply) {
+	if processNumber != s.processNumber {
 		return
 	}
 	a := s.pending[ticket]
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -85,7 +85,7 @@
 	return c.configuration
 }
 
-// Changed returns a channel that is closed when a configuration newer than the one current at the call arrives.
+// Changed returns a channel that is closed when the current configuration is replaced.
 func (c *Catalog) Changed() <-chan struct{} {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/core/catalog/moves.go
+++ b/core/catalog/moves.go
@@ -263,19 +263,19 @@
 	if len(c.moveOrder) <= maxEndedMoves+len(c.openMoves) {
 		return
 	}
-	ended, most := make(map[core.TenantID]int), 0
+	endedByOwner, maxEnded := make(map[core.TenantID]int), 0
 	owner := func(id core.MoveID) core.TenantID {
 		service, _ := c.configuration.Service(c.moves[id].Move.Request.Service)
 		return lo.Ternary(fair, service.Tenant, "")
 	}
 	for _, id := range c.moveOrder {
 		if Ended(c.moves[id].Move.State) {
-			ended[owner(id)]++
-			most = max(most, ended[owner(id)])
+			endedByOwner[owner(id)]++
+			maxEnded = max(maxEnded, endedByOwner[owner(id)])
 		}
 	}
 	for i, id := range c.moveOrder {
-		if Ended(c.moves[id].Move.State) && ended[owner(id)] == most {
+		if Ended(c.moves[id].Move.State) && endedByOwner[owner(id)] == maxEnded {
 			delete(c.moves, id)
 			c.moveOrder = slices.Concat(c.moveOrder[:i], c.moveOrder[i+1:])
 			return
--- a/core/idempotency/attempts.go
+++ b/core/idempotency/attempts.go
@@ -57,7 +57,7 @@
 type connectionLog struct {
 	open         bool
 	lastUsedAt   time.Time
-	arrivedBelow uint64 // all sequences below it have arrived
+	arrivedBelow uint64 // all sequences below it have arrived, or count as arrived because outOfOrder was full
 	outOfOrder   map[uint64]struct{}
 	running      map[uint64]struct{}
 	notRun       map[uint64]struct{}
--- a/core/idempotency/transfer.go
+++ b/core/idempotency/transfer.go
@@ -58,7 +58,7 @@
 
 // Restore adds entries that were exported the given duration ago. A key that has been claimed here since then keeps its new entry,
 // whose call was granted by the other holders.
-func (k *KeyStore) Restore(now time.Time, away time.Duration, entries []Entry) {
+func (k *KeyStore) Restore(now time.Time, sinceExport time.Duration, entries []Entry) {
 	for _, e := range entries {
 		if k.entries[e.Key] != nil || len(k.byAge) >= maxKeys {
 			continue
@@ -67,8 +67,8 @@
 			owner:     e.Owner,
 			content:   e.Content,
 			verdict:   e.Verdict,
-			settleBy:  now.Add(e.Remaining - away),
-			claimedAt: now.Add(-e.Age - away),
+			settleBy:  now.Add(e.Remaining - sinceExport),
+			claimedAt: now.Add(-e.Age - sinceExport),
 			answer:    e.Answer,
 		}
 		if entry.answer != nil {
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -290,13 +290,13 @@
 func (l *Limiter) shedFromLongestQueue(added entry) Shed {
 	name := added.request.Tenant
 	for other, t := range l.tenants {
-		longer := len(t.waiting) - len(l.tenants[name].waiting)
-		if longer > 0 || longer == 0 && name != added.request.Tenant && other < name {
+		excess := len(t.waiting) - len(l.tenants[name].waiting)
+		if excess > 0 || excess == 0 && name != added.request.Tenant && other < name {
 			name = other
 		}
 	}
 	t := l.tenants[name]
-	worst := t.waiting[len(t.waiting)-1]
+	last := t.waiting[len(t.waiting)-1]
 	t.waiting = t.waiting[:len(t.waiting)-1]
 	l.waiting--
 	cause := core.CauseQueueFull
@@ -305,12 +305,13 @@
 	}
 	l.removeIfIdle(name)
 	return Shed{
-		Ticket: worst.ticket,
+		Ticket: last.ticket,
 		Cause:  cause,
 	}
 }
 
-// adaptLimit applies additive increase, by about one per round of a full limit, and multiplicative decrease on overload.
+// adaptLimit applies additive increase, by about one for each Limit calls that end while all slots of the limit are in use, and
+// multiplicative decrease on overload.
 func (l *Limiter) adaptLimit(now time.Time, result Result, concurrency int, full bool) {
 	l.rotateServedWindows(now)
 	if result.Overloaded {
--- a/core/limiter/softdeadline.go
+++ b/core/limiter/softdeadline.go
@@ -41,25 +41,25 @@
 }
 
 func (l *Limiter) observeClassServiceTime(class core.RouteName, latency time.Duration) {
-	known := l.classes[class]
-	if known == nil {
+	serviceTime := l.classes[class]
+	if serviceTime == nil {
 		if len(l.classes) >= maxClasses {
 			clear(l.classes)
 		}
-		known = &classServiceTime{
+		serviceTime = &classServiceTime{
 			averageSeconds: latency.Seconds(),
 		}
-		l.classes[class] = known
+		l.classes[class] = serviceTime
 	}
-	known.samples++
-	known.averageSeconds += (latency.Seconds() - known.averageSeconds) * classSampleWeight
+	serviceTime.samples++
+	serviceTime.averageSeconds += (latency.Seconds() - serviceTime.averageSeconds) * classSampleWeight
 }
 
 // serviceTimeSeconds returns the average service time of a class, or of all calls if the class has too few samples. It is zero
 // if nothing is known.
 func (l *Limiter) serviceTimeSeconds(class core.RouteName) float64 {
-	if known := l.classes[class]; known != nil && known.samples >= minClassSamples {
-		return known.averageSeconds
+	if serviceTime := l.classes[class]; serviceTime != nil && serviceTime.samples >= minClassSamples {
+		return serviceTime.averageSeconds
 	}
 	return l.averageLatencySeconds
 }
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -79,8 +79,8 @@
 	installing *Snapshot // complete; not yet reported as stored
 }
 
-// NewNode returns a node with the state restored from its data folder. It keeps trailing entries in memory before a snapshot
-// (see TrailingEntries) and uses random for election timeouts only.
+// NewNode returns a node with the state restored from its data folder. It keeps up to trailingEntries entries before a
+// snapshot in memory (see TrailingEntries) and uses random for election timeouts only.
 func NewNode(now time.Time, self Peer, restored Restored, trailingEntries core.LogIndex, random *rand.Rand) *Node {
 	n := &Node{
 		self:             self,
@@ -129,8 +129,8 @@
 // NextDeadline returns the latest time at which Step must be called again.
 func (n *Node) NextDeadline() time.Time {
 	if n.role == Leader {
-		if lost := n.quorumContact().Add(ElectionTimeout); lost.Before(n.nextTimeout) {
-			return lost
+		if quorumLostAt := n.quorumContact().Add(ElectionTimeout); quorumLostAt.Before(n.nextTimeout) {
+			return quorumLostAt
 		}
 	}
 	return n.nextTimeout
--- a/core/record/source.go
+++ b/core/record/source.go
@@ -5,6 +5,6 @@
 type Source interface {
 	// Current returns the newest configuration; it is never nil.
 	Current() *Configuration
-	// Changed returns a channel that is closed when a configuration newer than the one current at the call arrives.
+	// Changed returns a channel that is closed when the configuration that Current returns now is replaced.
 	Changed() <-chan struct{}
 }
--- a/core/replay/generate.go
+++ b/core/replay/generate.go
@@ -49,8 +49,8 @@
 	routes         []core.RouteName
 }
 
-// deploymentSizes lists data centres, upstreams and slots of the deployments (design 1.2). Rates and latencies are assumptions under
-// which up to half of the slots are in use.
+// deploymentSizes lists data centres, backend servers and slots of the deployments (design 1.2). The rates and latencies keep up to
+// half of the slots in use.
 var deploymentSizes = map[Deployment]deploymentSize{
 	DeploymentPamoja: {
 		dataCentres: 4, slots: 9,
--- a/core/replay/replay.go
+++ b/core/replay/replay.go
@@ -65,7 +65,8 @@
 	return m.Move.State == want.State && strings.Contains(m.Move.Cause, want.Cause)
 }
 
-// Replay replays a trace with one rule. It returns an error if the rule proposed a step that the catalog would refuse.
+// Replay replays a trace with one rule. It returns an error if the rule proposed a step with a wrong number or a state
+// change that the chart of moves does not have.
 func Replay(trace *Trace, rule RuleName) (*Measures, error) {
 	m := &Measures{Move: newMove(trace)}
 	sim := newSimulation(trace, m)
@@ -124,7 +125,7 @@
 	}
 }
 
-// apply does what the catalog does with a committed step.
+// apply changes the move as the catalog does with a committed step. Unlike the catalog, it also checks the transition.
 func (m *Measures) apply(step core.MoveStep) error {
 	if step.Step != m.Move.Step+1 || !rollout.IsTransition(m.Move.State, step.State) {
 		return errors.Errorf("step %d to %s does not follow step %d in %s", step.Step, step.State, m.Move.Step, m.Move.State)
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// Prints the scores of generated traces. Constants are tuned on one range of seeds and evaluated on another.
+// Prints the scores of generated traces for a range of seeds. A change of a constant in core/rollout has to be checked with seeds that
+// it was not made with, since it may suit only those.
 func TestSeeds(t *testing.T) {
 	var first, last uint64
 	if n, _ := fmt.Sscanf(*seeds, "%d-%d", &first, &last); n != 2 {
--- a/core/replay/simulation.go
+++ b/core/replay/simulation.go
@@ -50,8 +50,8 @@
 }
 
 type evidenceReport struct {
-	arrives time.Time
-	counts  []core.EvidenceCount
+	arrivesAt time.Time
+	counts    []core.EvidenceCount
 }
 
 // fault affects the new release's calls on a route, "*" for all routes, while the release gets at least minCallsPerSecond.
@@ -201,15 +201,15 @@
 	for _, n := range s.nodes {
 		counts := n.recorder.Counts()
 		sortCounts(counts)
-		arrives := s.now.Add(s.evidenceDelay + time.Duration(s.random.IntN(300))*time.Millisecond)
+		arrivesAt := s.now.Add(s.evidenceDelay + time.Duration(s.random.IntN(300))*time.Millisecond)
 		s.reports = append(s.reports, evidenceReport{
-			arrives: arrives,
-			counts:  counts,
+			arrivesAt: arrivesAt,
+			counts:    counts,
 		})
 		if s.random.IntN(1000) < s.trace.RepeatedPerMille {
 			s.reports = append(s.reports, evidenceReport{
-				arrives: arrives.Add(duplicateReportDelay),
-				counts:  counts,
+				arrivesAt: arrivesAt.Add(duplicateReportDelay),
+				counts:    counts,
 			})
 		}
 	}
@@ -313,7 +313,7 @@
 	var evidence []core.EvidenceCount
 	rest := s.reports[:0]
 	for _, r := range s.reports {
-		if r.arrives.After(s.now) {
+		if r.arrivesAt.After(s.now) {
 			rest = append(rest, r)
 			continue
 		}
--- a/core/rollout/chart.go
+++ b/core/rollout/chart.go
@@ -28,12 +28,12 @@
 	return core.MoveState(chart.Initial())
 }
 
-// IsFinal reports whether a state is final, so that a move in it is closed.
+// IsFinal reports whether a state is final, so that a move in it has ended.
 func IsFinal(state core.MoveState) bool {
 	return chart.IsFinal(statechart.State(state))
 }
 
-// IsTransition reports whether the chart has a transition from one state to another. The catalog checks proposed steps with it.
+// IsTransition reports whether the chart has a transition from one state to another. Replays check proposed steps with it.
 func IsTransition(from, to core.MoveState) bool {
 	for _, event := range chart.Events(statechart.State(from)) {
 		if next, err := chart.Next(statechart.State(from), event); err == nil && next == statechart.State(to) {
@@ -44,7 +44,7 @@
 }
 
 // Abort returns the step that ends an open move on an operator's request and restores the original weights, or false if the move
-// is closed.
+// has ended.
 func Abort(now time.Time, move core.Move, operator core.Operator) (core.MoveStep, bool) {
 	return step(now, move, eventAbort, 0, "operator", fmt.Sprintf("aborted by %s at %d per mille", operator, move.Share))
 }
--- a/core/rollout/comparison.go
+++ b/core/rollout/comparison.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// closeWindows feeds the complete windows to the tests, or all of them if the share has changed.
+// closeWindows adds the complete windows to the tests and, if all is set, the incomplete ones too.
 func (c *comparison) closeWindows(now time.Time, all bool) {
 	var open []*window
 	for _, w := range c.openWindows {
@@ -212,7 +212,7 @@
 	return c.accepts(c.stepAcceptanceLLR)
 }
 
-// startStep discards the evidence of the previous step.
+// startStep closes all windows and resets the counts and the acceptance test of the step. The tests of the whole move continue.
 func (c *comparison) startStep(now time.Time) {
 	c.closeWindows(now, true)
 	c.sinceStep = releaseCounts{}
--- a/core/rollout/counter_deltas.go
+++ b/core/rollout/counter_deltas.go
@@ -33,7 +33,7 @@
 }
 
 // add returns the difference between count and the latest count of its node run, route and release, or false for a repeated or
-// older count. The first count of a key is a baseline, unless its calls must have been made within the move.
+// older count. The first count of a key is a baseline, unless all its calls are known to belong to the move.
 func (d *counterDeltas) add(count core.EvidenceCount, isNew, baseline bool, startedAt time.Time) (core.EvidenceCount, bool) {
 	key := counterKey{
 		nodeRun: nodeRun{
--- a/core/rollout/fleet.go
+++ b/core/rollout/fleet.go
@@ -108,12 +108,12 @@
 // coldRatio returns the part of a release's ready backend servers that became ready after since.
 func (f *fleet) coldRatio(isNew bool, since time.Time) float64 {
 	cold, all := 0.0, 0.0
-	for key, ready := range f.readySince {
+	for key, readyAt := range f.readySince {
 		if f.isNew[key] != isNew {
 			continue
 		}
 		all++
-		if ready.After(since) {
+		if readyAt.After(since) {
 			cold++
 		}
 	}
--- a/core/rollout/group.go
+++ b/core/rollout/group.go
@@ -76,26 +76,26 @@
 // verdict returns the first measure in which the new release is worse, with the counts since the last step as evidence.
 func (g *group) verdict(worse func(*comparison) bool) (cause, evidence string, found bool) {
 	for _, m := range []struct {
-		what string
-		c    *comparison
+		outcome string
+		c       *comparison
 	}{
-		{what: "failed", c: g.failures},
-		{what: "slow", c: g.slow},
-		{what: "crashed", c: g.crashes},
+		{outcome: "failed", c: g.failures},
+		{outcome: "slow", c: g.slow},
+		{outcome: "crashed", c: g.crashes},
 	} {
 		if worse(m.c) {
-			return fmt.Sprintf("new release worse on %s: calls %s", g.name, m.what), m.c.text(m.what), true
+			return fmt.Sprintf("new release worse on %s: calls %s", g.name, m.outcome), m.c.text(m.outcome), true
 		}
 	}
 	return "", "", false
 }
 
-func (c *comparison) text(what string) string {
+func (c *comparison) text(outcome string) string {
 	counts := c.sinceStep
 	if counts.new.calls == 0 {
 		counts = c.total
 	}
-	return fmt.Sprintf("%s: new release %s, old release %s", what, counts.new.text(), counts.old.text())
+	return fmt.Sprintf("%s: new release %s, old release %s", outcome, counts.new.text(), counts.old.text())
 }
 
 func (c callCount) text() string {
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -109,7 +109,7 @@
 	return counts
 }
 
-// run continues until the move is closed or the condition holds, and checks each step as the catalog does.
+// run continues until the move has ended or the condition holds, and checks the number and the transition of each step.
 func (s *simulation) run(until func() bool) *simulation {
 	for !rollout.IsFinal(s.move.State) && (until == nil || !until()) {
 		s.second++
@@ -402,7 +402,7 @@
 	c.Assert(run(false), qt.Equals, core.MoveTakenBack)
 }
 
-// Guards against a step that the chart does not have, and against the abort of a closed move.
+// Guards against a step that the chart does not have, and against the abort of a move that has ended.
 func TestChartAndAbort(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(rollout.IsTransition(core.MoveProposed, core.MoveDone), qt.IsFalse)
@@ -411,8 +411,8 @@
 	step, ok := rollout.Abort(start, move, "amina")
 	c.Assert(ok && step.State == core.MoveTakenBack && step.Step == 5 && step.Share == 0 && step.Cause == "operator", qt.IsTrue)
 	c.Assert(step.Evidence, qt.Equals, "aborted by amina at 80 per mille")
-	for _, closed := range []core.MoveState{core.MoveDone, core.MoveTakenBack, core.MoveExpired} {
-		move.State = closed
+	for _, ended := range []core.MoveState{core.MoveDone, core.MoveTakenBack, core.MoveExpired} {
+		move.State = ended
 		_, ok = rollout.Abort(start, move, "amina")
 		c.Assert(ok, qt.IsFalse)
 		_, due := rollout.NewSequentialDecider(move, "v1", "v2").Decide(start, move, nil)
--- a/core/rollout/short_move_decider.go
+++ b/core/rollout/short_move_decider.go
@@ -109,7 +109,7 @@
 }
 
 // ObserveLateness does nothing: no share grows before calls at the present share have been reported.
-func (b *ShortMoveDecider) ObserveLateness(time.Duration) {}
+func (d *ShortMoveDecider) ObserveLateness(time.Duration) {}
 
 // Decide returns the next step if one is due. The evidence holds the cumulative counts of this move.
 func (d *ShortMoveDecider) Decide(now time.Time, move core.Move, evidence []core.EvidenceCount) (core.MoveStep, bool) {
@@ -323,19 +323,19 @@
 }
 
 // worse returns the first route and measure in which the new release is worse, in a fixed order.
-func (d *ShortMoveDecider) worse(counted map[core.RouteName]shortMovePair, alarm float64) (string, bool) {
+func (d *ShortMoveDecider) worse(counted map[core.RouteName]shortMovePair, alarmProbability float64) (string, bool) {
 	recent := d.sinceStep(counted)
 	routes := lo.Keys(counted)
 	slices.Sort(routes)
 	for _, route := range routes {
 		for _, pair := range []shortMovePair{counted[route], recent[route]} {
-			if cause, found := pair.worse(counted[route].old, alarm); found {
+			if cause, found := pair.worse(counted[route].old, alarmProbability); found {
 				return fmt.Sprintf("route %q: %s", route, cause), true
 			}
 		}
 	}
 	for _, pair := range []shortMovePair{totalOf(counted), totalOf(recent)} {
-		if pair.failuresWorse(alarm) { // latency differs by route
+		if pair.failuresWorse(alarmProbability) { // latency differs by route
 			return "all routes: failures", true
 		}
 	}
@@ -343,8 +343,8 @@
 }
 
 // latencyNoninferior reports whether a release that is slower for shortMoveDetectedSlowRate of its calls would have had more slow
-// answers or rejected calls than were counted. The test fails with few calls, or if many of the old release's answers are slow too:
-// that no fault was found is no reason then to trust the new release. An old release that hardly answers is not compared with.
+// answers or rejected calls than were counted. The test fails with few calls, or if many of the old release's answers are slow too,
+// since a slow release could then go unnoticed. Routes on which the old release has fewer than windowMinCalls calls are left out.
 func latencyNoninferior(counted map[core.RouteName]shortMovePair) bool {
 	calls, slow, expected, compared := uint64(0), uint64(0), 0.0, false
 	for _, pair := range counted {
@@ -363,8 +363,8 @@
 	return calls > 0 && binomialCDF(slow, calls, expected/float64(calls)+shortMoveDetectedSlowRate) <= shortMoveMissProbability
 }
 
-func (p shortMovePair) worse(usual shortMoveCount, alarm float64) (string, bool) {
-	if p.failuresWorse(alarm) {
+func (p shortMovePair) worse(usual shortMoveCount, alarmProbability float64) (string, bool) {
+	if p.failuresWorse(alarmProbability) {
 		return "failures", true
 	}
 	boundary, known := usual.slowBoundary()
@@ -372,19 +372,19 @@
 		return "", false
 	}
 	timed, slow, expected := p.new.latency.total(), p.new.latency.above(boundary), p.expectedSlow[boundary]
-	if exceedsRate(slow, timed, shortMoveToleratedSlowRate+expected/float64(max(timed, 1)), alarm) {
+	if exceedsRate(slow, timed, shortMoveToleratedSlowRate+expected/float64(max(timed, 1)), alarmProbability) {
 		return "slow answers", true
 	}
 	// A release that is a little worse in both measures is bad too. Calls that fail slowly count twice for both releases.
 	calls := p.new.calls
-	if exceedsRate(min(slow+p.new.failures, calls), calls, shortMoveToleratedSlowRate+(expected+p.expectedFailures)/float64(max(calls, 1)), alarm) {
+	if exceedsRate(min(slow+p.new.failures, calls), calls, shortMoveToleratedSlowRate+(expected+p.expectedFailures)/float64(max(calls, 1)), alarmProbability) {
 		return "failures and slow answers", true
 	}
 	return "", false
 }
 
-func (p shortMovePair) failuresWorse(alarm float64) bool {
-	return exceedsRate(p.new.failures, p.new.calls, shortMoveToleratedFailureRate+p.expectedFailures/float64(max(p.new.calls, 1)), alarm)
+func (p shortMovePair) failuresWorse(alarmProbability float64) bool {
+	return exceedsRate(p.new.failures, p.new.calls, shortMoveToleratedFailureRate+p.expectedFailures/float64(max(p.new.calls, 1)), alarmProbability)
 }
 
 // slowBoundary returns the bucket above which an answer counts as slow, since nearly all answers of the old release are faster.
@@ -425,15 +425,15 @@
 	return float64(bad) / float64(max(calls, 1))
 }
 
-// exceedsRate reports whether so many bad calls have a probability below alarm at the given rate (one-sided binomial test).
-func exceedsRate(bad, calls uint64, rate, alarm float64) bool {
+// exceedsRate reports whether so many bad calls have a probability below alarmProbability at the given rate (one-sided binomial test).
+func exceedsRate(bad, calls uint64, rate, alarmProbability float64) bool {
 	if bad < shortMoveMinBadCalls || rate >= 1 || float64(bad) <= rate*float64(calls) {
 		return false
 	}
 	tail := 0.0
 	for k := bad; k <= calls; k++ {
 		tail += math.Exp(logBinomial(calls, k, rate))
-		if tail >= alarm {
+		if tail >= alarmProbability {
 			return false
 		}
 	}
