--- a/core/balancer/expected.go
+++ b/core/balancer/expected.go
@@ -120,9 +120,11 @@
 	}
 }
 
-// choosePreferringLocal implements PolicyExpected. A call stays in the local data centre if it is expected on time there, since links
-// between data centres are expensive. Otherwise it goes to another data centre if it is expected on time there and does not exceed the
-// spare capacity. If no such endpoint is found, the call stays local, because elsewhere it would only displace other calls.
+// choosePreferringLocal implements PolicyExpected. A call stays in the local data centre if it is expected on time there, since
+// links between data centres are expensive. Otherwise it goes to another data centre that has spare capacity and where it is
+// expected on time. If there is none, the call stays local, because elsewhere it would only displace other calls. Without a usable
+// local endpoint, the call goes to another data centre, but after a refusal for lack of capacity only to an endpoint with spare
+// capacity.
 func (b *Balancer) choosePreferringLocal(now time.Time, request core.PickRequest, usable []*member) *member {
 	fallback := averageServiceTime(usable)
 	local, remote := lo.FilterReject(usable, func(m *member, _ int) bool {
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// Prints the scores of generated traces for a range of seeds. A change of a constant in core/rollout has to be checked with seeds that
-// it was not made with, since it may suit only those.
+// Prints the scores of generated traces for a range of seeds. A change of a constant in core/rollout must be checked with other
+// seeds than those with which it was made, since it may suit only these.
 func TestSeeds(t *testing.T) {
 	var first, last uint64
 	if n, _ := fmt.Sscanf(*seeds, "%d-%d", &first, &last); n != 2 {
--- a/core/rollout/short_move_decider.go
+++ b/core/rollout/short_move_decider.go
@@ -425,7 +425,8 @@
 	return float64(bad) / float64(max(calls, 1))
 }
 
-// exceedsRate reports whether so many bad calls have a probability below alarmProbability at the given rate (one-sided binomial test).
+// exceedsRate reports whether at least as many bad calls have a probability below alarmProbability at the given rate (one-sided
+// binomial test).
 func exceedsRate(bad, calls uint64, rate, alarmProbability float64) bool {
 	if bad < shortMoveMinBadCalls || rate >= 1 || float64(bad) <= rate*float64(calls) {
 		return false
@@ -440,7 +441,7 @@
 	return true
 }
 
-// binomialCDF returns the probability of at most so many slow calls at the given rate.
+// binomialCDF returns the probability that at most the given number of calls is slow at the given rate.
 func binomialCDF(slow, calls uint64, rate float64) float64 {
 	if rate >= 1 {
 		return 0
