--- a/core/callreplay/replay.go
+++ b/core/callreplay/replay.go
@@ -26,8 +26,8 @@
 	Answered int // successful answers before the deadline
 	Failed   int // answers that report a failure of the backend server
 	Refused  int // not run
-	Unknown  int
-	Late     int
+	Unknown  int // with an unknown outcome
+	Late     int // without an outcome at the deadline
 	RunTwice int // calls that are not idempotent and ran more than once
 	Runs     int
 	Hedges   int
--- a/core/idempotency/quorum_test.go
+++ b/core/idempotency/quorum_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-func (f *fakeCluster) wait(time time.Duration) {
-	for end := f.now.Add(time); f.now.Before(end); f.observe() {
+func (f *fakeCluster) wait(duration time.Duration) {
+	for end := f.now.Add(duration); f.now.Before(end); f.observe() {
 		f.now = f.now.Add(JoinLag)
 	}
 }
@@ -59,7 +59,7 @@
 	f.claims++
 	owner := core.CallID(fmt.Sprint(f.claims))
 	var replies []Reply
-	var won []*fakeNode
+	var claimed []*fakeNode
 	since := make(map[core.NodeID]time.Time) // memorySince of the reached holders
 	holders := entry.Choose(f.now, key)
 	for _, holder := range holders {
@@ -74,7 +74,7 @@
 		entry.MergeAges(f.now, "s", f.reference.Ages(f.now, key))
 		since[holder.Node] = node.memorySince
 		verdict, _ := node.keys.Claim(f.now, key, owner, 1, f.now.Add(time.Minute))
-		won = append(won, node)
+		claimed = append(claimed, node)
 		replies = append(replies, Reply{
 			Reached: true, Verdict: verdict, RecentlyJoined: holder.RecentlyJoined,
 			CompleteMemory: f.now.Sub(node.memorySince) >= Window+JoinLag, ContinuousMemory: f.now.Sub(node.runningSince) >= Window+JoinLag,
@@ -90,7 +90,7 @@
 		f.grantedAt[key] = f.now
 		return
 	}
-	for _, node := range won {
+	for _, node := range claimed {
 		node.keys.Settle(f.now, key, owner, VerdictGranted, nil)
 	}
 }
--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -82,8 +82,8 @@
 			if side.release == "v2" && s.second >= s.faultFrom {
 				s.badCalls += side.calls
 			}
-			sum := func(what string, n float64) uint64 {
-				key := fmt.Sprint(route, side.release, what)
+			sum := func(measure string, n float64) uint64 {
+				key := fmt.Sprint(route, side.release, measure)
 				if _, known := s.cumulative[key]; !known {
 					// Multiples of the golden ratio, so that the routes do not fail in the same second.
 					s.cumulative[key] = math.Mod(0.618*float64(len(s.cumulative)), 1)
--- a/core/rollout/short_move_decider_test.go
+++ b/core/rollout/short_move_decider_test.go
@@ -154,20 +154,20 @@
 	seldom := []float64{0.37, 0.26, 0.09, 0.16, 0.12}
 	for name, test := range map[string]struct {
 		latencyReplay
-		good bool
-		most int // bad releases of 200 that are done
+		good      bool
+		tolerated int // of 200 moves: bad releases that are done, or good ones in addition to 10 that are not done
 	}{
-		"slow":                   {latencyReplay: latencyReplay{old: old, answers: slow, perTick: 7}, most: 4},
-		"seldom slow":            {latencyReplay: latencyReplay{old: old, answers: seldom, perTick: 7}, most: 20}, // a tenth
-		"seldom slow, few calls": {latencyReplay: latencyReplay{old: old, answers: seldom, perTick: 3}, most: 20},
+		"slow":                   {latencyReplay: latencyReplay{old: old, answers: slow, perTick: 7}, tolerated: 4},
+		"seldom slow":            {latencyReplay: latencyReplay{old: old, answers: seldom, perTick: 7}, tolerated: 20}, // a tenth
+		"seldom slow, few calls": {latencyReplay: latencyReplay{old: old, answers: seldom, perTick: 3}, tolerated: 20},
 		"good":                   {latencyReplay: latencyReplay{old: old, answers: old, perTick: 7}, good: true},
-		"good, few calls":        {latencyReplay: latencyReplay{old: old, answers: old, perTick: 3}, good: true, most: 30},
+		"good, few calls":        {latencyReplay: latencyReplay{old: old, answers: old, perTick: 3}, good: true, tolerated: 30},
 		// Backend servers without free slots reject calls. A slow release rejects most of the calls that would have been slow.
-		"slow, turned away":        {latencyReplay: latencyReplay{old: old, oldAway: 0.02, answers: old, away: 0.25, perTick: 7}, most: 4},
-		"slow, both turned away":   {latencyReplay: latencyReplay{old: old, oldAway: 0.2, answers: slow, away: 0.4, perTick: 7}, most: 4},
-		"good, both turned away":   {latencyReplay: latencyReplay{old: old, oldAway: 0.1, answers: old, away: 0.1, perTick: 7}, good: true},
+		"slow, calls rejected":     {latencyReplay: latencyReplay{old: old, oldRejectedRatio: 0.02, answers: old, rejectedRatio: 0.25, perTick: 7}, tolerated: 4},
+		"slow, both reject calls":  {latencyReplay: latencyReplay{old: old, oldRejectedRatio: 0.2, answers: slow, rejectedRatio: 0.4, perTick: 7}, tolerated: 4},
+		"good, both reject calls":  {latencyReplay: latencyReplay{old: old, oldRejectedRatio: 0.1, answers: old, rejectedRatio: 0.1, perTick: 7}, good: true},
 		"good, cold for a second":  {latencyReplay: latencyReplay{old: old, answers: old, perTick: 7, cold: time.Second}, good: true},
-		"slow, cold for a second":  {latencyReplay: latencyReplay{old: old, answers: slow, perTick: 7, cold: time.Second}, most: 4},
+		"slow, cold for a second":  {latencyReplay: latencyReplay{old: old, answers: slow, perTick: 7, cold: time.Second}, tolerated: 4},
 		"close to the next bucket": {latencyReplay: latencyReplay{old: []float64{0.97, 0.03}, answers: []float64{0.2, 0.8}, perTick: 7}, good: true},
 	} {
 		done := 0
@@ -178,9 +178,9 @@
 		}
 		t.Logf("%s: %d of 200 done", name, done)
 		if test.good {
-			c.Check(done >= 190-test.most, qt.IsTrue, qt.Commentf("%s: %d of 200 done", name, done))
+			c.Check(done >= 190-test.tolerated, qt.IsTrue, qt.Commentf("%s: %d of 200 done", name, done))
 		} else {
-			c.Check(done <= test.most, qt.IsTrue, qt.Commentf("%s: %d of 200 done", name, done))
+			c.Check(done <= test.tolerated, qt.IsTrue, qt.Commentf("%s: %d of 200 done", name, done))
 		}
 	}
 }
@@ -188,10 +188,10 @@
 // latencyReplay replays a move with given parts of both releases' answers in each bucket from 128 ms on, and given parts of their
 // calls that are rejected. While the new release is cold, all its answers are in the slowest bucket.
 type latencyReplay struct {
-	old, answers  []float64
-	oldAway, away float64
-	perTick       int // calls in a tenth of a second
-	cold          time.Duration
+	old, answers                    []float64
+	oldRejectedRatio, rejectedRatio float64
+	perTick                         int // calls in a tenth of a second
+	cold                            time.Duration
 }
 
 // run replays a move and returns its final state.
@@ -214,15 +214,15 @@
 				began = at
 			}
 			for range r.perTick {
-				side, answers, away := before, r.old, r.oldAway
+				side, answers, rejectedRatio := before, r.old, r.oldRejectedRatio
 				if core.PerMille(random.IntN(1000)) < move.Share {
-					side, answers, away = after, r.answers, r.away
+					side, answers, rejectedRatio = after, r.answers, r.rejectedRatio
 					if at < began+r.cold {
 						answers = []float64{0, 0, 0, 0, 1}
 					}
 				}
 				side.Calls++
-				if random.Float64() >= away {
+				if random.Float64() >= rejectedRatio {
 					side.Latency[draw(answers)]++
 				}
 			}
@@ -236,7 +236,7 @@
 func TestShortMoveFromAReleaseThatAnswersNothing(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
-		replay := latencyReplay{answers: []float64{1}, oldAway: 1, perTick: 7}
+		replay := latencyReplay{answers: []float64{1}, oldRejectedRatio: 1, perTick: 7}
 		c.Assert(replay.run(seed), qt.Equals, core.MoveDone)
 	}
 }
