--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -133,8 +133,8 @@
 	reply := func(verdict Verdict, complete bool) Reply {
 		return Reply{Reached: true, CompleteMemory: complete, ContinuousMemory: complete, Verdict: verdict}
 	}
-	granted, unclear, unreachable := reply(VerdictGranted, true), reply(VerdictGranted, false), Reply{}
-	restarted := unclear
+	granted, incompleteMemory, unreachable := reply(VerdictGranted, true), reply(VerdictGranted, false), Reply{}
+	restarted := incompleteMemory
 	restarted.Restarted = true
 	restored := granted // after a planned stop
 	restored.ContinuousMemory = false
@@ -146,8 +146,8 @@
 	c.Assert(IsDecided(newcomers), qt.IsFalse)                                        // older nodes can still be asked
 	c.Assert(IsDecided(append(newcomers, granted, granted, unreachable)), qt.IsFalse) // the unreachable node may be a newcomer too
 	c.Assert(IsDecided(append(newcomers, granted, granted, restarted)), qt.IsTrue)
-	c.Assert(IsDecided([]Reply{unclear, granted, granted}), qt.IsFalse) // only this entry node may take the first node for a holder
-	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)          // a resend would miss the key after one has restarted
+	c.Assert(IsDecided([]Reply{incompleteMemory, granted, granted}), qt.IsFalse) // only this entry node may take the first node for a holder
+	c.Assert(IsDecided([]Reply{granted, granted}), qt.IsFalse)                   // a resend would miss the key after one has restarted
 	c.Assert(IsDecided([]Reply{reply(VerdictRunning, false)}), qt.IsTrue)
 	for _, test := range []struct {
 		replies []Reply
@@ -168,7 +168,7 @@
 		{replies: []Reply{restarted, restarted, restarted}, want: VerdictUnknown},
 		{replies: []Reply{restarted, restarted, unreachable}, want: VerdictUnknown}, // only the third may still have the key
 		{replies: []Reply{restarted, unreachable, unreachable}, want: VerdictUnknown},
-		{replies: []Reply{granted, unclear, unreachable}, want: VerdictUnknown}, // the second may have joined after a grant by the third
+		{replies: []Reply{granted, incompleteMemory, unreachable}, want: VerdictUnknown}, // the second may have joined after a grant by the third
 		{replies: []Reply{unreachable, unreachable, granted}, want: VerdictUnknown},
 		{replies: []Reply{unreachable, unreachable}, want: VerdictUnknown},
 		{replies: nil, want: VerdictUnknown},
@@ -183,7 +183,7 @@
 	}
 }
 
-// Guards against a second run when nodes that know nothing of a key displace its holders from the first two ranks.
+// Guards against a second run when nodes that know nothing of a key displace its holders from the first ranks.
 func TestClaimFindsEarlierHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders, key := NewHolders(), Key{Service: "s", Name: core.IdempotencyKey(rapid.String().Draw(t, "key"))}
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -173,7 +173,7 @@
 		var running []limiter.Ticket
 		end := func(ticket limiter.Ticket) {
 			if !arrived[ticket] || ended[ticket] {
-				t.Fatalf("ticket %d ended out of turn", ticket)
+				t.Fatalf("ticket %d ended twice or before it arrived", ticket)
 			}
 			ended[ticket] = true
 		}
