--- a/core/rollout/sequential_decider_test.go
+++ b/core/rollout/sequential_decider_test.go
@@ -82,8 +82,8 @@
 			if side.release == "v2" && s.second >= s.faultFrom {
 				s.badCalls += side.calls
 			}
-			sum := func(what string, n float64) uint64 {
-				key := fmt.Sprint(route, side.release, what)
+			sum := func(measure string, n float64) uint64 {
+				key := fmt.Sprint(route, side.release, measure)
 				if _, known := s.cumulative[key]; !known {
 					// Multiples of the golden ratio, so that the routes do not fail in the same second.
 					s.cumulative[key] = math.Mod(0.618*float64(len(s.cumulative)), 1)
@@ -109,7 +109,7 @@
 	return counts
 }
 
-// run continues until the move is closed or the condition holds, and checks each step as the catalog does.
+// run continues until the move has ended or the condition holds, and checks the number and the transition of each step.
 func (s *simulation) run(until func() bool) *simulation {
 	for !rollout.IsFinal(s.move.State) && (until == nil || !until()) {
 		s.second++
@@ -402,7 +402,7 @@
 	c.Assert(run(false), qt.Equals, core.MoveTakenBack)
 }
 
-// Guards against a step that the chart does not have, and against the abort of a closed move.
+// Guards against a step that the chart does not have, and against the abort of a move that has ended.
 func TestChartAndAbort(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(rollout.IsTransition(core.MoveProposed, core.MoveDone), qt.IsFalse)
@@ -411,8 +411,8 @@
 	step, ok := rollout.Abort(start, move, "amina")
 	c.Assert(ok && step.State == core.MoveTakenBack && step.Step == 5 && step.Share == 0 && step.Cause == "operator", qt.IsTrue)
 	c.Assert(step.Evidence, qt.Equals, "aborted by amina at 80 per mille")
-	for _, closed := range []core.MoveState{core.MoveDone, core.MoveTakenBack, core.MoveExpired} {
-		move.State = closed
+	for _, ended := range []core.MoveState{core.MoveDone, core.MoveTakenBack, core.MoveExpired} {
+		move.State = ended
 		_, ok = rollout.Abort(start, move, "amina")
 		c.Assert(ok, qt.IsFalse)
 		_, due := rollout.NewSequentialDecider(move, "v1", "v2").Decide(start, move, nil)
