--- a/e2e/move_test.go
+++ b/e2e/move_test.go
@@ -90,8 +90,8 @@
 }
 
 // Guards against a move that gives all traffic to a bad release or sends it 2% of the calls or more, and against a move to a good
-// release that does not end before its deadline. The backend servers of v2 are started just before the move, as in the failure
-// that led to this test.
+// release that does not end before its deadline. The backend servers of v2 are started just before the move, as in the fault
+// that this test reproduces.
 func TestMovesOfGoodAndBadReleases(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults         string
--- a/io/backendhttp/announcement.go
+++ b/io/backendhttp/announcement.go
@@ -29,7 +29,7 @@
 const (
 	maxSlots     = 10_000
 	maxNameBytes = 128
-	maxRunBytes  = 128
+	maxRunBytes  = 128 // also of Instance
 	// maxAnnouncementBytes bounds the request body and the request header.
 	maxAnnouncementBytes = 4 << 10
 )
--- a/io/callerhttp/choose.go
+++ b/io/callerhttp/choose.go
@@ -16,7 +16,7 @@
 	release    core.Release
 	perMille   core.PerMille
 	canary     bool          // target of an open move
-	allWeights []core.Weight // excluded releases if the release is core.OtherReleases
+	allWeights []core.Weight // of the service; core.OtherReleases stands for all releases that are not among them
 }
 
 // includes reports whether an endpoint belongs to the release.
--- a/io/callerhttp/request.go
+++ b/io/callerhttp/request.go
@@ -86,7 +86,7 @@
 	if route.TargetLatencyMS > 0 {
 		softDeadline = now.Add(time.Duration(route.TargetLatencyMS) * time.Millisecond)
 		if numbers.remaining >= 0 {
-			softDeadline = softDeadline.Add(-s.elapsedBefore(route.Name, now, numbers.remaining))
+			softDeadline = softDeadline.Add(-s.elapsedSinceFirstAttempt(route.Name, now, numbers.remaining))
 		}
 	}
 	call := s.newCall(r, configuration, route, deadline, numbers.depth+1)
--- a/io/callerhttp/serve.go
+++ b/io/callerhttp/serve.go
@@ -187,7 +187,7 @@
 	return last
 }
 
-// classify returns whether an attempt may be retried. It reads a retryable answer to its end, so that the answer holds no slot
+// classify returns the retry class of an attempt. It reads a retryable answer to its end, so that the answer holds no slot
 // during the next attempt; one that is longer than a chunk is final.
 func (s *Server) classify(ctx context.Context, req *request, last *attemptResult) retry.Class {
 	if last.outcome != core.OutcomeAnswered {
@@ -376,7 +376,7 @@
 }
 
 // copyBody copies a body. It flushes after each full chunk, and after each read if the answer has no Content-Length, since a
-// streaming answer may pause. The flag sourceFailed tells a read error from a write error. With a recorder it reads the body to its
+// streaming answer may pause. The result sourceFailed tells a read error from a write error. With a recorder it reads the body to its
 // end even if the caller has disconnected.
 func copyBody(w http.ResponseWriter, body io.Reader, recorder *recorder) (sourceFailed bool, err error) {
 	flusher, _ := w.(http.Flusher)
--- a/io/callerhttp/timeoutestimate.go
+++ b/io/callerhttp/timeoutestimate.go
@@ -36,8 +36,8 @@
 	return max(0, time.Duration(usualTimeout)-remaining)
 }
 
-// elapsedBefore returns a lower bound of the time that has passed since the first attempt of a caller of the route.
-func (s *Server) elapsedBefore(route core.RouteName, now time.Time, remaining time.Duration) time.Duration {
+// elapsedSinceFirstAttempt returns a lower bound of the time since the first attempt of a caller of the route with this remaining time.
+func (s *Server) elapsedSinceFirstAttempt(route core.RouteName, now time.Time, remaining time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	estimate := s.timeouts[route]
--- a/io/cli/options.go
+++ b/io/cli/options.go
@@ -82,7 +82,7 @@
 	limit            int
 	before           uint64
 	nodes            bool
-	records          operatorhttp.RecordFilter
+	recordFilter          operatorhttp.RecordFilter
 	as               string
 	complete         bool
 }
@@ -180,9 +180,9 @@
 	status.Flag("nodes", "List each node with its latest report.").BoolVar(&r.nodes)
 
 	records := app.Command(commandRecords, "Show the accepted records.\n\nExample: parsleyport records --server 127.0.0.1:7101 --service orders --kind policy")
-	records.Arg("name", "Only records of this name.").StringVar(&r.records.Name)
-	records.Flag("kind", "Only records of this kind: service, upstream, policy or route.").EnumVar((*string)(&r.records.Kind), recordKinds...)
-	records.Flag("service", "Only this service and the records that belong to it.").StringVar((*string)(&r.records.Service))
+	records.Arg("name", "Only records of this name.").StringVar(&r.recordFilter.Name)
+	records.Flag("kind", "Only records of this kind: service, upstream, policy or route.").EnumVar((*string)(&r.recordFilter.Kind), recordKinds...)
+	records.Flag("service", "Only this service and the records that belong to it.").StringVar((*string)(&r.recordFilter.Service))
 
 	audit := app.Command(commandAudit, "Show the latest entries of the audit trail.\n\nExample: parsleyport audit --server 127.0.0.1:7101 --operator amina --limit 20")
 	audit.Flag("operator", "Only this operator's entries.").StringVar((*string)(&r.operator))
--- a/io/cli/show.go
+++ b/io/cli/show.go
@@ -96,7 +96,7 @@
 }
 
 func (p *program) records(ctx context.Context, o options, client *operatorhttp.Client) int {
-	records, err := request(ctx, o, func(ctx context.Context) (operatorhttp.Records, error) { return client.Records(ctx, o.records) })
+	records, err := request(ctx, o, func(ctx context.Context) (operatorhttp.Records, error) { return client.Records(ctx, o.recordFilter) })
 	if err != nil {
 		return p.failRequest(err)
 	}
--- a/io/control/control.go
+++ b/io/control/control.go
@@ -38,7 +38,7 @@
 	cleanups []func()
 }
 
-// Parts holds the parts of a control instance that an interface beside the operators' API needs.
+// Parts holds the parts of a control instance that an interface in addition to the operators' API needs.
 type Parts struct {
 	Replicator core.Replicator
 	Catalog    *catalog.Catalog
@@ -49,7 +49,7 @@
 
 // Options configure a control instance beyond its settings.
 type Options struct {
-	// Serve starts another interface and returns its clean-up function; nil for none.
+	// Serve starts an interface in addition to the operators' API and returns its clean-up function; nil for none.
 	Serve func(Parts) (func(), error)
 }
 
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -93,7 +93,7 @@
 }
 
 // membershipAges returns how long the node has been a node of the service, in total and in its current run. s.mu must be held.
-func (s *Server) membershipAges(now time.Time, service core.ServiceName) (member, run time.Duration) {
+func (s *Server) membershipAges(now time.Time, service core.ServiceName) (membershipAge, runAge time.Duration) {
 	m, known := s.memberships[service]
 	if !known || (!m.leftAt.IsZero() && now.Sub(m.leftAt) > idempotency.Window) {
 		return 0, 0
@@ -118,11 +118,11 @@
 			HandedOver: true,
 		}
 	}
-	member, run := s.membershipAges(now, message.Key.Service)
+	membershipAge, runAge := s.membershipAges(now, message.Key.Service)
 	reply := keyReply{
 		Token:        message.Token,
-		MembershipUS: member.Microseconds(),
-		RunUS:        run.Microseconds(),
+		MembershipUS: membershipAge.Microseconds(),
+		RunUS:        runAge.Microseconds(),
 	}
 	if message.Verdict != "" {
 		s.keys.Settle(now, message.Key, message.Owner, message.Verdict, message.Answer)
--- a/io/nodepeer/client.go
+++ b/io/nodepeer/client.go
@@ -41,7 +41,7 @@
 	revocations       map[uint64]chan bool
 	keyRequests       map[uint64]chan keyReply
 	lastSequence      uint64 // sequence of the latest attempt
-	lastToken         uint64 // token of the latest revocation, claim or settlement
+	lastToken         uint64 // token of the latest request, which is a revocation or a keyMessage
 	lost              bool
 	goawayReceived    bool
 	lastReceived      time.Time // latest of: message from the peer, first outstanding call, end of a pause of this process
@@ -169,8 +169,8 @@
 	})
 }
 
-// beginRequest registers an outstanding revocation or claim, which keeps the connection from being closed as idle, and returns
-// its token.
+// beginRequest registers an outstanding revocation or keyMessage, which keeps the connection from being closed as idle. It
+// returns its token and the channel for the reply.
 func beginRequest[T any](c *clientConn, requests *map[uint64]chan T) (uint64, chan T, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,14 +181,14 @@
 		*requests = make(map[uint64]chan T)
 	}
 	c.lastToken++
-	reply := make(chan T, 1)
-	(*requests)[c.lastToken] = reply
-	return c.lastToken, reply, nil
+	replies := make(chan T, 1)
+	(*requests)[c.lastToken] = replies
+	return c.lastToken, replies, nil
 }
 
 // revoke asks the peer to ensure that an attempt of an earlier connection never runs. It returns false if it may have run.
 func (c *clientConn) revoke(ctx context.Context, s *stream) (bool, error) {
-	token, verdict, err := beginRequest(c, &c.revocations)
+	token, replies, err := beginRequest(c, &c.revocations)
 	if err != nil {
 		return false, err
 	}
@@ -211,7 +211,7 @@
 		Connection: s.conn.id,
 		Sequence:   s.sequence,
 	})
-	return awaitReply(ctx, c, verdict)
+	return awaitReply(ctx, c, replies)
 }
 
 // awaitReply waits for the reply to a request. A reply that has arrived is returned even if the connection was lost since.
@@ -231,7 +231,7 @@
 	}
 }
 
-// askKey sends a claim or settlement to a holder and waits for its reply.
+// askKey sends a claim, a settlement or a part of a handover to a holder and waits for its reply.
 func (c *clientConn) askKey(ctx context.Context, message keyMessage) (keyReply, error) {
 	token, replies, err := beginRequest(c, &c.keyRequests)
 	if err != nil {
--- a/io/nodepeer/holders.go
+++ b/io/nodepeer/holders.go
@@ -63,18 +63,20 @@
 	}
 }
 
+// interpret returns what a holder's reply tells about its memory of claims: whether it has seen all recent ones, and whether it
+// has lost any by a restart.
 func (c *Claims) interpret(r holderReply, holder idempotency.Holder, service core.ServiceName) idempotency.Reply {
 	if !r.reached {
 		return idempotency.Reply{}
 	}
-	member, run := time.Duration(r.MembershipUS)*time.Microsecond, time.Duration(r.RunUS)*time.Microsecond
+	membershipAge, runAge := time.Duration(r.MembershipUS)*time.Microsecond, time.Duration(r.RunUS)*time.Microsecond
 	known := c.covers(service, r.receivedAt.Sub(holder.FirstSeen)) || c.isOriginal(service, holder.FirstSeen)
 	return idempotency.Reply{
 		Reached:          true,
-		CompleteMemory:   c.covers(service, member),
-		ContinuousMemory: c.covers(service, run),
+		CompleteMemory:   c.covers(service, membershipAge),
+		ContinuousMemory: c.covers(service, runAge),
 		RecentlyJoined:   holder.RecentlyJoined && !known,
-		Restarted:        known && holder.FirstSeen.Before(r.receivedAt.Add(-member)),
+		Restarted:        known && holder.FirstSeen.Before(r.receivedAt.Add(-membershipAge)),
 		Verdict:          r.Verdict,
 		Answer:           r.Answer,
 	}
@@ -89,10 +91,10 @@
 
 // covers reports whether a holder that has been a node of the service for that long has seen all claims of the last
 // idempotency.Window.
-func (c *Claims) covers(service core.ServiceName, member time.Duration) bool {
-	if member >= idempotency.Window+idempotency.JoinLag {
+func (c *Claims) covers(service core.ServiceName, membershipAge time.Duration) bool {
+	if membershipAge >= idempotency.Window+idempotency.JoinLag {
 		return true
 	}
 	since, known := c.serviceSince(service)
-	return known && member > 0 && !time.Now().Add(-member).After(since)
+	return known && membershipAge > 0 && !time.Now().Add(-membershipAge).After(since)
 }
--- a/io/operatorhttp/api.go
+++ b/io/operatorhttp/api.go
@@ -10,7 +10,7 @@
 // Limits of the API.
 const (
 	proposeTimeout    = 4 * time.Second         // shorter than the client's attemptTimeout, so that the client receives the reason
-	recordTimeout     = 1500 * time.Millisecond // of an audit entry about a membership change; that of the result may follow a whole proposeTimeout
+	recordTimeout     = 1500 * time.Millisecond // of an audit entry about a membership change; for the entry of the result, proposeTimeout plus this is below attemptTimeout
 	confirmTimeout    = 4 * time.Second
 	statusTimeout     = time.Second // short, because the status must also be answered without a leader, when no read is confirmed
 	headerTimeout     = 5 * time.Second
--- a/io/operatorhttp/rate.go
+++ b/io/operatorhttp/rate.go
@@ -16,7 +16,7 @@
 // Rate limits requests; PerSecond zero means no limit.
 type Rate struct {
 	PerSecond float64
-	Burst     int // cost of the requests that are admitted at once after a pause; at least MaxCost, or longer requests are never admitted
+	Burst     int // cost of the requests that are admitted at once after a pause; at least MaxCost, or requests of a higher cost are never admitted
 }
 
 // tokenBucket limits the rate of requests.
--- a/io/raftpeer/applier.go
+++ b/io/raftpeer/applier.go
@@ -44,18 +44,18 @@
 }
 
 // apply applies the result of a step. It returns the snapshot that it has stored, or nil.
-func (a *applier) apply(o stepResult) (*raft.Snapshot, error) {
-	for _, entry := range o.committed {
+func (a *applier) apply(result stepResult) (*raft.Snapshot, error) {
+	for _, entry := range result.committed {
 		if err := a.applyEntry(entry); err != nil {
 			return nil, errors.Annotatef(err, "apply entry %d", entry.Index)
 		}
 	}
-	a.waitingReads = append(a.waitingReads, o.reads...)
+	a.waitingReads = append(a.waitingReads, result.reads...)
 	if excess := len(a.waitingReads) - maxOutstandingRequests; excess > 0 {
 		a.waitingReads = a.waitingReads[excess:] // the oldest ones have timed out and been requested again
 	}
-	if o.install != nil {
-		return a.install(*o.install)
+	if result.install != nil {
+		return a.install(*result.install)
 	}
 	a.finishReads()
 	if a.applied < a.snapshotIndex+a.snapshotInterval {
--- a/io/raftpeer/packing_test.go
+++ b/io/raftpeer/compressor_test.go
@@ -11,11 +11,11 @@
 	"parsleyport/io/frame"
 )
 
-// Guards against messages between control instances that are not packed, and against packed messages to an instance of another
-// program version, whose pongs name no packing or a different one.
+// Guards against messages between control instances that are not compressed, and against compressed messages to an instance of
+// another program version, whose pongs name no compressor or a different one.
 func TestMessagesArePackedOnceThePeerReadsThem(t *testing.T) {
 	c := qt.New(t)
-	packing, err := newPacking()
+	packing, err := newCompressor()
 	c.Assert(err, qt.IsNil)
 	heartbeat := &raft.Message{
 		Kind:  raft.KindAppend,
@@ -36,7 +36,7 @@
 		near, far := net.Pipe()
 		sender, receiver := frame.NewBulk(near, packing), frame.NewBulk(far, packing)
 		failed := make(chan error, 1)
-		go func() { failed <- receiver.Send(time.Time{}, typePong, pingMessage{Packing: test.reads}) }()
+		go func() { failed <- receiver.Send(time.Time{}, typePong, pingMessage{CompressorID: test.reads}) }()
 		c.Assert(receivePong(sender), qt.IsNil)
 		c.Assert(<-failed, qt.IsNil)
 		go func() { failed <- sender.Send(time.Time{}, frame.Type(heartbeat.Kind), heartbeat) }()
@@ -54,10 +54,10 @@
 	}
 }
 
-// Guards against an instance that can read packed messages but does not say so, so that it only receives plain ones.
+// Guards against an instance that can read compressed messages but does not say so, so that it only receives uncompressed ones.
 func TestPongNamesThePacking(t *testing.T) {
 	c := qt.New(t)
-	packing, err := newPacking()
+	packing, err := newCompressor()
 	c.Assert(err, qt.IsNil)
 	near, far := net.Pipe()
 	sender, receiver := frame.NewBulk(near, packing), frame.NewBulk(far, packing)
@@ -65,12 +65,12 @@
 	go func() { failed <- sender.Send(time.Time{}, typePing, pingMessage{}) }()
 	ping, err := receiver.Receive(time.Now().Add(time.Second))
 	c.Assert(err, qt.IsNil)
-	go func() { failed <- (&Replica{packing: packing}).receive(receiver, ping) }()
+	go func() { failed <- (&Replica{compressor: packing}).receive(receiver, ping) }()
 	received, err := sender.Receive(time.Now().Add(time.Second))
 	c.Assert(err, qt.IsNil)
 	var pong pingMessage
 	c.Assert(received.Decode(&pong), qt.IsNil)
-	c.Assert(pong.Packing, qt.Equals, packing.ID())
+	c.Assert(pong.CompressorID, qt.Equals, packing.ID())
 	c.Assert(<-failed, qt.IsNil)
 	c.Assert(<-failed, qt.IsNil)
 }
--- a/io/raftpeer/engine.go
+++ b/io/raftpeer/engine.go
@@ -126,8 +126,8 @@
 	return result
 }
 
-func (o *stepResult) add(out raft.Output) {
-	o.join(stepResult{
+func (r *stepResult) add(out raft.Output) {
+	r.join(stepResult{
 		install:   out.Install,
 		committed: out.Committed,
 		reads:     out.Reads,
@@ -137,17 +137,17 @@
 
 // join appends later results. The node commits nothing between a snapshot to install and the report that it is stored, so
 // an installed snapshot is always the last thing to apply.
-func (o *stepResult) join(later stepResult) {
+func (r *stepResult) join(later stepResult) {
 	if later.install != nil {
-		o.install = later.install
+		r.install = later.install
 	}
-	o.committed = append(o.committed, later.committed...)
-	o.reads = append(o.reads, later.reads...)
-	o.refused = append(o.refused, later.refused...)
+	r.committed = append(r.committed, later.committed...)
+	r.reads = append(r.reads, later.reads...)
+	r.refused = append(r.refused, later.refused...)
 }
 
-func (o *stepResult) isEmpty() bool {
-	return o.install == nil && len(o.committed) == 0 && len(o.reads) == 0
+func (r *stepResult) isEmpty() bool {
+	return r.install == nil && len(r.committed) == 0 && len(r.reads) == 0
 }
 
 // compact removes the log segments and snapshots that a stored snapshot replaces.
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -133,7 +133,7 @@
 	for l.context.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(l.context, "tcp", l.address)
 		if err == nil {
-			r.useConnection(l, frame.NewBulk(conn, r.packing))
+			r.useConnection(l, frame.NewBulk(conn, r.compressor))
 			_ = conn.Close()
 		}
 		r.dropQueued(l)
@@ -182,7 +182,7 @@
 		out := outgoing{
 			kind: typePing,
 			message: pingMessage{
-				Packing: r.packing.ID(),
+				CompressorID: r.compressor.ID(),
 			},
 		}
 		select {
@@ -198,7 +198,7 @@
 	}
 }
 
-// receivePong reads a pong, which tells the packing that the other instance can read.
+// receivePong reads a pong, which tells the compressor whose messages the other instance can read.
 func receivePong(conn *frame.Conn) error {
 	received, err := conn.Receive(time.Now().Add(silenceTimeout))
 	if err != nil || received.Type != typePong {
@@ -208,7 +208,7 @@
 	if err := received.Decode(&pong); err != nil {
 		return err
 	}
-	conn.SetPeerCompressor(pong.Packing)
+	conn.SetPeerCompressor(pong.CompressorID)
 	return nil
 }
 
@@ -227,7 +227,7 @@
 		case slots <- struct{}{}:
 			r.goroutines.Go(func() {
 				defer func() { <-slots }()
-				r.receiveLoop(frame.NewBulk(conn, r.packing))
+				r.receiveLoop(frame.NewBulk(conn, r.compressor))
 			})
 		default:
 			_ = conn.Close()
@@ -255,7 +255,7 @@
 	switch received.Type {
 	case typePing:
 		return conn.Send(time.Now().Add(sendTimeout), typePong, pingMessage{
-			Packing: r.packing.ID(),
+			CompressorID: r.compressor.ID(),
 		})
 	case typeHello:
 		var hello raft.Hello
--- a/io/raftpeer/options.go
+++ b/io/raftpeer/options.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// self returns this instance's entry in the settings.
+// selfMember returns this instance's entry in the settings.
 func (o *Options) selfMember() Member {
 	member, _ := lo.Find(o.Members, func(m Member) bool { return m.ID == o.Self })
 	return member
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -32,7 +32,7 @@
 
 // Replica is a control instance's replica of the log. It implements core.Replicator.
 type Replica struct {
-	packing  *frame.Compressor
+	compressor  *frame.Compressor
 	options  Options
 	counters counters
 	engine   *engine
@@ -126,7 +126,7 @@
 
 func (r *Replica) open(folder disk.Folder, machine core.StateMachine) error {
 	var err error
-	if r.packing, err = newPacking(); err != nil {
+	if r.compressor, err = newCompressor(); err != nil {
 		return err
 	}
 	if r.engine, err = openEngine(time.Now(), folder, &r.options, r.random, newIdentity, r.sendRaft); err != nil {
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -19,7 +19,7 @@
 // requests holds this process's proposals, reads and membership changes that wait for an answer.
 type requests struct {
 	mu       sync.Mutex
-	run      uint64
+	run      uint64 // random number of this run of the process, so that answers to requests of other runs are ignored
 	sequence uint64
 	pending  map[raft.RequestID]chan answer
 }
@@ -145,10 +145,10 @@
 	return r.awaitAnswer(ctx, answered)
 }
 
-// wait returns early if the leader has changed and the new one has not committed the request for a while, so that the
+// awaitAnswer returns early if the leader has changed and the new one has not committed the request for a while, so that the
 // client can ask again before its deadline.
 func (r *Replica) awaitAnswer(ctx context.Context, answered <-chan answer) (answer, error) {
-	term, changed := r.Status().Term, 0
+	term, pollsSinceChange := r.Status().Term, 0
 	poll := time.NewTicker(leaderPollInterval)
 	defer poll.Stop()
 	for {
@@ -161,9 +161,9 @@
 			return answer{}, errors.Annotate(core.ErrOutcomeUnknown, "replica has stopped")
 		case <-poll.C:
 			if status := r.Status(); status.Term > term && status.Leader != "" {
-				changed++
+				pollsSinceChange++
 			}
-			if changed > 2 {
+			if pollsSinceChange > 2 {
 				return answer{}, errors.Annotate(core.ErrOutcomeUnknown, "the leader has changed")
 			}
 		}
