--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -39,7 +39,7 @@
 	}
 	submitters.Wait()
 	c.Assert(failed.Load(), qt.Equals, int64(0))
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		d.wipe(i)
 		d.startControl(i)
 		d.repair(i)
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -202,13 +202,13 @@
 		return err == nil && status.Current && status.Fleet.Nodes == nodes && status.Fleet.LowestInForce >= verdict.Revision
 	}
 	d.awaitCondition("all nodes are attached", 60*time.Second, attached)
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		d.kill(fmt.Sprintf("c%d", i))
 	}
 	d.startControls()
 	took := d.awaitCondition("all nodes are attached again", 60*time.Second, attached)
 	cpuTime, sent := time.Duration(0), 0.0
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		cpuTime += d.usage(fmt.Sprintf("c%d", i)).cpuTime
 		sent += d.distributionBytes(d.operatorAddress(i))
 	}
--- a/e2e/concurrent_faults_test.go
+++ b/e2e/concurrent_faults_test.go
@@ -59,7 +59,7 @@
 		name, restart := fmt.Sprintf("n%d", i), func() { d.startNode(i) }
 		switch random.IntN(3) {
 		case 0:
-			i = 1 + i%controls
+			i = 1 + i%controlCount
 			name, restart = fmt.Sprintf("c%d", i), func() { d.startControl(i) }
 		case 1:
 			name, restart = fmt.Sprintf("b%d", i), func() { d.startBackend(i, "v1") }
--- a/e2e/datacentre_test.go
+++ b/e2e/datacentre_test.go
@@ -23,7 +23,7 @@
 // nodes.
 func processesInDataCentre(control int) []string {
 	names := []string{fmt.Sprintf("c%d", control)}
-	for _, i := range []int{control, control + controls} {
+	for _, i := range []int{control, control + controlCount} {
 		names = append(names, fmt.Sprintf("n%d", i), fmt.Sprintf("b%d", i))
 	}
 	return names
@@ -40,7 +40,7 @@
 	lost := d.leader()
 	var others []int
 	for i := 1; i <= nodes; i++ {
-		if i != lost && i != lost+controls {
+		if i != lost && i != lost+controlCount {
 			others = append(others, i)
 		}
 	}
@@ -62,7 +62,7 @@
 	})
 
 	d.startControl(lost)
-	for _, i := range []int{lost, lost + controls} {
+	for _, i := range []int{lost, lost + controlCount} {
 		d.startNode(i)
 		d.startBackend(i, "v1")
 	}
--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -49,7 +49,8 @@
 	return m.Run()
 }
 
-const controls = 3
+// controlCount is the number of control instances of a deployment.
+const controlCount = 3
 
 // nextPort starts at a random port, so that concurrent test runs rarely try the same ports.
 var nextPort = func() *atomic.Uint32 {
@@ -130,7 +131,7 @@
 
 func (d *deployment) startControl(i int) {
 	var members []map[string]any
-	for m := 1; m <= controls; m++ {
+	for m := 1; m <= controlCount; m++ {
 		members = append(members, map[string]any{
 			"id":               fmt.Sprintf("c%d", m),
 			"data-centre":      dataCentre(m),
@@ -156,7 +157,7 @@
 }
 
 func (d *deployment) startControls() {
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		d.startControl(i)
 	}
 }
@@ -171,7 +172,7 @@
 
 func (d *deployment) startNode(i int) {
 	var controlAddresses []string
-	for m := 1; m <= controls; m++ {
+	for m := 1; m <= controlCount; m++ {
 		controlAddresses = append(controlAddresses, d.address(fmt.Sprintf("c%d-node", m)))
 	}
 	name := fmt.Sprintf("n%d", i)
--- a/e2e/failures_test.go
+++ b/e2e/failures_test.go
@@ -99,7 +99,7 @@
 	c := qt.New(t)
 	d := newDeployment(c)
 	d.startServing(3)
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		d.kill(fmt.Sprintf("c%d", i))
 	}
 	calls := d.startCaller("without-control", 6*time.Second, 200, []int{1, 2})
@@ -257,7 +257,7 @@
 	for version := core.RecordVersion(1); version <= 2000; version++ {
 		d.submit(client, serviceSubmission("busy", version))
 	}
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		d.kill(fmt.Sprintf("c%d", i))
 	}
 	snapshots, err := filepath.Glob(filepath.Join(d.dataFolder(1), "*snapshot*"))
--- a/e2e/members_test.go
+++ b/e2e/members_test.go
@@ -21,7 +21,7 @@
 // output and whether it succeeded.
 func (d *deployment) runMembersCommand(args ...string) (string, bool) {
 	args = append([]string{"members"}, args...)
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		args = append(args, "--server", d.operatorAddress(i))
 	}
 	command := exec.Command(programs.parsleyport, args...)
--- a/e2e/records_test.go
+++ b/e2e/records_test.go
@@ -50,7 +50,7 @@
 func (d *deployment) leader() int {
 	leader := 0
 	d.awaitCondition("a leader is known", 15*time.Second, func() bool {
-		for i := 1; i <= controls; i++ {
+		for i := 1; i <= controlCount; i++ {
 			if _, running := d.processes[fmt.Sprintf("c%d", i)]; !running {
 				continue
 			}
--- a/e2e/tokens_test.go
+++ b/e2e/tokens_test.go
@@ -20,7 +20,7 @@
 // runWithToken runs a command of the operators with the named token and returns its output and exit status.
 func (d *deployment) runWithToken(token string, args ...string) (string, int) {
 	args = append(args, "--token-file", d.writeFile(token+".token", secretPrefix+token+"\n"))
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlCount; i++ {
 		args = append(args, "--server", d.operatorAddress(i))
 	}
 	command := exec.Command(programs.parsleyport, args...)
--- a/io/cli/options.go
+++ b/io/cli/options.go
@@ -82,7 +82,7 @@
 	limit            int
 	before           uint64
 	nodes            bool
-	recordFilter          operatorhttp.RecordFilter
+	recordFilter     operatorhttp.RecordFilter
 	as               string
 	complete         bool
 }
--- a/io/raftpeer/compressor_test.go
+++ b/io/raftpeer/compressor_test.go
@@ -13,9 +13,9 @@
 
 // Guards against messages between control instances that are not compressed, and against compressed messages to an instance of
 // another program version, whose pongs name no compressor or a different one.
-func TestMessagesArePackedOnceThePeerReadsThem(t *testing.T) {
+func TestMessagesAreCompressedOnceThePeerReadsThem(t *testing.T) {
 	c := qt.New(t)
-	packing, err := newCompressor()
+	compressor, err := newCompressor()
 	c.Assert(err, qt.IsNil)
 	heartbeat := &raft.Message{
 		Kind:  raft.KindAppend,
@@ -24,17 +24,17 @@
 		Term:  3,
 		Index: 81,
 	}
-	plain := uint64(0)
+	plainBytes := uint64(0)
 	for _, test := range []struct {
-		reads  frame.CompressorID
-		packed bool
+		reads      frame.CompressorID
+		compressed bool
 	}{
 		{reads: 0},
-		{reads: packing.ID() + 2},
-		{reads: packing.ID(), packed: true},
+		{reads: compressor.ID() + 2},
+		{reads: compressor.ID(), compressed: true},
 	} {
 		near, far := net.Pipe()
-		sender, receiver := frame.NewBulk(near, packing), frame.NewBulk(far, packing)
+		sender, receiver := frame.NewBulk(near, compressor), frame.NewBulk(far, compressor)
 		failed := make(chan error, 1)
 		go func() { failed <- receiver.Send(time.Time{}, typePong, pingMessage{CompressorID: test.reads}) }()
 		c.Assert(receivePong(sender), qt.IsNil)
@@ -47,30 +47,30 @@
 		c.Assert(received.Decode(&message), qt.IsNil)
 		c.Assert(message, qt.DeepEquals, *heartbeat)
 		sent, _ := sender.Bytes()
-		if plain == 0 {
-			plain = sent
+		if plainBytes == 0 {
+			plainBytes = sent
 		}
-		c.Assert(sent < plain, qt.Equals, test.packed, qt.Commentf("%d bytes, %d plain", sent, plain))
+		c.Assert(sent < plainBytes, qt.Equals, test.compressed, qt.Commentf("%d bytes, %d plain", sent, plainBytes))
 	}
 }
 
 // Guards against an instance that can read compressed messages but does not say so, so that it only receives uncompressed ones.
-func TestPongNamesThePacking(t *testing.T) {
+func TestPongNamesTheCompressor(t *testing.T) {
 	c := qt.New(t)
-	packing, err := newCompressor()
+	compressor, err := newCompressor()
 	c.Assert(err, qt.IsNil)
 	near, far := net.Pipe()
-	sender, receiver := frame.NewBulk(near, packing), frame.NewBulk(far, packing)
+	sender, receiver := frame.NewBulk(near, compressor), frame.NewBulk(far, compressor)
 	failed := make(chan error, 2)
 	go func() { failed <- sender.Send(time.Time{}, typePing, pingMessage{}) }()
 	ping, err := receiver.Receive(time.Now().Add(time.Second))
 	c.Assert(err, qt.IsNil)
-	go func() { failed <- (&Replica{compressor: packing}).receive(receiver, ping) }()
+	go func() { failed <- (&Replica{compressor: compressor}).receive(receiver, ping) }()
 	received, err := sender.Receive(time.Now().Add(time.Second))
 	c.Assert(err, qt.IsNil)
 	var pong pingMessage
 	c.Assert(received.Decode(&pong), qt.IsNil)
-	c.Assert(pong.CompressorID, qt.Equals, packing.ID())
+	c.Assert(pong.CompressorID, qt.Equals, compressor.ID())
 	c.Assert(<-failed, qt.IsNil)
 	c.Assert(<-failed, qt.IsNil)
 }
--- a/io/raftpeer/replica.go
+++ b/io/raftpeer/replica.go
@@ -32,13 +32,13 @@
 
 // Replica is a control instance's replica of the log. It implements core.Replicator.
 type Replica struct {
-	compressor  *frame.Compressor
-	options  Options
-	counters counters
-	engine   *engine
-	applier  *applier
-	random   *rand.Rand // used by the loop only
-	requests *requests
+	compressor *frame.Compressor
+	options    Options
+	counters   counters
+	engine     *engine
+	applier    *applier
+	random     *rand.Rand // used by the loop only
+	requests   *requests
 
 	inputs          *ring.Ring[input]
 	applyQueue      *ring.Ring[stepResult]
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -187,13 +187,13 @@
 	defer cancel()
 	r.counters.reads.Inc()
 	for {
-		attempt, end := context.WithTimeout(ctx, readAttemptTimeout)
-		a, err := r.attempt(attempt, func(id raft.RequestID) raft.Event {
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, readAttemptTimeout)
+		a, err := r.attempt(attemptCtx, func(id raft.RequestID) raft.Event {
 			return raft.ReadRequested{
 				Request: id,
 			}
 		})
-		end()
+		cancelAttempt()
 		if err == nil && a.refusal == "" {
 			return nil
 		}
