--- a/io/raftpeer/handover_test.go
+++ b/io/raftpeer/handover_test.go
@@ -14,8 +14,8 @@
 // Guards against operators who wait for an election timeout when a leader is stopped deliberately, and against submissions
 // that are lost during a leadership transfer.
 func TestHandoverNeedsNoElectionTimeout(t *testing.T) {
-	w, leader := startedSimulation(t, 5)
-	w.write("x=1")
+	sim, leader := startedSimulation(t, 5)
+	sim.write("x=1")
 	term := leader.engine.node.Status().Term
 	committed := 0
 	for range 20 {
@@ -26,30 +26,30 @@
 		})
 	}
 	leader.handOver()
-	w.advanceUntil(100*time.Millisecond, "another instance leads", func() bool {
-		next := w.leader()
+	sim.advanceUntil(100*time.Millisecond, "another instance leads", func() bool {
+		next := sim.leader()
 		return next != nil && next != leader && !leader.isLeader() && next.engine.node.Status().Term == term+1
 	})
-	w.advanceUntil(100*time.Millisecond, "the proposals are answered", func() bool { return committed == 20 })
-	w.converge()
+	sim.advanceUntil(100*time.Millisecond, "the proposals are answered", func() bool { return committed == 20 })
+	sim.converge()
 }
 
 // Guards against a leader that refuses proposals forever when its successor cannot be elected.
 func TestFailedHandoverTimesOut(t *testing.T) {
-	w, leader := startedSimulation(t, 3)
-	w.write("x=1")
-	w.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindTimeoutNow }
+	sim, leader := startedSimulation(t, 3)
+	sim.write("x=1")
+	sim.loseMessage = func(m raft.Message) bool { return m.Kind == raft.KindTimeoutNow }
 	leader.handOver()
 	refusal := ""
-	w.advance(2 * tick)
+	sim.advance(2 * tick)
 	leader.propose("x=2", func(refused string) { refusal = refused })
-	w.advance(2 * tick)
+	sim.advance(2 * tick)
 	if refusal != "the leader hands over" {
 		t.Fatalf("a proposal during the handover was not refused: %q", refusal)
 	}
-	w.advance(raft.HandoverTimeout + raft.HeartbeatInterval)
+	sim.advance(raft.HandoverTimeout + raft.HeartbeatInterval)
 	if !leader.isLeader() {
-		t.Fatalf("the leader has stepped down: %s", w.describe())
+		t.Fatalf("the leader has stepped down: %s", sim.describe())
 	}
-	w.write("x=3")
+	sim.write("x=3")
 }
--- a/io/raftpeer/membership_test.go
+++ b/io/raftpeer/membership_test.go
@@ -32,55 +32,55 @@
 	idsAssigned    int       // number of instance ids used so far
 }
 
-func newMembershipController(w *simulation) *membershipController {
-	k := &membershipController{
-		simulation:  w,
+func newMembershipController(sim *simulation) *membershipController {
+	mc := &membershipController{
+		simulation:  sim,
 		heardAt:     make(map[[2]core.ControlID]time.Time),
-		idsAssigned: len(w.ids),
+		idsAssigned: len(sim.ids),
 	}
-	w.onDelivery = func(from, to core.ControlID) { k.heardAt[[2]core.ControlID{from, to}] = w.now }
-	return k
+	sim.onDelivery = func(from, to core.ControlID) { mc.heardAt[[2]core.ControlID{from, to}] = sim.now }
+	return mc
 }
 
-func (k *membershipController) run() {
-	w := k.simulation
-	leader := w.leader()
-	if leader == nil || w.now.Before(leader.frozenUntil) {
-		k.leader = ""
+func (mc *membershipController) run() {
+	sim := mc.simulation
+	leader := sim.leader()
+	if leader == nil || sim.now.Before(leader.frozenUntil) {
+		mc.leader = ""
 		return
 	}
-	if k.leader != leader.options.Self {
-		k.leader, k.leaderSince = leader.options.Self, w.now
+	if mc.leader != leader.options.Self {
+		mc.leader, mc.leaderSince = leader.options.Self, sim.now
 	}
-	if w.now.Sub(k.leaderSince) < leaderSettleTime || k.changing && w.now.Before(k.changeDeadline) {
+	if sim.now.Sub(mc.leaderSince) < leaderSettleTime || mc.changing && sim.now.Before(mc.changeDeadline) {
 		return
 	}
-	change, due := membership.NextChange(w.now, wantedVoters, k.views(leader), k.nonMembers(leader))
+	change, due := membership.NextChange(sim.now, wantedVoters, mc.views(leader), mc.nonMembers(leader))
 	if !due {
 		return
 	}
-	k.changing, k.changeDeadline = true, w.now.Add(time.Second)
+	mc.changing, mc.changeDeadline = true, sim.now.Add(time.Second)
 	leader.request(func(request raft.RequestID) raft.Event {
 		return raft.Proposed{
 			Request: request,
 			Change:  &change,
 		}
-	}, func(string) { k.changing = false })
+	}, func(string) { mc.changing = false })
 }
 
-func (k *membershipController) views(leader *instance) []membership.MemberStatus {
+func (mc *membershipController) views(leader *instance) []membership.MemberStatus {
 	return lo.Map(leader.engine.node.Members(), func(m raft.Member, _ int) membership.MemberStatus {
 		view := membership.MemberStatus{
 			Member:    m,
-			LastHeard: k.heardAt[[2]core.ControlID{m.Peer.ID, leader.options.Self}],
+			LastHeard: mc.heardAt[[2]core.ControlID{m.Peer.ID, leader.options.Self}],
 		}
-		if view.LastHeard.Before(k.leaderSince) {
-			view.LastHeard = k.leaderSince
+		if view.LastHeard.Before(mc.leaderSince) {
+			view.LastHeard = mc.leaderSince
 		}
 		if m.Peer == leader.engine.identity.Self {
-			view.LastHeard = k.simulation.now
+			view.LastHeard = mc.simulation.now
 		}
-		if i := k.simulation.instances[m.Peer.ID]; i.up && i.engine.identity.Self == m.Peer {
+		if i := mc.simulation.instances[m.Peer.ID]; i.up && i.engine.identity.Self == m.Peer {
 			view.CaughtUp = i.applier.applied+maxCaughtUpLag >= leader.applier.applied
 		}
 		return view
@@ -88,11 +88,11 @@
 }
 
 // nonMembers returns the running instances outside the membership whose messages reach the leader.
-func (k *membershipController) nonMembers(leader *instance) []membership.Newcomer {
+func (mc *membershipController) nonMembers(leader *instance) []membership.Newcomer {
 	members := leader.engine.node.Members()
-	return lo.FilterMap(k.simulation.ids, func(id core.ControlID, _ int) (membership.Newcomer, bool) {
-		i := k.simulation.instances[id]
-		if !i.up || k.simulation.blocked[[2]core.ControlID{id, leader.options.Self}] {
+	return lo.FilterMap(mc.simulation.ids, func(id core.ControlID, _ int) (membership.Newcomer, bool) {
+		i := mc.simulation.instances[id]
+		if !i.up || mc.simulation.blocked[[2]core.ControlID{id, leader.options.Self}] {
 			return membership.Newcomer{}, false
 		}
 		self := i.engine.identity.Self
@@ -104,39 +104,39 @@
 }
 
 // isComplete reports whether the members are exactly the instances of the simulation, all running voters that have caught up.
-func (k *membershipController) isComplete() bool {
-	leader := k.simulation.leader()
+func (mc *membershipController) isComplete() bool {
+	leader := mc.simulation.leader()
 	if leader == nil {
 		return false
 	}
 	members := leader.engine.node.Members()
-	return len(members) == len(k.simulation.ids) && lo.EveryBy(members, func(m raft.Member) bool {
-		i := k.simulation.instances[m.Peer.ID]
-		return m.Voter && slices.Contains(k.simulation.ids, m.Peer.ID) && i.up && i.engine.identity.Self == m.Peer &&
+	return len(members) == len(mc.simulation.ids) && lo.EveryBy(members, func(m raft.Member) bool {
+		i := mc.simulation.instances[m.Peer.ID]
+		return m.Voter && slices.Contains(mc.simulation.ids, m.Peer.ID) && i.up && i.engine.identity.Self == m.Peer &&
 			i.applier.applied+maxCaughtUpLag >= leader.applier.applied
 	})
 }
 
 // inject loses up to two disks at once, but only while the membership is complete. An instance may be lost with its disk.
-func (k *membershipController) inject() string {
-	w := k.simulation
-	if w.random.IntN(4) > 0 || !k.isComplete() {
-		return injectFault(w, &operator{simulation: w, repairing: "none"})
+func (mc *membershipController) inject() string {
+	sim := mc.simulation
+	if sim.random.IntN(4) > 0 || !mc.isComplete() {
+		return injectFault(sim, &operator{simulation: sim, repairing: "none"})
 	}
 	var lost []core.ControlID
-	for _, at := range w.random.Perm(len(w.ids))[:1+w.random.IntN(2)] {
-		lost = append(lost, w.ids[at])
+	for _, at := range sim.random.Perm(len(sim.ids))[:1+sim.random.IntN(2)] {
+		lost = append(lost, sim.ids[at])
 	}
 	for _, id := range lost {
-		w.instances[id].wipe()
-		if w.random.IntN(2) == 0 {
+		sim.instances[id].wipe()
+		if sim.random.IntN(2) == 0 {
 			continue // restarts under the same name with a new identity
 		}
-		k.idsAssigned++
-		w.ids = lo.Without(w.ids, id)
-		replacement := core.ControlID(fmt.Sprintf("c%d", k.idsAssigned))
-		w.ids = append(w.ids, replacement)
-		w.add(replacement, false)
+		mc.idsAssigned++
+		sim.ids = lo.Without(sim.ids, id)
+		replacement := core.ControlID(fmt.Sprintf("c%d", mc.idsAssigned))
+		sim.ids = append(sim.ids, replacement)
+		sim.add(replacement, false)
 	}
 	return fmt.Sprintf("lost disks of %v", lost)
 }
@@ -147,12 +147,12 @@
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, seed, wantedVoters)
-			k := newMembershipController(w)
-			runSchedule(t, w, schedule{
-				inject:   k.inject,
-				repair:   k.run,
-				repaired: k.isComplete,
+			sim := newSimulation(t, seed, wantedVoters)
+			mc := newMembershipController(sim)
+			runSchedule(t, sim, schedule{
+				inject:   mc.inject,
+				repair:   mc.run,
+				repaired: mc.isComplete,
 			})
 		})
 	}
--- a/io/raftpeer/schedule_test.go
+++ b/io/raftpeer/schedule_test.go
@@ -75,30 +75,30 @@
 
 // begin starts an operation at a random instance.
 func (h *history) begin(c *client) {
-	w := h.simulation
-	at := w.instances[w.ids[w.random.IntN(len(w.ids))]]
-	c.nextOperation = w.now.Add(time.Duration(w.random.IntN(150)) * time.Millisecond)
+	sim := h.simulation
+	at := sim.instances[sim.ids[sim.random.IntN(len(sim.ids))]]
+	c.nextOperation = sim.now.Add(time.Duration(sim.random.IntN(150)) * time.Millisecond)
 	if !at.up {
 		return
 	}
 	o := operation{
-		register: fmt.Sprintf("r%d", w.random.IntN(6)),
-		write:    w.random.IntN(2) == 0,
+		register: fmt.Sprintf("r%d", sim.random.IntN(6)),
+		write:    sim.random.IntN(2) == 0,
 	}
-	begun := w.now
+	startedAt := sim.now
 	record := func(value string, returned int64) {
 		h.operations = append(h.operations, porcupine.Operation{
 			ClientId: c.id,
 			Input:    o,
-			Call:     begun.UnixNano(),
+			Call:     startedAt.UnixNano(),
 			Output:   value,
 			Return:   returned,
 		})
 	}
-	c.busy, c.timeout = true, w.now.Add(2*time.Second)
+	c.busy, c.timeout = true, sim.now.Add(2*time.Second)
 	var request raft.RequestID
 	c.giveUp = func() {
-		delete(w.onDone, request)
+		delete(sim.onDone, request)
 		c.busy = false
 		if o.write {
 			record("", math.MaxInt64)
@@ -107,7 +107,7 @@
 	done := func(refused string) {
 		c.busy = false
 		if refused == "" {
-			record(at.machine[o.register], w.now.UnixNano()+int64(tick/2))
+			record(at.machine[o.register], sim.now.UnixNano()+int64(tick/2))
 		}
 	}
 	if o.write {
@@ -164,29 +164,29 @@
 }
 
 // injectFault injects one random fault and returns its description. At most one disk is lost at a time.
-func injectFault(w *simulation, o *operator) string {
-	id := w.ids[w.random.IntN(len(w.ids))]
-	other := w.ids[w.random.IntN(len(w.ids))]
-	i := w.instances[id]
-	switch w.random.IntN(13) {
+func injectFault(sim *simulation, o *operator) string {
+	id := sim.ids[sim.random.IntN(len(sim.ids))]
+	other := sim.ids[sim.random.IntN(len(sim.ids))]
+	i := sim.instances[id]
+	switch sim.random.IntN(13) {
 	case 0:
-		w.isolate(id, true, false)
+		sim.isolate(id, true, false)
 		return "outgoing cut of " + string(id)
 	case 1:
-		w.isolate(id, false, true)
+		sim.isolate(id, false, true)
 		return "incoming cut of " + string(id)
 	case 2:
-		w.isolate(id, true, true)
+		sim.isolate(id, true, true)
 		return "cut of " + string(id)
 	case 3:
-		w.blocked[[2]core.ControlID{id, other}] = true
+		sim.blocked[[2]core.ControlID{id, other}] = true
 		return fmt.Sprintf("cut from %s to %s", id, other)
 	case 4:
-		clear(w.blocked)
+		clear(sim.blocked)
 		return "network healed"
 	case 5:
-		w.drop, w.delayed = 0.3*w.random.Float64(), w.random.IntN(2) == 0
-		return fmt.Sprintf("drop %.2f slow %v", w.drop, w.delayed)
+		sim.drop, sim.delayed = 0.3*sim.random.Float64(), sim.random.IntN(2) == 0
+		return fmt.Sprintf("drop %.2f slow %v", sim.drop, sim.delayed)
 	case 6:
 		if i.up {
 			i.crash()
@@ -196,7 +196,7 @@
 		i.folder.FailSyncs(i.up)
 		return "crash in the next sync of " + string(id)
 	case 8:
-		i.frozenUntil = w.now.Add(time.Duration(w.random.IntN(3000)) * time.Millisecond)
+		i.frozenUntil = sim.now.Add(time.Duration(sim.random.IntN(3000)) * time.Millisecond)
 		return "freeze of " + string(id)
 	case 9:
 		if o.repairing == "" {
@@ -205,7 +205,7 @@
 			return "wiped disk of " + string(id)
 		}
 	case 10:
-		if leader := w.leader(); leader != nil {
+		if leader := sim.leader(); leader != nil {
 			leader.localEvents = append(leader.localEvents, raft.HandOverRequested{})
 		}
 		return "handover"
@@ -215,9 +215,9 @@
 			return "removal of " + string(id)
 		}
 	}
-	for _, id := range w.ids {
-		if !w.instances[id].up {
-			w.instances[id].start()
+	for _, id := range sim.ids {
+		if !sim.instances[id].up {
+			sim.instances[id].start()
 		}
 	}
 	return "all started"
@@ -230,38 +230,38 @@
 	repaired func() bool
 }
 
-func runSchedule(t *testing.T, w *simulation, s schedule) {
+func runSchedule(t *testing.T, sim *simulation, s schedule) {
 	h := &history{
-		simulation: w,
+		simulation: sim,
 	}
 	for id := range 5 {
 		h.clients = append(h.clients, &client{
 			id: id,
 		})
 	}
-	w.write("first=1")
+	sim.write("first=1")
 	var faults []string
 	defer func() {
 		if t.Failed() {
 			t.Logf("faults: %s", strings.Join(faults, ", "))
 		}
 	}()
-	for end := w.now.Add(20 * time.Second); w.now.Before(end); {
+	for end := sim.now.Add(20 * time.Second); sim.now.Before(end); {
 		faults = append(faults, s.inject())
-		for pause := w.now.Add(time.Duration(100+w.random.IntN(1200)) * time.Millisecond); w.now.Before(pause); {
+		for pause := sim.now.Add(time.Duration(100+sim.random.IntN(1200)) * time.Millisecond); sim.now.Before(pause); {
 			h.run()
 			s.repair()
-			w.advance(tick)
+			sim.advance(tick)
 		}
 	}
-	w.heal()
-	healed := w.now.Add(3 * time.Second)
-	w.advanceUntil(30*time.Second, "repair", func() bool {
+	sim.heal()
+	healed := sim.now.Add(3 * time.Second)
+	sim.advanceUntil(30*time.Second, "repair", func() bool {
 		h.run()
 		s.repair()
-		return s.repaired() && w.now.After(healed)
+		return s.repaired() && sim.now.After(healed)
 	})
-	w.converge()
+	sim.converge()
 	for _, c := range h.clients {
 		if c.busy {
 			c.giveUp()
@@ -279,10 +279,10 @@
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, seed, 3+2*int(seed%2))
-			o := &operator{simulation: w}
-			runSchedule(t, w, schedule{
-				inject:   func() string { return injectFault(w, o) },
+			sim := newSimulation(t, seed, 3+2*int(seed%2))
+			o := &operator{simulation: sim}
+			runSchedule(t, sim, schedule{
+				inject:   func() string { return injectFault(sim, o) },
 				repair:   o.run,
 				repaired: func() bool { return o.repairing == "" },
 			})
--- a/io/raftpeer/simulation_test.go
+++ b/io/raftpeer/simulation_test.go
@@ -77,7 +77,7 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, size int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		now:       time.Unix(1_700_000_000, 0),
@@ -88,50 +88,50 @@
 		onDone:    make(map[raft.RequestID]func(string)),
 	}
 	for n := range size {
-		w.ids = append(w.ids, core.ControlID(fmt.Sprintf("c%d", n+1)))
+		sim.ids = append(sim.ids, core.ControlID(fmt.Sprintf("c%d", n+1)))
 	}
-	for _, id := range w.ids {
-		w.add(id, true)
+	for _, id := range sim.ids {
+		sim.add(id, true)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) add(id core.ControlID, bootstrap bool) {
+func (sim *simulation) add(id core.ControlID, bootstrap bool) {
 	i := &instance{
-		simulation: w,
+		simulation: sim,
 		options: Options{
 			Self:            id,
-			Members:         lo.Map(w.ids, func(id core.ControlID, _ int) Member { return Member{ID: id} }),
+			Members:         lo.Map(sim.ids, func(id core.ControlID, _ int) Member { return Member{ID: id} }),
 			Bootstrap:       bootstrap,
 			trailingEntries: 10,
 		},
 		folder:           disktest.NewMemory(),
 		snapshotInterval: 25,
 	}
-	w.instances[id] = i
+	sim.instances[id] = i
 	i.start()
 }
 
 func (i *instance) start() {
-	w := i.simulation
+	sim := i.simulation
 	var err error
 	i.machine, i.inbox, i.localEvents = registers{}, nil, nil
 	send := func(m raft.Message) {
-		if w.loseMessage != nil && w.loseMessage(m) {
+		if sim.loseMessage != nil && sim.loseMessage(m) {
 			return
 		}
-		w.transmit(packet{
+		sim.transmit(packet{
 			from:    i.options.Self,
 			to:      m.To.ID,
 			message: m,
 		})
 	}
-	newIdentity := func() raft.Identity { return raft.Identity(fmt.Sprint(w.random.Uint64())) }
-	if i.engine, err = openEngine(w.now, i.folder, &i.options, w.random, newIdentity, send); err != nil {
-		w.t.Fatalf("start %s: %v", i.options.Self, err)
+	newIdentity := func() raft.Identity { return raft.Identity(fmt.Sprint(sim.random.Uint64())) }
+	if i.engine, err = openEngine(sim.now, i.folder, &i.options, sim.random, newIdentity, send); err != nil {
+		sim.t.Fatalf("start %s: %v", i.options.Self, err)
 	}
-	if i.applier, err = newApplier(i.engine.store, i.machine, i.engine.restored.Snapshot, w.finish); err != nil {
-		w.t.Fatalf("start %s: %v", i.options.Self, err)
+	if i.applier, err = newApplier(i.engine.store, i.machine, i.engine.restored.Snapshot, sim.finish); err != nil {
+		sim.t.Fatalf("start %s: %v", i.options.Self, err)
 	}
 	i.applier.snapshotInterval = i.snapshotInterval
 	i.up = true
@@ -148,74 +148,74 @@
 	i.folder.Wipe()
 }
 
-func (w *simulation) finish(request raft.RequestID, _ []byte) { w.answer(request, "") }
+func (sim *simulation) finish(request raft.RequestID, _ []byte) { sim.answer(request, "") }
 
-func (w *simulation) answer(request raft.RequestID, refused string) {
-	if done, exists := w.onDone[request]; exists {
-		delete(w.onDone, request)
+func (sim *simulation) answer(request raft.RequestID, refused string) {
+	if done, exists := sim.onDone[request]; exists {
+		delete(sim.onDone, request)
 		done(refused)
 	}
 }
 
-func (w *simulation) transmit(p packet) {
-	if w.blocked[[2]core.ControlID{p.from, p.to}] || w.random.Float64() < w.drop {
+func (sim *simulation) transmit(p packet) {
+	if sim.blocked[[2]core.ControlID{p.from, p.to}] || sim.random.Float64() < sim.drop {
 		return
 	}
-	p.deliverAt = w.now.Add(time.Duration(1+w.random.IntN(3)) * time.Millisecond)
-	if w.delayed && w.random.IntN(20) == 0 {
-		p.deliverAt = p.deliverAt.Add(time.Duration(w.random.IntN(1500)) * time.Millisecond)
+	p.deliverAt = sim.now.Add(time.Duration(1+sim.random.IntN(3)) * time.Millisecond)
+	if sim.delayed && sim.random.IntN(20) == 0 {
+		p.deliverAt = p.deliverAt.Add(time.Duration(sim.random.IntN(1500)) * time.Millisecond)
 	}
-	w.packets = append(w.packets, p)
-	if w.delayed && w.random.IntN(20) == 0 && p.message.Kind != raft.KindPropose {
-		p.deliverAt = p.deliverAt.Add(time.Duration(w.random.IntN(300)) * time.Millisecond)
-		w.packets = append(w.packets, p)
+	sim.packets = append(sim.packets, p)
+	if sim.delayed && sim.random.IntN(20) == 0 && p.message.Kind != raft.KindPropose {
+		p.deliverAt = p.deliverAt.Add(time.Duration(sim.random.IntN(300)) * time.Millisecond)
+		sim.packets = append(sim.packets, p)
 	}
 }
 
 // advance runs the simulation for a duration of simulated time.
-func (w *simulation) advance(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(tick)
-		w.deliver()
-		for _, id := range w.ids {
-			if i := w.instances[id]; i.up && !w.now.Before(i.frozenUntil) {
+func (sim *simulation) advance(d time.Duration) {
+	for end := sim.now.Add(d); sim.now.Before(end); {
+		sim.now = sim.now.Add(tick)
+		sim.deliver()
+		for _, id := range sim.ids {
+			if i := sim.instances[id]; i.up && !sim.now.Before(i.frozenUntil) {
 				i.run()
 			}
 		}
-		w.checkLeaders()
+		sim.checkLeaders()
 	}
 }
 
 // advanceUntil runs the simulation until the condition holds, and fails the test if that takes longer than the limit.
-func (w *simulation) advanceUntil(limit time.Duration, what string, holds func() bool) {
-	w.t.Helper()
-	for end := w.now.Add(limit); !holds(); w.advance(tick) {
-		if w.now.After(end) {
-			w.t.Fatalf("%s: not within %v; %s", what, limit, w.describe())
+func (sim *simulation) advanceUntil(limit time.Duration, what string, holds func() bool) {
+	sim.t.Helper()
+	for end := sim.now.Add(limit); !holds(); sim.advance(tick) {
+		if sim.now.After(end) {
+			sim.t.Fatalf("%s: not within %v; %s", what, limit, sim.describe())
 		}
 	}
 }
 
-func (w *simulation) describe() string {
-	return strings.Join(lo.Map(w.ids, func(id core.ControlID, _ int) string {
-		i := w.instances[id]
+func (sim *simulation) describe() string {
+	return strings.Join(lo.Map(sim.ids, func(id core.ControlID, _ int) string {
+		i := sim.instances[id]
 		return fmt.Sprintf("%s up=%v %+v", id, i.up, i.engine.node.Status())
 	}), "; ")
 }
 
-func (w *simulation) deliver() {
-	late := w.packets[:0:0]
-	for _, p := range w.packets {
-		if p.deliverAt.After(w.now) {
+func (sim *simulation) deliver() {
+	late := sim.packets[:0:0]
+	for _, p := range sim.packets {
+		if p.deliverAt.After(sim.now) {
 			late = append(late, p)
-		} else if to := w.instances[p.to]; to.up && len(to.inbox) < 2000 {
+		} else if to := sim.instances[p.to]; to.up && len(to.inbox) < 2000 {
 			to.inbox = append(to.inbox, p)
-			if w.onDelivery != nil {
-				w.onDelivery(p.from, p.to)
+			if sim.onDelivery != nil {
+				sim.onDelivery(p.from, p.to)
 			}
 		}
 	}
-	w.packets = late
+	sim.packets = late
 }
 
 // run passes the received packets and local events to an instance as one batch.
@@ -283,34 +283,34 @@
 }
 
 // checkCommitted fails the test if a committed entry differs between instances or changes.
-func (w *simulation) checkCommitted(id core.ControlID, entries []raft.Entry) {
+func (sim *simulation) checkCommitted(id core.ControlID, entries []raft.Entry) {
 	for _, entry := range entries {
-		known, exists := w.applied[entry.Index]
+		known, exists := sim.applied[entry.Index]
 		if exists && (known.Term != entry.Term || string(known.Command) != string(entry.Command)) {
-			w.t.Fatalf("%s: committed entry %d changed from %+v to %+v", id, entry.Index, known, entry)
+			sim.t.Fatalf("%s: committed entry %d changed from %+v to %+v", id, entry.Index, known, entry)
 		}
-		w.applied[entry.Index] = entry
+		sim.applied[entry.Index] = entry
 	}
 }
 
 // checkLeaders fails the test if there are two leaders in one term.
-func (w *simulation) checkLeaders() {
-	for _, id := range w.ids {
-		i := w.instances[id]
+func (sim *simulation) checkLeaders() {
+	for _, id := range sim.ids {
+		i := sim.instances[id]
 		status := i.engine.node.Status()
 		if !i.up || status.Role != string(raft.Leader) {
 			continue
 		}
-		if other, exists := w.leaders[status.Term]; exists && other != id {
-			w.t.Fatalf("%s and %s both led in term %d", other, id, status.Term)
+		if other, exists := sim.leaders[status.Term]; exists && other != id {
+			sim.t.Fatalf("%s and %s both led in term %d", other, id, status.Term)
 		}
-		w.leaders[status.Term] = id
+		sim.leaders[status.Term] = id
 	}
 }
 
-func (w *simulation) leader() *instance {
-	for _, id := range w.ids {
-		if i := w.instances[id]; i.isLeader() {
+func (sim *simulation) leader() *instance {
+	for _, id := range sim.ids {
+		if i := sim.instances[id]; i.isLeader() {
 			return i
 		}
 	}
@@ -351,11 +351,11 @@
 }
 
 // write proposes a command at the leader until it is committed.
-func (w *simulation) write(command string) {
-	w.t.Helper()
+func (sim *simulation) write(command string) {
+	sim.t.Helper()
 	committed, pending := false, false
-	w.advanceUntil(10*time.Second, "write "+command, func() bool {
-		if leader := w.leader(); leader != nil && !pending {
+	sim.advanceUntil(10*time.Second, "write "+command, func() bool {
+		if leader := sim.leader(); leader != nil && !pending {
 			pending = true
 			leader.propose(command, func(refused string) { committed, pending = refused == "", false })
 		}
@@ -364,44 +364,44 @@
 }
 
 // change requests a membership change at the leader until it is committed.
-func (w *simulation) change(kind raft.ChangeKind, id core.ControlID) {
-	w.t.Helper()
+func (sim *simulation) change(kind raft.ChangeKind, id core.ControlID) {
+	sim.t.Helper()
 	committed := false
 	var next time.Time
-	w.advanceUntil(10*time.Second, string(kind)+" "+string(id), func() bool {
-		if leader := w.leader(); leader != nil && !w.now.Before(next) {
-			next = w.now.Add(time.Second)
-			w.changeOnce(leader, kind, id, func(refused string) { committed = committed || refused == "" })
+	sim.advanceUntil(10*time.Second, string(kind)+" "+string(id), func() bool {
+		if leader := sim.leader(); leader != nil && !sim.now.Before(next) {
+			next = sim.now.Add(time.Second)
+			sim.changeOnce(leader, kind, id, func(refused string) { committed = committed || refused == "" })
 		}
 		return committed
 	})
 }
 
-func (w *simulation) changeOnce(leader *instance, kind raft.ChangeKind, id core.ControlID, done func(string)) {
+func (sim *simulation) changeOnce(leader *instance, kind raft.ChangeKind, id core.ControlID, done func(string)) {
 	leader.request(func(request raft.RequestID) raft.Event {
 		return raft.Proposed{
 			Request: request,
 			Change: &raft.Change{
 				Kind: kind,
-				Peer: w.instances[id].engine.identity.Self,
+				Peer: sim.instances[id].engine.identity.Self,
 			},
 		}
 	}, done)
 }
 
 // isolate blocks an instance's messages in the given directions.
-func (w *simulation) isolate(id core.ControlID, outgoing, incoming bool) {
-	for _, other := range w.ids {
-		w.blocked[[2]core.ControlID{id, other}] = outgoing
-		w.blocked[[2]core.ControlID{other, id}] = incoming
+func (sim *simulation) isolate(id core.ControlID, outgoing, incoming bool) {
+	for _, other := range sim.ids {
+		sim.blocked[[2]core.ControlID{id, other}] = outgoing
+		sim.blocked[[2]core.ControlID{other, id}] = incoming
 	}
 }
 
-func (w *simulation) heal() {
-	clear(w.blocked)
-	w.drop, w.delayed = 0, false
-	for _, id := range w.ids {
-		i := w.instances[id]
+func (sim *simulation) heal() {
+	clear(sim.blocked)
+	sim.drop, sim.delayed = 0, false
+	for _, id := range sim.ids {
+		i := sim.instances[id]
 		i.frozenUntil = time.Time{}
 		i.folder.FailSyncs(false)
 		if !i.up {
@@ -411,23 +411,23 @@
 }
 
 // others returns all ids except the given ones.
-func (w *simulation) others(ids ...core.ControlID) []core.ControlID {
-	return lo.Reject(w.ids, func(id core.ControlID, _ int) bool { return slices.Contains(ids, id) })
+func (sim *simulation) others(ids ...core.ControlID) []core.ControlID {
+	return lo.Reject(sim.ids, func(id core.ControlID, _ int) bool { return slices.Contains(ids, id) })
 }
 
 // converge waits until all instances have applied the same entries, and checks that their states are equal.
-func (w *simulation) converge() {
-	w.t.Helper()
-	w.write("last=1")
-	w.advanceUntil(20*time.Second, "converge", func() bool {
-		first := w.instances[w.ids[0]]
-		return lo.EveryBy(w.ids, func(id core.ControlID) bool {
-			return w.instances[id].up && w.instances[id].applier.applied == first.applier.applied
+func (sim *simulation) converge() {
+	sim.t.Helper()
+	sim.write("last=1")
+	sim.advanceUntil(20*time.Second, "converge", func() bool {
+		first := sim.instances[sim.ids[0]]
+		return lo.EveryBy(sim.ids, func(id core.ControlID) bool {
+			return sim.instances[id].up && sim.instances[id].applier.applied == first.applier.applied
 		})
 	})
-	for _, id := range w.ids {
-		if a, b := fmt.Sprint(w.instances[id].machine), fmt.Sprint(w.instances[w.ids[0]].machine); a != b {
-			w.t.Fatalf("%s has %s, %s has %s", id, a, w.ids[0], b)
+	for _, id := range sim.ids {
+		if a, b := fmt.Sprint(sim.instances[id].machine), fmt.Sprint(sim.instances[sim.ids[0]].machine); a != b {
+			sim.t.Fatalf("%s has %s, %s has %s", id, a, sim.ids[0], b)
 		}
 	}
 }
