--- a/io/cli/check.go
+++ b/io/cli/check.go
@@ -32,7 +32,7 @@
 	var all []core.Record
 	status := StatusOK
 	results := lo.Map(o.files, func(file string, _ int) checkResult {
-		kind, records, err := checkFile(file, o.as)
+		kind, records, err := checkFile(file, o.fileKind)
 		all = append(all, records...)
 		return newCheckResult(file, kind, err)
 	})
--- a/io/cli/members.go
+++ b/io/cli/members.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return p.failRequest(err)
 	}
-	peer, err := findPeer(members, kind, o.member)
+	peer, err := findPeer(members, kind, o.memberID)
 	if err != nil {
 		return p.fail(StatusRefused, err)
 	}
--- a/io/cli/operator.go
+++ b/io/cli/operator.go
@@ -66,7 +66,7 @@
 		From:         o.from,
 		To:           o.to,
 		Deadline:     o.deadline.UTC(),
-		MaxRiskShare: o.maxRisk,
+		MaxRiskShare: o.maxRiskShare,
 	}
 	if move.ID == "" {
 		id, err := deriveID(move)
--- a/io/cli/options.go
+++ b/io/cli/options.go
@@ -74,26 +74,26 @@
 	to               core.UpstreamName
 	deadline         time.Time
 	relativeDeadline bool // --by is a duration from now, so that a second run has another deadline
-	maxRisk          core.PerMille
+	maxRiskShare     core.PerMille
 	moveID           core.MoveID
-	member           core.ControlID
+	memberID         core.ControlID
 	wait             bool
 	since            time.Time
-	limit            int
-	before           uint64
-	nodes            bool
+	auditLimit       int
+	beforeEntry      uint64
+	listNodes        bool
 	recordFilter     operatorhttp.RecordFilter
-	as               string
+	fileKind         string
 	complete         bool
 }
 
 // rawOptions also holds the values that need more checks than kingpin's.
 type rawOptions struct {
 	options
-	output  string
-	by      string
-	since   string
-	maxRisk uint32
+	output          string
+	byText          string
+	sinceText       string
+	maxRiskPerMille uint32
 }
 
 // errHelpPrinted means that kingpin has printed help or a completion script.
@@ -157,8 +157,8 @@
 	move.Flag("service", "Service whose traffic moves.").Required().StringVar((*string)(&r.service))
 	move.Flag("from", "Upstream that has the traffic.").Required().StringVar((*string)(&r.from))
 	move.Flag("to", "Upstream that gets the traffic.").Required().StringVar((*string)(&r.to))
-	move.Flag("by", "Time by which all traffic must have moved: 2026-12-04T10:00:00Z, or 10m for a duration from now.").Required().StringVar(&r.by)
-	move.Flag("max-risk", "Largest share of traffic at risk before the evidence suffices, per mille; 0 for the default of 15.").Uint32Var(&r.maxRisk)
+	move.Flag("by", "Time by which all traffic must have moved: 2026-12-04T10:00:00Z, or 10m for a duration from now.").Required().StringVar(&r.byText)
+	move.Flag("max-risk", "Largest share of traffic at risk before the evidence suffices, per mille; 0 for the default of 15.").Uint32Var(&r.maxRiskPerMille)
 	move.Flag("wait", "Wait until the move has ended; exit status 1 unless it is done.").BoolVar(&r.wait)
 	addOperatorFlags(move, r, derivedIDHelp)
 
@@ -177,7 +177,7 @@
 	moves.Flag("wait", "Wait until the open moves have ended; exit status 1 unless all of them are done.").BoolVar(&r.wait)
 
 	status := app.Command(commandStatus, "Show accepted and in-force revisions, nodes and control instances.\n\nExample: parsleyport status --server 127.0.0.1:7101 --output json")
-	status.Flag("nodes", "List each node with its latest report.").BoolVar(&r.nodes)
+	status.Flag("nodes", "List each node with its latest report.").BoolVar(&r.listNodes)
 
 	records := app.Command(commandRecords, "Show the accepted records.\n\nExample: parsleyport records --server 127.0.0.1:7101 --service orders --kind policy")
 	records.Arg("name", "Only records of this name.").StringVar(&r.recordFilter.Name)
@@ -188,9 +188,9 @@
 	audit.Flag("operator", "Only this operator's entries.").StringVar((*string)(&r.operator))
 	audit.Flag("submission-id", "Only entries of this submission.").StringVar((*string)(&r.submissionID))
 	audit.Flag("move", "Only entries of this move.").StringVar((*string)(&r.moveID))
-	audit.Flag("since", "Only entries from this time on, such as 2026-12-04T10:00:00Z.").StringVar(&r.since)
-	audit.Flag("limit", "Number of entries, from 1 to 10000.").Default("100").IntVar(&r.limit)
-	audit.Flag("before", "Only entries before this number, as printed by a command that reached its limit.").Uint64Var(&r.before)
+	audit.Flag("since", "Only entries from this time on, such as 2026-12-04T10:00:00Z.").StringVar(&r.sinceText)
+	audit.Flag("limit", "Number of entries, from 1 to 10000.").Default("100").IntVar(&r.auditLimit)
+	audit.Flag("before", "Only entries before this number, as printed by a command that reached its limit.").Uint64Var(&r.beforeEntry)
 
 	for _, command := range []*kingpin.CmdClause{moves, status, records, audit} {
 		addServerFlags(command, r)
@@ -209,7 +209,7 @@
 	} {
 		change := members.Command(subcommand.name, subcommand.help+"\n\nExample: parsleyport members "+subcommand.name+" --server 127.0.0.1:7101 c2")
 		addOperatorFlags(change, r, "new for each run")
-		change.Arg("id", "Control instance as in the settings.").Required().StringVar((*string)(&r.member))
+		change.Arg("id", "Control instance as in the settings.").Required().StringVar((*string)(&r.memberID))
 	}
 }
 
@@ -219,7 +219,7 @@
 
 	check := app.Command(commandCheck, "Check settings and record files without a control instance.\n\nExample: parsleyport check c1.jsonc n1.jsonc orders.jsonc")
 	check.Arg("file", "Settings or record file, JSON with comments.").Required().StringsVar(&r.files)
-	check.Flag("as", "Kind of the files; auto detects it from their keys.").Default(kindAuto).EnumVar(&r.as, kindAuto, kindControl, kindNode, kindRecords)
+	check.Flag("as", "Kind of the files; auto detects it from their keys.").Default(kindAuto).EnumVar(&r.fileKind, kindAuto, kindControl, kindNode, kindRecords)
 	check.Flag("complete", "The record files together hold all records: also check the references between them.").BoolVar(&r.complete)
 	addOutputFlag(check, r)
 
@@ -313,17 +313,17 @@
 	if o.command != commandMove {
 		return nil
 	}
-	if r.maxRisk > uint32(core.FullShare) {
-		return errors.Errorf("--max-risk is %d, expected 0 to %d per mille", r.maxRisk, core.FullShare)
+	if r.maxRiskPerMille > uint32(core.FullShare) {
+		return errors.Errorf("--max-risk is %d, expected 0 to %d per mille", r.maxRiskPerMille, core.FullShare)
 	}
-	o.maxRisk = core.PerMille(r.maxRisk)
-	if duration, err := time.ParseDuration(r.by); err == nil {
+	o.maxRiskShare = core.PerMille(r.maxRiskPerMille)
+	if duration, err := time.ParseDuration(r.byText); err == nil {
 		o.deadline, o.relativeDeadline = now.Add(duration).Truncate(time.Millisecond), true
-	} else if o.deadline, err = time.Parse(time.RFC3339, r.by); err != nil {
-		return errors.Errorf("--by is %q, expected a time such as 2026-12-04T10:00:00Z or a duration such as 10m", r.by)
+	} else if o.deadline, err = time.Parse(time.RFC3339, r.byText); err != nil {
+		return errors.Errorf("--by is %q, expected a time such as 2026-12-04T10:00:00Z or a duration such as 10m", r.byText)
 	}
 	if !o.deadline.After(now) {
-		return errors.Errorf("--by is %q, expected a time in the future", r.by)
+		return errors.Errorf("--by is %q, expected a time in the future", r.byText)
 	}
 	return nil
 }
@@ -332,15 +332,15 @@
 	if o.command != commandAudit {
 		return nil
 	}
-	if o.limit < 1 || o.limit > maxAuditEntries {
-		return errors.Errorf("--limit is %d, expected 1 to %d", o.limit, maxAuditEntries)
+	if o.auditLimit < 1 || o.auditLimit > maxAuditEntries {
+		return errors.Errorf("--limit is %d, expected 1 to %d", o.auditLimit, maxAuditEntries)
 	}
-	if r.since == "" {
+	if r.sinceText == "" {
 		return nil
 	}
-	since, err := time.Parse(time.RFC3339, r.since)
+	since, err := time.Parse(time.RFC3339, r.sinceText)
 	if err != nil {
-		return errors.Errorf("--since is %q, expected a time such as 2026-12-04T10:00:00Z", r.since)
+		return errors.Errorf("--since is %q, expected a time such as 2026-12-04T10:00:00Z", r.sinceText)
 	}
 	o.since = since
 	return nil
@@ -352,7 +352,7 @@
 		Submission: o.submissionID,
 		Move:       o.moveID,
 		Since:      o.since,
-		Limit:      o.limit,
-		Before:     o.before,
+		Limit:      o.auditLimit,
+		Before:     o.beforeEntry,
 	}
 }
--- a/io/cli/show.go
+++ b/io/cli/show.go
@@ -16,7 +16,7 @@
 
 func (p *program) status(ctx context.Context, o options, client *operatorhttp.Client) int {
 	query := client.Status
-	if o.nodes {
+	if o.listNodes {
 		query = client.StatusWithNodes
 	}
 	status, err := request(ctx, o, query)
@@ -28,7 +28,7 @@
 		return StatusOK
 	}
 	p.printStatus(status)
-	if o.nodes {
+	if o.listNodes {
 		p.printNodes(status.Nodes)
 	}
 	return StatusOK
--- a/io/control/voters.go
+++ b/io/control/voters.go
@@ -54,7 +54,7 @@
 	defer cancel()
 	err := replica.Change(ctx, change)
 	p.log.Info().Err(err).Str("event", "membership-change").Str("change", string(change.Kind)).Str("instance", string(change.Peer.ID)).
-		Str("identity", string(change.Peer.Identity)).Msg("membership change decided")
+		Str("identity", string(change.Peer.Identity)).Msg("membership change requested")
 }
 
 // ledLongEnough reports whether this instance has led for long enough to have received a report from every live member.
--- a/io/nodepeer/claims.go
+++ b/io/nodepeer/claims.go
@@ -336,6 +336,7 @@
 	return unresponsive
 }
 
+// setUnresponsive records whether a holder is unresponsive, and since when.
 func (c *Claims) setUnresponsive(address string, unresponsive bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/settings/control.go
+++ b/io/settings/control.go
@@ -29,7 +29,7 @@
 	OperatorAddress string
 	PeerAddress     string
 	NodeAddress     string
-	AdminAddress    string // address of an additional server for metrics, empty for none beside the operators' API
+	AdminAddress    string // address of an additional server for metrics; empty for none, since the operators' API serves them too
 	Bootstrap       bool
 	Members         []Member
 	TokenFile       string // empty if operators need no token
