--- a/io/operatorhttp/client.go
+++ b/io/operatorhttp/client.go
@@ -198,16 +198,16 @@
 	return answer, err
 }
 
-// tryServers sends a request to the servers in turn until one answers. It reports whether an attempt may have been proposed.
+// tryServers sends a request to the servers in turn until one answers. It reports whether a command may have been proposed.
 func (c *Client) tryServers(ctx context.Context, method, path string, body []byte, answer any) (mayHaveRun bool, err error) {
 	if len(c.options.Servers) == 0 {
 		return false, errors.Annotate(ErrUnreachable, "no server is given")
 	}
 	for {
 		for _, server := range c.options.Servers {
-			var reached bool
-			reached, err = c.attempt(ctx, server, method, path, body, answer)
-			mayHaveRun = mayHaveRun || reached
+			var attemptMayHaveRun bool
+			attemptMayHaveRun, err = c.attempt(ctx, server, method, path, body, answer)
+			mayHaveRun = mayHaveRun || attemptMayHaveRun
 			if err == nil || errors.Is(err, ErrRejected) {
 				return mayHaveRun, err
 			}
@@ -251,7 +251,8 @@
 	return l.text
 }
 
-func (c *Client) attempt(ctx context.Context, server, method, path string, body []byte, answer any) (reached bool, err error) {
+// attempt sends a request to one server. It reports whether the server may have proposed a command.
+func (c *Client) attempt(ctx context.Context, server, method, path string, body []byte, answer any) (mayHaveRun bool, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
 	if err != nil {
 		return false, errors.WithType(err, ErrRejected)
@@ -281,7 +282,7 @@
 	return decodeAnswer(server, response.StatusCode, content, answer)
 }
 
-func decodeAnswer(server string, status int, content []byte, answer any) (reached bool, err error) {
+func decodeAnswer(server string, status int, content []byte, answer any) (mayHaveRun bool, err error) {
 	switch {
 	case status == http.StatusOK || status == http.StatusConflict:
 		return true, errors.Annotate(json.Unmarshal(content, answer), server)
--- a/io/raftpeer/failure_test.go
+++ b/io/raftpeer/failure_test.go
@@ -166,11 +166,11 @@
 			c := qt.New(t)
 			sim, leader := startedSimulation(t, 3)
 			sim.isolate(leader.options.Self, cut.outgoing, cut.incoming)
-			begun := sim.now
+			startedAt := sim.now
 			sim.advanceUntil(raft.ElectionTimeout+tick, "step-down", func() bool {
 				leader.read(func(refused string) {
-					if refused == "" && sim.now.After(begun.Add(3*tick)) { // earlier answers were sent before the partition
-						t.Errorf("read confirmed %v after the cut", sim.now.Sub(begun))
+					if refused == "" && sim.now.After(startedAt.Add(3*tick)) { // earlier answers were sent before the partition
+						t.Errorf("read confirmed %v after the cut", sim.now.Sub(startedAt))
 					}
 				})
 				return !leader.isLeader()
