--- a/io/cli/show.go
+++ b/io/cli/show.go
@@ -16,7 +16,7 @@
 
 func (p *program) status(ctx context.Context, o options, client *operatorhttp.Client) int {
 	query := client.Status
-	if o.nodes {
+	if o.listNodes {
 		query = client.StatusWithNodes
 	}
 	status, err := request(ctx, o, query)
@@ -28,7 +28,7 @@
 		return StatusOK
 	}
 	p.printStatus(status)
-	if o.nodes {
+	if o.listNodes {
 		p.printNodes(status.Nodes)
 	}
 	return StatusOK
@@ -96,7 +96,7 @@
 }
 
 func (p *program) records(ctx context.Context, o options, client *operatorhttp.Client) int {
-	records, err := request(ctx, o, func(ctx context.Context) (operatorhttp.Records, error) { return client.Records(ctx, o.records) })
+	records, err := request(ctx, o, func(ctx context.Context) (operatorhttp.Records, error) { return client.Records(ctx, o.recordFilter) })
 	if err != nil {
 		return p.failRequest(err)
 	}
--- a/io/raftpeer/compressor.go
+++ b/io/raftpeer/compressor.go
@@ -17,5 +17,5 @@
 
 // pingMessage carries the ID of the compressor whose messages the sender of the ping or pong can read.
 type pingMessage struct {
-	Compressor frame.CompressorID `msgpack:"packing,omitempty"`
+	CompressorID frame.CompressorID `msgpack:"packing,omitempty"`
 }
--- a/io/raftpeer/compressor_test.go
+++ b/io/raftpeer/compressor_test.go
@@ -24,7 +24,7 @@
 		Term:  3,
 		Index: 81,
 	}
-	plain := uint64(0)
+	plainBytes := uint64(0)
 	for _, test := range []struct {
 		reads      frame.CompressorID
 		compressed bool
@@ -36,7 +36,7 @@
 		near, far := net.Pipe()
 		sender, receiver := frame.NewBulk(near, compressor), frame.NewBulk(far, compressor)
 		failed := make(chan error, 1)
-		go func() { failed <- receiver.Send(time.Time{}, typePong, pingMessage{Compressor: test.reads}) }()
+		go func() { failed <- receiver.Send(time.Time{}, typePong, pingMessage{CompressorID: test.reads}) }()
 		c.Assert(receivePong(sender), qt.IsNil)
 		c.Assert(<-failed, qt.IsNil)
 		go func() { failed <- sender.Send(time.Time{}, frame.Type(heartbeat.Kind), heartbeat) }()
@@ -47,10 +47,10 @@
 		c.Assert(received.Decode(&message), qt.IsNil)
 		c.Assert(message, qt.DeepEquals, *heartbeat)
 		sent, _ := sender.Bytes()
-		if plain == 0 {
-			plain = sent
+		if plainBytes == 0 {
+			plainBytes = sent
 		}
-		c.Assert(sent < plain, qt.Equals, test.compressed, qt.Commentf("%d bytes, %d plain", sent, plain))
+		c.Assert(sent < plainBytes, qt.Equals, test.compressed, qt.Commentf("%d bytes, %d plain", sent, plainBytes))
 	}
 }
 
@@ -70,7 +70,7 @@
 	c.Assert(err, qt.IsNil)
 	var pong pingMessage
 	c.Assert(received.Decode(&pong), qt.IsNil)
-	c.Assert(pong.Compressor, qt.Equals, compressor.ID())
+	c.Assert(pong.CompressorID, qt.Equals, compressor.ID())
 	c.Assert(<-failed, qt.IsNil)
 	c.Assert(<-failed, qt.IsNil)
 }
--- a/io/raftpeer/link.go
+++ b/io/raftpeer/link.go
@@ -183,7 +183,7 @@
 		out := outgoing{
 			kind: typePing,
 			message: pingMessage{
-				Compressor: r.compressor.ID(),
+				CompressorID: r.compressor.ID(),
 			},
 		}
 		select {
@@ -209,7 +209,7 @@
 	if err := received.Decode(&pong); err != nil {
 		return err
 	}
-	conn.SetPeerCompressor(pong.Compressor)
+	conn.SetPeerCompressor(pong.CompressorID)
 	return nil
 }
 
@@ -256,7 +256,7 @@
 	switch received.Type {
 	case typePing:
 		return conn.Send(time.Now().Add(sendTimeout), typePong, pingMessage{
-			Compressor: r.compressor.ID(),
+			CompressorID: r.compressor.ID(),
 		})
 	case typeHello:
 		var hello raft.Hello
--- a/io/raftpeer/requests.go
+++ b/io/raftpeer/requests.go
@@ -20,7 +20,7 @@
 // requests holds this process's proposals, reads and membership changes that wait for an answer.
 type requests struct {
 	mu       sync.Mutex
-	run      uint64
+	run      uint64 // random number of this run of the process, so that answers to requests of other runs are ignored
 	sequence uint64
 	pending  map[raft.RequestID]chan answer
 }
--- a/io/raftpeer/schedule_test.go
+++ b/io/raftpeer/schedule_test.go
@@ -85,12 +85,12 @@
 		register: fmt.Sprintf("r%d", sim.random.IntN(6)),
 		write:    sim.random.IntN(2) == 0,
 	}
-	begun := sim.now
+	startedAt := sim.now
 	record := func(value string, returned int64) {
 		h.operations = append(h.operations, porcupine.Operation{
 			ClientId: c.id,
 			Input:    o,
-			Call:     begun.UnixNano(),
+			Call:     startedAt.UnixNano(),
 			Output:   value,
 			Return:   returned,
 		})
